--- a/consensus/ballot_test.go
+++ b/consensus/ballot_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// prepares ticks a node past its patience and gives the ballots that it sends meanwhile, with the disk as it stands.
-func prepares(n *Node, disk *Saved, syncs bool) (ballots []Ballot) {
+// sentPrepares ticks a node past its takeover delay and returns the ballots that it sends. The writes reach the disk only if
+// syncs is set.
+func sentPrepares(n *Node, disk *Saved, syncs bool) (ballots []Ballot) {
 	take := func(now time.Duration) {
 		for {
 			actions := n.Take()
@@ -38,25 +39,25 @@
 	return ballots
 }
 
-// A process sends a ballot only once its disk holds it: a life after a loss of power begins above whatever was sent.
-// The code before sent its first ballot in both lives.
+// A process must send a ballot only once its disk holds it, so that an incarnation after a power loss begins above every
+// ballot sent before. An earlier version sent its first ballot in both incarnations.
 func TestBallotStandsForOneValue(t *testing.T) {
 	var disk Saved
-	first := New(cold("a"), nil, 0)
-	for _, w := range first.Take().Writes { // the founding is on the disk
+	first := New(coldStartConfig("a"), nil, 0)
+	for _, w := range first.Take().Writes { // the founding is synced
 		disk = Saved{ID: w.ID, Vote: *w.Vote}
 		first.Saved(0, w.Token)
 	}
-	must.SliceEmpty(t, prepares(first, &disk, false)) // a disk that never syncs: nobody hears of the ballot
+	must.SliceEmpty(t, sentPrepares(first, &disk, false)) // the disk never syncs, so no ballot is sent
 	must.Eq(t, Ballot{Round: 1}, disk.Vote.Promised)
 
-	second := New(cold("a"), &disk, 0)
-	sent := prepares(second, &disk, true)
+	second := New(coldStartConfig("a"), &disk, 0)
+	sent := sentPrepares(second, &disk, true)
 	must.SliceNotEmpty(t, sent)
 	must.Eq(t, sent[0], disk.Vote.Promised)
 
-	third := New(cold("a"), &disk, 0) // loses power right after it has sent
-	for _, b := range prepares(third, &disk, true) {
+	third := New(coldStartConfig("a"), &disk, 0) // lost power right after sending
+	for _, b := range sentPrepares(third, &disk, true) {
 		must.True(t, sent[0].Less(b), must.Sprint(sent[0], b))
 	}
 }
--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -6,39 +6,39 @@
 )
 
 type call struct {
-	id    uint64
-	read  bool
-	doc   Doc
-	seq   uint64 // a read waits for a majority's answer to this question or a later one
-	until time.Duration
+	id       uint64
+	read     bool
+	doc      Doc
+	seq      uint64 // a read waits until a majority has replied to this sequence number or a later one
+	deadline time.Duration
 }
 
-// Propose asks that an order be taken: that the register become d if its version is the highest, and that no other body
-// ever stand under that version. What was taken before is acknowledged again by whoever knows of it, and an order that
-// contradicts it is refused for good: both are final, so they need no contact with anybody.
+// Propose submits a document: the register becomes d if its version is the highest, and no other body may ever have that
+// version. A node that knows of an earlier acceptance acknowledges it again, and a conflicting proposal is refused for
+// good. Both results are final, so they need no contact with other nodes.
 func (n *Node) Propose(now time.Duration, id uint64, d Doc) {
-	n.enter(now)
-	c := call{id: id, doc: d, until: n.now + callFor}
+	n.advanceClock(now)
+	c := call{id: id, doc: d, deadline: n.now + callTimeout}
 	switch {
-	case d.Version == 0 || n.bad != nil:
+	case d.Version == 0 || n.violation != nil:
 		n.answer(c, Refused, Doc{})
-	case n.decided(c):
-	case !n.takesCalls():
+	case n.answerIfDecided(c):
+	case !n.acceptsCalls():
 		n.answer(c, Refused, Doc{})
 	default:
 		n.calls = append(n.calls, c)
-		n.advance()
+		n.applyProposals()
 	}
-	n.settle()
+	n.deliverLocal()
 }
 
-// decided answers a proposal on which what is committed says the last word.
-func (n *Node) decided(c call) bool {
-	switch n.committed.State.judge(c.doc) {
-	case confirmed:
+// answerIfDecided answers a proposal whose result already follows from the committed state.
+func (n *Node) answerIfDecided(c call) bool {
+	switch n.committed.State.classify(c.doc) {
+	case alreadyAccepted:
 		n.answer(c, OK, Doc{})
-	case contradicted:
-		if n.plant.anyBody {
+	case conflicting:
+		if n.faults.anyBody {
 			n.answer(c, OK, Doc{})
 			break
 		}
@@ -49,64 +49,66 @@
 	return true
 }
 
-// Read asks for the committed document, no older than the newest that was acknowledged before this call.
+// Read requests the committed document, at least as new as the newest one acknowledged before this call.
 func (n *Node) Read(now time.Duration, id uint64) {
-	n.enter(now)
-	c := call{id: id, read: true, until: n.now + callFor}
-	if !n.takesCalls() {
+	n.advanceClock(now)
+	c := call{id: id, read: true, deadline: n.now + callTimeout}
+	if !n.acceptsCalls() {
 		n.answer(c, Refused, Doc{})
 		return
 	}
-	n.lead.seq++ // a new question to the witnesses; beats repeat it until it is answered
-	c.seq = n.lead.seq
+	n.primary.readSeq++ // a new query to the witnesses; heartbeats repeat it until it is answered
+	c.seq = n.primary.readSeq
 	n.calls = append(n.calls, c)
-	n.beat()
+	n.sendHeartbeats()
 	n.answerReads()
-	n.settle()
+	n.deliverLocal()
 }
 
-func (n *Node) takesCalls() bool { return n.lead != nil && n.bad == nil && len(n.calls) < callsMost }
+func (n *Node) acceptsCalls() bool {
+	return n.primary != nil && n.violation == nil && len(n.calls) < maxCalls
+}
 
 func (n *Node) answer(c call, r Result, d Doc) {
 	_, addr, _ := n.Primary()
-	n.out.Answers = append(n.out.Answers, Answer{Call: c.id, Result: r, Doc: d, Primary: addr})
+	n.actions.Answers = append(n.actions.Answers, Answer{Call: c.id, Result: r, Doc: d, Primary: addr})
 }
 
 func (n *Node) answerProposals() {
-	n.calls = slices.DeleteFunc(n.calls, func(c call) bool { return !c.read && n.decided(c) })
+	n.calls = slices.DeleteFunc(n.calls, func(c call) bool { return !c.read && n.answerIfDecided(c) })
 }
 
-// answerReads ends those reads for which a majority said, after they began, that it promised nobody anything beyond this
-// epoch: so no later primary can have acknowledged anything before they began.
+// answerReads completes the reads for which a majority has confirmed, after they began, that it promised no ballot beyond
+// this epoch. No later primary can then have acknowledged anything before they began.
 func (n *Node) answerReads() {
-	if n.lead == nil || !n.lead.ready || n.bad != nil {
+	if n.primary == nil || !n.primary.ready || n.violation != nil {
 		return
 	}
 	n.calls = slices.DeleteFunc(n.calls, func(c call) bool {
-		done := c.read && (n.plant.blindRead || n.confirmed(c.seq))
-		if done {
+		answered := c.read && (n.faults.blindRead || n.leadershipConfirmed(c.seq))
+		if answered {
 			n.answer(c, OK, n.committed.State.Doc)
 		}
-		return done
+		return answered
 	})
 }
 
-func (n *Node) confirmed(seq uint64) bool {
+func (n *Node) leadershipConfirmed(seq uint64) bool {
 	return n.known.quorum(func(id ID) bool {
 		if id == n.id {
-			return !n.lead.at.Less(n.vote.Promised)
+			return !n.primary.ballot.Less(n.vote.Promised)
 		}
-		p := n.lead.peers[id]
-		return p != nil && p.okSeq >= seq
+		p := n.primary.peers[id]
+		return p != nil && p.confirmedSeq >= seq
 	})
 }
 
 func (n *Node) expireCalls() {
 	n.calls = slices.DeleteFunc(n.calls, func(c call) bool {
-		late := n.now >= c.until
-		if late {
+		expired := n.now >= c.deadline
+		if expired {
 			n.answer(c, Unknown, Doc{})
 		}
-		return late
+		return expired
 	})
 }
--- a/consensus/copies.go
+++ b/consensus/copies.go
@@ -11,44 +11,45 @@
 	return slices.Compact(out)
 }
 
-// spread counts, among the members named, the machines that count, the zones and the regions. Where the tolerance speaks
-// of no member at all, each is taken as counting.
-func spreadOf(members []Member, ids []ID) (machines, zones, regions int) {
-	none := !slices.ContainsFunc(members, func(m Member) bool { return m.Counts })
-	zs, rs := map[string]bool{}, map[string]bool{}
+// countPlaces counts the machines that the tolerance covers, their zones and their regions among the given members. If the
+// tolerance covers no member at all, every member counts.
+func countPlaces(members []Member, ids []ID) (machines, zones, regions int) {
+	noneCounts := !slices.ContainsFunc(members, func(m Member) bool { return m.Counts })
+	zoneSet, regionSet := map[string]bool{}, map[string]bool{}
 	for _, m := range members {
-		if !slices.Contains(ids, m.ID) || !m.Counts && !none {
+		if !slices.Contains(ids, m.ID) || !m.Counts && !noneCounts {
 			continue
 		}
 		machines++
-		zs[m.Zone], rs[m.Region] = true, true
+		zoneSet[m.Zone], regionSet[m.Region] = true, true
 	}
-	delete(zs, "") // not told yet
-	delete(rs, "")
-	return machines, len(zs), len(rs)
+	delete(zoneSet, "") // not reported yet
+	delete(regionSet, "")
+	return machines, len(zoneSet), len(regionSet)
 }
 
-// meets reports whether copies on these outlast any loss within the tolerance.
-func (n *Node) meets(members []Member, ids []ID) bool {
-	machines, zones, regions := spreadOf(members, ids)
-	return machines > n.c.Losses && (n.c.Zones == 0 || zones > n.c.Zones) && (n.c.Regions == 0 || regions > n.c.Regions)
+// meetsTolerance reports whether copies on these members survive any tolerated loss.
+func (n *Node) meetsTolerance(members []Member, ids []ID) bool {
+	machines, zones, regions := countPlaces(members, ids)
+	return machines > n.config.Losses && (n.config.Zones == 0 || zones > n.config.Zones) &&
+		(n.config.Regions == 0 || regions > n.config.Regions)
 }
 
-// outlasts reports whether, after any loss within the tolerance, a majority of these members remains. Without it the
-// copies would be there, but nobody could find out whose are the last.
-func (n *Node) outlasts(ms []Member) bool { return n.remains(ms, ms) }
+// survivesLoss reports whether a majority of these members remains after any tolerated loss. Without a majority the copies
+// would still exist, but no node could determine which of them are the latest.
+func (n *Node) survivesLoss(ms []Member) bool { return n.keepsMajority(ms, ms) }
 
-// remains is outlasts where only some of the members are there in the first place.
-func (n *Node) remains(ms, here []Member) bool {
-	left := len(ms)/2 + 1
-	machines, _, _ := spreadOf(ms, idsOf(here))
-	return machines-n.c.Losses >= left &&
-		len(here)-largest(here, n.c.Zones, func(m Member) string { return m.Zone }) >= left &&
-		len(here)-largest(here, n.c.Regions, func(m Member) string { return m.Region }) >= left
+// keepsMajority is survivesLoss for the case that only some of the members are available now.
+func (n *Node) keepsMajority(ms, available []Member) bool {
+	needed := len(ms)/2 + 1
+	machines, _, _ := countPlaces(ms, memberIDs(available))
+	return machines-n.config.Losses >= needed &&
+		len(available)-largestPlaces(available, n.config.Zones, func(m Member) string { return m.Zone }) >= needed &&
+		len(available)-largestPlaces(available, n.config.Regions, func(m Member) string { return m.Region }) >= needed
 }
 
-// largest counts the members in the k largest places.
-func largest(ms []Member, k int, place func(Member) string) int {
+// largestPlaces counts the members in the k largest places.
+func largestPlaces(ms []Member, k int, place func(Member) string) int {
 	count := map[string]int{}
 	for _, m := range ms {
 		count[place(m)]++
@@ -66,31 +67,32 @@
 	return sum
 }
 
-// safe reports whether what is committed now outlasts what the tolerance names.
-func (n *Node) safe() bool {
-	if n.plant.dropBelow {
+// canAcknowledge reports whether anything committed now would survive the losses that the tolerance names.
+func (n *Node) canAcknowledge() bool {
+	if n.faults.dropBelow {
 		return true
 	}
-	return n.meets(n.known.Members, n.known.InSync) && n.outlasts(n.known.Members) && n.outlasts(n.known.Prev)
+	return n.meetsTolerance(n.known.Members, n.known.InSync) && n.survivesLoss(n.known.Members) && n.survivesLoss(n.known.Prev)
 }
 
-// Note is one line on why nothing can be acknowledged as things stand; empty if all is well or this node can't tell.
+// Note explains in one line why nothing can be acknowledged at present. It is empty if changes can be acknowledged or this
+// node is not the primary.
 func (n *Node) Note() string {
-	if n.lead == nil || n.safe() {
+	if n.primary == nil || n.canAcknowledge() {
 		return ""
 	}
-	machines, zones, regions := spreadOf(n.known.Members, n.known.InSync)
+	machines, zones, regions := countPlaces(n.known.Members, n.known.InSync)
 	return fmt.Sprintf("no change is acknowledged: tolerance of %d machines, %d zones, %d regions; in sync are %d machines "+
-		"in %d zones and %d regions, of %d members", n.c.Losses, n.c.Zones, n.c.Regions, machines, zones, regions,
+		"in %d zones and %d regions, of %d members", n.config.Losses, n.config.Zones, n.config.Regions, machines, zones, regions,
 		len(n.known.Members))
 }
 
-// chooseInSync keeps those that are well, adds recruits up to one more than is required, and drops the others, unless
-// that would leave too few copies: then everybody stays until recruits are in.
+// chooseInSync keeps the healthy in-sync members, adds recruits up to one more than required and drops the rest. If that
+// would leave too few copies, all current members stay until recruits have joined.
 func (n *Node) chooseInSync(members []Member) []ID {
 	chosen := []ID{n.id}
 	for _, id := range n.known.InSync {
-		if id != n.id && find(members, id) >= 0 && n.well(id) {
+		if id != n.id && memberIndex(members, id) >= 0 && n.healthy(id) {
 			chosen = append(chosen, id)
 		}
 	}
@@ -102,45 +104,47 @@
 		chosen = append(chosen, id)
 	}
 	slices.Sort(chosen)
-	if n.meets(members, chosen) || n.plant.dropBelow {
+	if n.meetsTolerance(members, chosen) || n.faults.dropBelow {
 		return chosen
 	}
 	return union(n.known.InSync, chosen)
 }
 
-// recruit picks the next one to bring in: a region or zone that is lacking first, then another than there is.
+// recruit picks the next member to add to the in-sync set: first one in a missing region or zone, then any other.
 func (n *Node) recruit(members []Member, chosen []ID) (ID, bool) {
-	machines, zones, regions := spreadOf(members, chosen)
-	if machines > n.c.Losses+1 && n.meets(members, chosen) {
+	machines, zones, regions := countPlaces(members, chosen)
+	if machines > n.config.Losses+1 && n.meetsTolerance(members, chosen) {
 		return "", false
 	}
-	best, score := ID(""), 0
+	best, bestGain := ID(""), 0
 	for _, m := range members {
-		if slices.Contains(chosen, m.ID) || !n.fit(m.ID) {
+		if slices.Contains(chosen, m.ID) || !n.recruitable(m.ID) {
 			continue
 		}
-		machines2, zones2, regions2 := spreadOf(members, append(slices.Clone(chosen), m.ID))
-		s := machines2 - machines + 4*(zones2-zones) + 8*(regions2-regions)
-		if s > score {
-			best, score = m.ID, s
+		newMachines, newZones, newRegions := countPlaces(members, append(slices.Clone(chosen), m.ID))
+		gain := newMachines - machines + 4*(newZones-zones) + 8*(newRegions-regions)
+		if gain > bestGain {
+			best, bestGain = m.ID, gain
 		}
 	}
-	return best, score > 0
+	return best, bestGain > 0
 }
 
-// well: an in-sync backup that answers and keeps up.
-func (n *Node) well(id ID) bool {
-	p := n.lead.peers[id]
-	return p != nil && n.now-p.heard < dropAfter && !p.stalled && !p.leaving && (p.behind == never || n.now-p.behind < dropAfter)
+// healthy reports whether an in-sync backup replies and keeps up.
+func (n *Node) healthy(id ID) bool {
+	p := n.primary.peers[id]
+	return p != nil && n.now-p.lastHeard < dropTimeout && !p.stalled && !p.leaving &&
+		(p.behindSince == never || n.now-p.behindSince < dropTimeout)
 }
 
-// fit: it could be in sync, since it is there and holds all that is committed. Until the copy that this primary began
-// with is committed it must be that one: what a former primary committed may be known to nobody else.
-func (n *Node) fit(id ID) bool {
+// recruitable reports whether a member could join the in-sync set: it is available and holds everything committed. Until
+// the copy that this primary started with is committed, the member must hold that copy, because no other node may know
+// what a former primary committed.
+func (n *Node) recruitable(id ID) bool {
 	base := n.copy.Stamp
-	if n.lead.ready {
+	if n.primary.ready {
 		base = n.committed.Stamp
 	}
-	p := n.lead.peers[id]
-	return p != nil && n.now-p.heard < 2*dropAfter/3 && n.well(id) && (n.holds(id, base) || n.plant.recruitEarly)
+	p := n.primary.peers[id]
+	return p != nil && n.now-p.lastHeard < 2*dropTimeout/3 && n.healthy(id) && (n.holds(id, base) || n.faults.recruitEarly)
 }
--- a/consensus/leave.go
+++ b/consensus/leave.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// A process that is about to end by plan hands over first: a backup is dropped by an epoch once there are copies enough
-// without it, a primary names another in-sync member in its place. So what a planned end takes away is never the only
-// copy, and nobody has to wait for a silence to be noticed.
+// A process that shuts down as planned hands over first: an epoch drops a backup once there are enough copies without it,
+// and a primary names another in-sync member as its successor. A planned shutdown therefore never removes the only copy,
+// and the other nodes need not wait for a timeout to detect it.
 
-// Leave tells that this process is about to end by plan. It goes on until Left reports true, or the caller's patience ends.
+// Leave announces that this process is shutting down. It should keep running until Left reports true or the caller's
+// timeout ends.
 func (n *Node) Leave(now time.Duration) {
-	n.enter(now)
+	n.advanceClock(now)
 	n.leaving = true
-	n.steer()
-	n.settle()
+	n.changeEpochIfNeeded()
+	n.deliverLocal()
 }
 
-// Left reports whether nothing hangs on this process any more: it neither leads nor is in sync.
+// Left reports whether the process may stop: it is neither the primary nor in sync.
 func (n *Node) Left() bool {
-	return n.lead == nil && !slices.Contains(n.known.InSync, n.id)
+	return n.primary == nil && !slices.Contains(n.known.InSync, n.id)
 }
 
-// handOver names a successor in the epoch that a leaving primary would have, if copies enough remain without it.
+// handOver names a successor in the epoch that a leaving primary wants, if enough copies remain without it.
 func (n *Node) handOver(want *Epoch) {
 	others := slices.DeleteFunc(slices.Clone(want.InSync), func(id ID) bool { return id == n.id })
-	if !n.meets(want.Members, others) {
+	if !n.meetsTolerance(want.Members, others) {
 		return
 	}
 	for _, id := range n.known.InSync {
-		if id != n.id && slices.Contains(others, id) && n.fit(id) {
+		if id != n.id && slices.Contains(others, id) && n.recruitable(id) {
 			want.Primary, want.InSync = id, others
 			return
 		}
 	}
 }
 
-// announce tells all members of an epoch in which this node has handed over.
-func (n *Node) announce() {
-	for _, m := range n.known.everyone() {
+// announceEpoch sends the epoch in which this node has handed over to all of its members.
+func (n *Node) announceEpoch() {
+	for _, m := range n.known.allMembers() {
 		if m.ID != n.id {
 			epoch := *n.known
 			n.send(m, Message{Kind: Hint, Epoch: &epoch})
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -6,87 +6,89 @@
 )
 
 const (
-	replaceAfter = 3 * time.Second        // a member silent for so long makes way for a node that wants in
-	removeAfter  = 8 * time.Second        // and for nobody, if members enough remain
-	hurryAfter   = 700 * time.Millisecond // both, while a further loss within the tolerance would take the majority
+	replaceTimeout = 3 * time.Second        // a member silent for this long is replaced by a node that wants to join
+	removeTimeout  = 8 * time.Second        // a member silent for this long is removed without replacement if enough members remain
+	urgentTimeout  = 700 * time.Millisecond // replaces both while one more loss within the tolerance would cost the majority
 )
 
-// tickJoin: whoever is no member, or hears no primary, says to all that it knows of that it is here.
+// tickJoin announces this node to all known addresses while it is not a member or receives no heartbeats from a primary.
 func (n *Node) tickJoin() {
-	member := find(n.known.Members, n.id) >= 0
-	if n.lead != nil || n.now < n.joinAt || member && n.now-n.heard < joinAfter {
+	member := memberIndex(n.known.Members, n.id) >= 0
+	if n.primary != nil || n.now < n.nextJoinAt || member && n.now-n.primaryHeardAt < primaryTimeout {
 		return
 	}
-	n.joinAt = n.now + n.spread(joinEvery, joinEvery/4)
-	for _, addr := range n.addresses() {
-		n.send(Member{Addr: addr}, Message{Kind: Join, Knows: n.known.N, Member: n.me()})
+	n.nextJoinAt = n.now + n.jitter(joinInterval, joinInterval/4)
+	for _, addr := range n.joinAddresses() {
+		n.send(Member{Addr: addr}, Message{Kind: Join, Knows: n.known.N, Member: n.self()})
 	}
 }
 
-func (n *Node) addresses() []string {
-	out := slices.Clone(n.c.Seeds)
-	for _, m := range n.known.everyone() {
+func (n *Node) joinAddresses() []string {
+	out := slices.Clone(n.config.Seeds)
+	for _, m := range n.known.allMembers() {
 		out = append(out, m.Addr)
 	}
 	slices.Sort(out)
 	out = slices.Compact(out)
-	return slices.DeleteFunc(out, func(a string) bool { return a == n.c.Addr })
+	return slices.DeleteFunc(out, func(a string) bool { return a == n.config.Addr })
 }
 
 func (n *Node) onJoin(m Message) {
-	if e := n.newer(m.Knows); e != nil && n.lead == nil {
+	if e := n.newerEpoch(m.Knows); e != nil && n.primary == nil {
 		n.reply(m, Message{Kind: Hint, Epoch: e})
 	}
-	if n.lead == nil || m.From == n.id {
+	if n.primary == nil || m.From == n.id {
 		return
 	}
-	p := n.lead.peers[m.From]
+	p := n.primary.peers[m.From]
 	if p == nil {
-		if len(n.lead.peers) >= peersMost {
+		if len(n.primary.peers) >= maxPeers {
 			return
 		}
-		p = &peer{Member: m.Member, heard: never, behind: never, stored: never}
-		n.lead.peers[m.From] = p
+		p = &peer{Member: m.Member, lastHeard: never, behindSince: never, lastSent: never}
+		n.primary.peers[m.From] = p
 	}
-	p.joined, p.knows = n.now, m.Knows
-	n.beatTo(p)
+	p.lastJoin, p.knownEpoch = n.now, m.Knows
+	n.sendHeartbeat(p)
 }
 
-// wantMembers is the next set of members, one change from the present one; nil if none is wanted.
-func (n *Node) wantMembers(ms []Member) []Member {
-	if n.plant.keepLost {
+// desiredMembers returns the next set of members, one change away from the present one, or nil if no change is wanted.
+func (n *Node) desiredMembers(ms []Member) []Member {
+	if n.faults.keepLost {
 		return nil
 	}
-	joiners := n.joiners(ms)
+	joiners := n.joinCandidates(ms)
 	for _, j := range joiners {
 		if i := slices.IndexFunc(ms, func(m Member) bool { return m.Addr == j.Addr }); i >= 0 {
-			return swap(ms, i, j) // this machine lost the disk that was a member
+			return replaceMember(ms, i, j) // this machine lost the disk that was a member
 		}
 	}
-	hurry := !n.remains(ms, n.answering(ms))
-	silent := n.mostSilent(ms, pick(hurry, hurryAfter, replaceAfter))
+	urgent := !n.keepsMajority(ms, n.responsiveMembers(ms))
+	silent := n.longestSilent(ms, urgentOr(urgent, urgentTimeout, replaceTimeout))
 	for _, j := range joiners {
 		if silent >= 0 {
-			if other := swap(ms, silent, j); n.keeps(ms, other) {
-				return other
+			if changed := replaceMember(ms, silent, j); n.preservesTolerance(ms, changed) {
+				return changed
 			}
 		}
-		if more := swap(ms, len(ms), j); len(more) <= membersMost && n.admits(ms, more) {
-			return more
+		if larger := replaceMember(ms, len(ms), j); len(larger) <= maxMembers && n.mayAdd(ms, larger) {
+			return larger
 		}
 	}
-	if i := n.spare(ms, silent, pick(hurry, hurryAfter, removeAfter)); i >= 0 {
-		if fewer := slices.Delete(slices.Clone(ms), i, i+1); n.keeps(ms, fewer) {
-			return fewer
+	if i := n.removable(ms, silent, urgentOr(urgent, urgentTimeout, removeTimeout)); i >= 0 {
+		if smaller := slices.Delete(slices.Clone(ms), i, i+1); n.preservesTolerance(ms, smaller) {
+			return smaller
 		}
 	}
 	return nil
 }
 
-// keeps: a change must not take away that a majority outlasts any loss within the tolerance.
-func (n *Node) keeps(ms, other []Member) bool { return n.outlasts(other) || !n.outlasts(ms) }
+// preservesTolerance reports whether a change of members keeps the property that a majority survives any tolerated loss.
+func (n *Node) preservesTolerance(ms, changed []Member) bool {
+	return n.survivesLoss(changed) || !n.survivesLoss(ms)
+}
 
-func swap(ms []Member, i int, j Member) []Member {
+func replaceMember(ms []Member, i int, j Member) []Member {
 	out := slices.Clone(ms)
 	if i < len(out) {
 		out = slices.Delete(out, i, i+1)
@@ -96,74 +98,78 @@
 	return out
 }
 
-// joiners answered a beat just now: a Join alone may be a late echo of a disk that is gone.
-func (n *Node) joiners(ms []Member) []Member {
+// joinCandidates returns the nodes that may become members. They must have replied to a heartbeat just now, since a Join
+// alone may be a late message from a lost disk.
+func (n *Node) joinCandidates(ms []Member) []Member {
 	counts := slices.ContainsFunc(ms, func(m Member) bool { return m.Counts })
 	var out []Member
 	for _, id := range n.peerIDs() {
-		p := n.lead.peers[id]
-		if find(ms, id) < 0 && p.Addr != n.c.Addr && n.now-p.heard < dropAfter && !p.stalled && (p.Counts || !counts) {
+		p := n.primary.peers[id]
+		if memberIndex(ms, id) < 0 && p.Addr != n.config.Addr && n.now-p.lastHeard < dropTimeout && !p.stalled && (p.Counts || !counts) {
 			out = append(out, p.Member)
 		}
 	}
 	return out
 }
 
-// admits: one more must not take away that a majority outlasts a loss; on the way there it may, while they are too few,
-// and later only if places become no more lopsided.
-func (n *Node) admits(ms, more []Member) bool {
+// mayAdd reports whether a member may be added. The larger set must not lose the property that a majority survives any
+// tolerated loss. While the members are still too few the property may be missing; later the addition is allowed only if
+// the members do not become more concentrated in one place.
+func (n *Node) mayAdd(ms, larger []Member) bool {
 	switch {
-	case n.outlasts(more) || len(ms) < 2*n.c.Losses+1:
+	case n.survivesLoss(larger) || len(ms) < 2*n.config.Losses+1:
 		return true
-	case n.outlasts(ms):
+	case n.survivesLoss(ms):
 		return false
 	}
-	return n.surplus(more) >= n.surplus(ms)
+	return n.majorityMargin(larger) >= n.majorityMargin(ms)
 }
 
-// surplus is by how many members a majority outlasts the worst loss of places; below 0 it does not.
-func (n *Node) surplus(ms []Member) int {
-	zones := largest(ms, n.c.Zones, func(m Member) string { return m.Zone })
-	regions := largest(ms, n.c.Regions, func(m Member) string { return m.Region })
+// majorityMargin returns by how many members a majority survives the worst loss of zones or regions; it is negative if it
+// does not survive.
+func (n *Node) majorityMargin(ms []Member) int {
+	zones := largestPlaces(ms, n.config.Zones, func(m Member) string { return m.Zone })
+	regions := largestPlaces(ms, n.config.Regions, func(m Member) string { return m.Region })
 	return len(ms) - max(zones, regions) - len(ms)/2 - 1
 }
 
-func (n *Node) silence(m Member) time.Duration {
-	p := n.lead.peers[m.ID]
+func (n *Node) silentFor(m Member) time.Duration {
+	p := n.primary.peers[m.ID]
 	if m.ID == n.id || p == nil {
 		return 0
 	}
-	return n.now - p.heard
+	return n.now - p.lastHeard
 }
 
-func pick(hurry bool, soon, late time.Duration) time.Duration {
-	if hurry {
+func urgentOr(urgent bool, soon, late time.Duration) time.Duration {
+	if urgent {
 		return soon
 	}
 	return late
 }
 
-func (n *Node) answering(ms []Member) []Member {
-	return slices.DeleteFunc(slices.Clone(ms), func(m Member) bool { return n.silence(m) >= dropAfter })
+func (n *Node) responsiveMembers(ms []Member) []Member {
+	return slices.DeleteFunc(slices.Clone(ms), func(m Member) bool { return n.silentFor(m) >= dropTimeout })
 }
 
-func (n *Node) mostSilent(ms []Member, after time.Duration) int {
+func (n *Node) longestSilent(ms []Member, after time.Duration) int {
 	worst := -1
 	for i, m := range ms {
-		if s := n.silence(m); s > after && (worst < 0 || s > n.silence(ms[worst])) {
+		if s := n.silentFor(m); s > after && (worst < 0 || s > n.silentFor(ms[worst])) {
 			worst = i
 		}
 	}
 	return worst
 }
 
-// spare is a member to let go without another in its place: one long silent, or one that the tolerance does not speak of.
-func (n *Node) spare(ms []Member, silent int, after time.Duration) int {
-	if len(ms) <= max(3, 2*n.c.Losses+1) {
+// removable returns a member to remove without replacement: one that has been silent for long, or one that the tolerance
+// does not cover. It returns -1 if there is none.
+func (n *Node) removable(ms []Member, silent int, after time.Duration) int {
+	if len(ms) <= max(3, 2*n.config.Losses+1) {
 		return -1
 	}
 	if silent >= 0 {
-		if n.silence(ms[silent]) > after {
+		if n.silentFor(ms[silent]) > after {
 			return silent
 		}
 		return -1
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -8,207 +8,208 @@
 	"github.com/go-faster/errors"
 )
 
-// How long things take. The caller ticks each ~50 ms.
+// Timeouts, intervals and limits. The caller calls Tick about every 50 ms.
 const (
-	beatEvery   = 150 * time.Millisecond
-	takeAfter   = 600 * time.Millisecond // a primary silent for so long is taken over from, plus rank and chance
-	takeRank    = 80 * time.Millisecond
-	takeSpread  = 120 * time.Millisecond
-	stickyFor   = 400 * time.Millisecond // who heard the primary this recently helps nobody to take over
-	roundFor    = 600 * time.Millisecond
-	resendEvery = 150 * time.Millisecond
-	dropAfter   = 500 * time.Millisecond // an in-sync backup that does not answer is dropped
-	stallAfter  = 700 * time.Millisecond // a primary whose own disk hangs gives way
-	aloneAfter  = 800 * time.Millisecond // so does one that hears no majority
-	joinEvery   = 250 * time.Millisecond
-	joinAfter   = time.Second
-	callFor     = 4 * time.Second
-	peersMost   = 32
-	callsMost   = 512
-	heldMost    = 256
-	membersMost = 9
+	heartbeatInterval = 150 * time.Millisecond
+	takeoverTimeout   = 600 * time.Millisecond // silence of the primary before a takeover; rank delay and jitter are added
+	takeoverRankDelay = 80 * time.Millisecond
+	takeoverJitter    = 120 * time.Millisecond
+	stickyPeriod      = 400 * time.Millisecond // a node that received a heartbeat this recently rejects takeovers
+	roundTimeout      = 600 * time.Millisecond
+	resendInterval    = 150 * time.Millisecond
+	dropTimeout       = 500 * time.Millisecond // an in-sync backup without replies for this long is removed from the in-sync set
+	diskStallTimeout  = 700 * time.Millisecond // a primary whose disk has been stalled for this long steps down
+	quorumLossTimeout = 800 * time.Millisecond // a primary without contact with a quorum for this long steps down
+	joinInterval      = 250 * time.Millisecond
+	primaryTimeout    = time.Second
+	callTimeout       = 4 * time.Second
+	maxPeers          = 32
+	maxCalls          = 512
+	maxHeldReplies    = 256
+	maxMembers        = 9
 )
 
 const never = -time.Hour
 
-type held struct {
-	need uint64
-	m    Message
+type heldReply struct {
+	token   uint64 // the write that must be synced first
+	message Message
 }
 
-// Node is one process's part. It is not safe for concurrent use.
+// Node is the state machine of one process. It is not safe for concurrent use.
 type Node struct {
-	c   Config
-	id  ID
-	now time.Duration
-	rnd *rand.Rand
+	config Config
+	id     ID
+	now    time.Duration
+	rng    *rand.Rand
 
 	vote      Vote
 	copy      Copy
 	synced    Stamp // of the copy that is on the disk
-	committed Copy  // newest known to be committed
+	committed Copy  // newest copy known to be committed
 	known     *Epoch
 
-	token, saved         uint64
-	writing              Stamp // of the copy in the write under way
-	writeAt              time.Duration
-	dirtyVote, dirtyCopy bool
-	waiting              []held
-	local                []Message
-	out                  Actions
-	delivered            uint64
-	elsewhere            uint64 // messages from other systems
-
-	heard    time.Duration // a beat of the known epoch's primary
-	takeAt   time.Duration
-	joinAt   time.Duration
-	round    *round
-	topRound uint64
-
-	lead    *lead // while this node is an active primary
+	lastToken, savedToken uint64
+	writingStamp          Stamp // of the copy in the write in progress
+	writeStartedAt        time.Duration
+	dirtyVote, dirtyCopy  bool
+	heldReplies           []heldReply
+	localMessages         []Message // from this node to itself
+	actions               Actions
+	deliveredVersion      uint64
+	foreignMessages       uint64 // messages received from other systems
+
+	primaryHeardAt time.Duration // last heartbeat from the primary of the known epoch
+	takeoverAt     time.Duration
+	nextJoinAt     time.Duration
+	round          *round
+	highestRound   uint64
+
+	primary *primaryState // set while this node is an active primary
 	calls   []call
-	leaving bool // this process is about to end by plan
+	leaving bool // this process is shutting down as planned
 
-	plant plant
-	bad   error
+	faults    injectedFaults
+	violation error // the first invariant violation found
 }
 
-// New starts a node on what its disk remembers; nil means that the disk is empty.
+// New creates a node from the state on its disk; nil means that the disk is empty.
 func New(c Config, s *Saved, now time.Duration) *Node {
-	n := &Node{c: c, id: c.ID, now: now, heard: never, joinAt: now, rnd: rand.New(rand.NewPCG(c.Seed, uint64(now)))}
+	n := &Node{config: c, id: c.ID, now: now, primaryHeardAt: never, nextJoinAt: now, rng: rand.New(rand.NewPCG(c.Seed, uint64(now)))}
 	switch {
 	case s != nil:
 		n.id, n.vote, n.copy, n.synced = s.ID, s.Vote, s.Copy, s.Copy.Stamp
 	case c.ColdStart && slices.Contains(c.Seeds, c.Addr):
-		n.id = founder(c.Addr)
+		n.id = founderID(c.Addr)
 		first := Ballot{Round: 1}
-		e := found(c.Seeds)
+		e := foundingEpoch(c.Seeds)
 		n.vote, n.dirtyVote = Vote{Promised: first, Accepted: first, Value: e, Known: e}, true
 	default:
-		n.dirtyVote = true // the id must last
+		n.dirtyVote = true // the ID must be persisted
 	}
 	n.known = &n.vote.Known
-	n.topRound = n.vote.Promised.Round
-	n.takeAt = now + n.patience()
+	n.highestRound = n.vote.Promised.Round
+	n.takeoverAt = now + n.takeoverDelay()
 	return n
 }
 
-func founder(addr string) ID { return ID("found/" + addr) }
+func founderID(addr string) ID { return ID("found/" + addr) }
 
-// found derives the first epoch, the same at each founder and with no message. Whoever founds holds it as accepted; a
-// founder that loses its disk comes back under a drawn id, so nobody can found twice.
-func found(seeds []string) Epoch {
+// foundingEpoch derives the first epoch from the seeds, so that all founders agree on it without exchanging messages. Each
+// founder starts with it as accepted. A founder that loses its disk returns under a drawn ID, so it cannot found twice.
+func foundingEpoch(seeds []string) Epoch {
 	addrs := slices.Compact(slices.Sorted(slices.Values(seeds)))
 	e := Epoch{N: 1, System: systemOf(addrs)}
 	for _, a := range addrs {
-		e.Members = append(e.Members, Member{ID: founder(a), Addr: a, Counts: true})
+		e.Members = append(e.Members, Member{ID: founderID(a), Addr: a, Counts: true})
 	}
 	slices.SortFunc(e.Members, byID)
-	e.Prev, e.InSync, e.Primary = e.Members, idsOf(e.Members), e.Members[0].ID
+	e.Prev, e.InSync, e.Primary = e.Members, memberIDs(e.Members), e.Members[0].ID
 	return e
 }
 
-func (n *Node) me() Member {
-	return Member{ID: n.id, Addr: n.c.Addr, Zone: n.c.Zone, Region: n.c.Region, Counts: n.c.Counts}
+func (n *Node) self() Member {
+	return Member{ID: n.id, Addr: n.config.Addr, Zone: n.config.Zone, Region: n.config.Region, Counts: n.config.Counts}
 }
 
-// ID is this node's own, to be kept by the caller for its log.
+// ID returns this node's ID. The caller logs it.
 func (n *Node) ID() ID { return n.id }
 
-// Epoch is the newest one known to be chosen.
+// Epoch returns the newest epoch known to be chosen.
 func (n *Node) Epoch() Epoch { return *n.known }
 
-// Primary tells who leads as far as this node knows, and whether it has lately been heard.
+// Primary returns the ID and address of the primary that this node knows, and whether it was heard from recently.
 func (n *Node) Primary() (ID, string, bool) {
-	if n.lead != nil {
-		return n.id, n.c.Addr, true
+	if n.primary != nil {
+		return n.id, n.config.Addr, true
 	}
-	i := find(n.known.Members, n.known.Primary)
+	i := memberIndex(n.known.Members, n.known.Primary)
 	if i < 0 {
 		return "", "", false
 	}
-	return n.known.Primary, n.known.Members[i].Addr, n.now-n.heard < joinAfter
+	return n.known.Primary, n.known.Members[i].Addr, n.now-n.primaryHeardAt < primaryTimeout
 }
 
-// Committed is the newest document known to be committed; Version 0 means none is known.
+// Committed returns the newest document known to be committed; Version 0 means that none is known.
 func (n *Node) Committed() Doc { return n.committed.State.Doc }
 
-// Leading tells whether this node is an active primary, and of which epoch.
-func (n *Node) Leading() (uint64, bool) { return n.known.N, n.lead != nil }
+// Leading returns the number of the known epoch and whether this node is its active primary.
+func (n *Node) Leading() (uint64, bool) { return n.known.N, n.primary != nil }
 
-// Check reports a broken invariant. A node that found one answers and says nothing more.
-func (n *Node) Check() error { return n.bad }
+// Check returns the first invariant violation that was found. After a violation the node sends no messages and answers
+// calls without results.
+func (n *Node) Check() error { return n.violation }
 
-func (n *Node) broken(what string, args ...any) {
-	if n.bad == nil {
-		n.bad = errors.Errorf(what, args...)
+func (n *Node) recordViolation(format string, args ...any) {
+	if n.violation == nil {
+		n.violation = errors.Errorf(format, args...)
 	}
 }
 
-// Tick lets time pass.
+// Tick advances the clock and runs all timers.
 func (n *Node) Tick(now time.Duration) {
-	n.enter(now)
+	n.advanceClock(now)
 	n.expireCalls()
-	n.tickLead()
+	n.tickPrimary()
 	n.tickRound()
-	n.tickTake()
+	n.tickTakeover()
 	n.tickJoin()
-	n.settle()
+	n.deliverLocal()
 }
 
-// Receive takes in a message.
+// Receive processes a message.
 func (n *Node) Receive(now time.Duration, m Message) {
-	n.enter(now)
-	n.handle(m)
-	n.settle()
+	n.advanceClock(now)
+	n.handleMessage(m)
+	n.deliverLocal()
 }
 
-// Saved tells that the write with this token, and so every earlier one, is synced.
+// Saved reports that the write with this token, and so every earlier one, is synced.
 func (n *Node) Saved(now time.Duration, token uint64) {
-	n.enter(now)
-	if token > n.saved && token <= n.token {
-		n.saved, n.synced = token, n.writing
-		n.release()
-		if n.round != nil && n.round.needs == token {
+	n.advanceClock(now)
+	if token > n.savedToken && token <= n.lastToken {
+		n.savedToken, n.synced = token, n.writingStamp
+		n.releaseReplies()
+		if n.round != nil && n.round.requiredToken == token {
 			n.sendRound()
 		}
 		n.tryCommit()
 	}
-	n.settle()
+	n.deliverLocal()
 }
 
-// enter never lets time run backwards: what was measured against a later moment stays measured.
-func (n *Node) enter(now time.Duration) { n.now = max(n.now, now) }
+// advanceClock sets the current time. It never moves backwards, so that intervals measured earlier stay valid.
+func (n *Node) advanceClock(now time.Duration) { n.now = max(n.now, now) }
 
-// settle hands the node what it said to itself.
-func (n *Node) settle() {
-	for len(n.local) > 0 {
-		m := n.local[0]
-		n.local = n.local[1:]
-		n.handle(m)
+// deliverLocal processes the messages that the node sent to itself.
+func (n *Node) deliverLocal() {
+	for len(n.localMessages) > 0 {
+		m := n.localMessages[0]
+		n.localMessages = n.localMessages[1:]
+		n.handleMessage(m)
 	}
 }
 
-func (n *Node) handle(m Message) {
-	if m.To != "" && m.To != n.id && !n.plant.voteForLost {
-		return // for the disk that was here before
+func (n *Node) handleMessage(m Message) {
+	if m.To != "" && m.To != n.id && !n.faults.voteForLost {
+		return // addressed to the disk that this machine had before
 	}
-	if n.bad != nil {
+	if n.violation != nil {
 		return
 	}
-	if n.fromElsewhere(&m) {
-		n.elsewhere++
+	if n.fromOtherSystem(&m) {
+		n.foreignMessages++
 		return
 	}
 	switch m.Kind {
 	case Prepare, Accept:
-		n.witness(m)
+		n.handleBallot(m)
 	case Promise, Accepted, Reject:
-		n.onRound(m)
+		n.onRoundReply(m)
 	case Beat:
-		n.onBeat(m)
+		n.onHeartbeat(m)
 	case Pulse:
-		n.onPulse(m)
+		n.onHeartbeatReply(m)
 	case Store:
 		n.onStore(m)
 	case Stored:
@@ -223,84 +224,84 @@
 }
 
 func (n *Node) send(to Member, m Message) {
-	m.System, m.From, m.FromAddr, m.To, m.ToAddr = n.known.System, n.id, n.c.Addr, to.ID, to.Addr
+	m.System, m.From, m.FromAddr, m.To, m.ToAddr = n.known.System, n.id, n.config.Addr, to.ID, to.Addr
 	if to.ID == n.id {
-		n.local = append(n.local, m)
+		n.localMessages = append(n.localMessages, m)
 		return
 	}
-	n.out.Sends = append(n.out.Sends, m)
+	n.actions.Sends = append(n.actions.Sends, m)
 }
 
 func (n *Node) reply(to Message, m Message) { n.send(Member{ID: to.From, Addr: to.FromAddr}, m) }
 
-// replySynced answers only once everything taken in so far is on the disk.
-func (n *Node) replySynced(to Message, m Message) {
-	need := n.nextWrite()
-	if need <= n.saved {
+// replyAfterSync replies once everything accepted so far is on the disk.
+func (n *Node) replyAfterSync(to Message, m Message) {
+	required := n.pendingToken()
+	if required <= n.savedToken {
 		n.reply(to, m)
 		return
 	}
-	if len(n.waiting) == heldMost { // a disk that hangs: whoever asks asks again
-		n.waiting = n.waiting[1:]
+	if len(n.heldReplies) == maxHeldReplies { // the disk is stalled; senders retry
+		n.heldReplies = n.heldReplies[1:]
 	}
 	m.To, m.ToAddr = to.From, to.FromAddr
-	n.waiting = append(n.waiting, held{need, m})
+	n.heldReplies = append(n.heldReplies, heldReply{required, m})
 }
 
-// nextWrite is the token of the write after which all that was taken in so far is on the disk.
-func (n *Node) nextWrite() uint64 {
+// pendingToken returns the token of the write after which everything accepted so far is on the disk.
+func (n *Node) pendingToken() uint64 {
 	if n.dirtyVote || n.dirtyCopy {
-		return n.token + 1
+		return n.lastToken + 1
 	}
-	return n.token
+	return n.lastToken
 }
 
-func (n *Node) release() {
-	keep := n.waiting[:0]
-	for _, h := range n.waiting {
-		if h.need > n.saved {
-			keep = append(keep, h)
+func (n *Node) releaseReplies() {
+	remaining := n.heldReplies[:0]
+	for _, h := range n.heldReplies {
+		if h.token > n.savedToken {
+			remaining = append(remaining, h)
 			continue
 		}
-		n.send(Member{ID: h.m.To, Addr: h.m.ToAddr}, h.m)
+		n.send(Member{ID: h.message.To, Addr: h.message.ToAddr}, h.message)
 	}
-	n.waiting = keep
+	n.heldReplies = remaining
 }
 
-// stalled reports a disk that has been at one write for too long.
-func (n *Node) stalled(after time.Duration) bool {
-	return n.token > n.saved && n.now-n.writeAt > after
+// diskStalled reports whether one write has been in progress for longer than the given time.
+func (n *Node) diskStalled(after time.Duration) bool {
+	return n.lastToken > n.savedToken && n.now-n.writeStartedAt > after
 }
 
-// Take drains what is to be done. It is called after every event.
+// Take returns the pending actions and clears them. It is called after every event.
 func (n *Node) Take() Actions {
-	if n.token == n.saved && (n.dirtyVote || n.dirtyCopy) {
-		n.out.Writes = append(n.out.Writes, n.write())
+	if n.lastToken == n.savedToken && (n.dirtyVote || n.dirtyCopy) {
+		n.actions.Writes = append(n.actions.Writes, n.beginWrite())
 	}
-	if n.committed.State.Doc.Version > n.delivered {
-		n.delivered = n.committed.State.Doc.Version
+	if n.committed.State.Doc.Version > n.deliveredVersion {
+		n.deliveredVersion = n.committed.State.Doc.Version
 		d := n.committed.State.Doc
-		n.out.Committed = &d
+		n.actions.Committed = &d
 	}
-	out := n.out
-	n.out = Actions{}
-	if n.bad != nil {
-		return Actions{Answers: refuseAll(out.Answers)}
+	out := n.actions
+	n.actions = Actions{}
+	if n.violation != nil {
+		return Actions{Answers: withUnknownResults(out.Answers)}
 	}
 	return out
 }
 
-func refuseAll(as []Answer) []Answer {
+func withUnknownResults(as []Answer) []Answer {
 	for i := range as {
 		as[i].Result, as[i].Doc = Unknown, Doc{}
 	}
 	return as
 }
 
-func (n *Node) write() Write {
-	n.token++
-	n.writeAt, n.writing = n.now, n.copy.Stamp
-	w := Write{Token: n.token, ID: n.id}
+func (n *Node) beginWrite() Write {
+	n.lastToken++
+	n.writeStartedAt, n.writingStamp = n.now, n.copy.Stamp
+	w := Write{Token: n.lastToken, ID: n.id}
 	if n.dirtyVote {
 		v := n.vote
 		w.Vote = &v
@@ -313,23 +314,23 @@
 	return w
 }
 
-// learn takes in an epoch that is known to be chosen. Chosen epochs form one chain, so a higher number is newer.
+// learn adopts an epoch that is known to be chosen. Chosen epochs form one chain, so a higher number is newer.
 func (n *Node) learn(e Epoch) {
 	if e.N == n.known.N && !e.equal(n.known) {
-		n.broken("epoch %d was chosen twice: %+v and %+v", e.N, *n.known, e)
+		n.recordViolation("epoch %d was chosen twice: %+v and %+v", e.N, *n.known, e)
 	}
 	if e.N <= n.known.N {
 		return
 	}
 	n.vote.Known, n.dirtyVote = e, true
-	n.takeAt = max(n.takeAt, n.now+n.patience())
+	n.takeoverAt = max(n.takeoverAt, n.now+n.takeoverDelay())
 	if e.Primary == n.id {
-		n.takeAt = n.now // it was handed over, or an earlier life held it
+		n.takeoverAt = n.now // leadership was handed over to this node, or an earlier incarnation held it
 	}
-	if n.lead != nil && e.Primary != n.id {
+	if n.primary != nil && e.Primary != n.id {
 		n.stepDown()
 	}
-	if n.lead != nil {
-		n.leadEpoch()
+	if n.primary != nil {
+		n.resetPeersForEpoch()
 	}
 }
--- a/consensus/primary.go
+++ b/consensus/primary.go
@@ -6,200 +6,202 @@
 	"time"
 )
 
-// lead is what an active primary holds. Only a round of this very life makes a node one, also where the epoch names it
-// already: what an earlier life proposed and did not see through must be settled first.
-type lead struct {
-	since   time.Duration
-	first   uint64 // the epoch that this life began with; all from there to the known one are its own
-	at      Ballot // under which the known epoch was chosen, or lower
-	ready   bool   // the copy it began with is committed: it may answer
-	refresh bool   // somebody promised a higher ballot
-	next    []ID   // in-sync sets of children of the known epoch that were proposed; one may be chosen unseen
-	peers   map[ID]*peer
-	seq     uint64
-	beatAt  time.Duration
+// primaryState is the state of an active primary. A node becomes one only through a round of its current incarnation, even
+// if the epoch already names it: whatever an earlier incarnation proposed without completing must be settled first.
+type primaryState struct {
+	startedAt     time.Duration
+	firstEpoch    uint64 // the first epoch of this leadership; it also owns all later ones up to the known epoch
+	ballot        Ballot // under which the known epoch was chosen, or a lower one
+	ready         bool   // the copy that the leadership started with is committed, so that calls may be answered
+	renewBallot   bool   // a witness promised a higher ballot
+	pendingInSync []ID   // members of the in-sync sets of proposed children of the known epoch; one may be chosen unnoticed
+	peers         map[ID]*peer
+	readSeq       uint64
+	heartbeatAt   time.Duration
 }
 
-// peer is what the primary knows of a member, or of a node that wants to be one.
+// peer is the primary's view of a member, or of a node that wants to become one.
 type peer struct {
 	Member
-	heard   time.Duration // when the newest beat was sent that it answered
-	joined  time.Duration // its newest Join
-	knows   uint64
-	stamp   Stamp // on its disk
-	okSeq   uint64
-	stalled bool
-	leaving bool          // its process is about to end by plan
-	behind  time.Duration // since when it lacks the copy; never: it does not
-	stored  time.Duration // when it was sent last
+	lastHeard    time.Duration // when the newest heartbeat that it replied to was sent
+	lastJoin     time.Duration // when its newest Join arrived
+	knownEpoch   uint64
+	stamp        Stamp // of the copy on its disk
+	confirmedSeq uint64
+	stalled      bool
+	leaving      bool          // its process is shutting down as planned
+	behindSince  time.Duration // when it began to lack the current copy; never if it has it
+	lastSent     time.Duration // when the copy was last sent to it
 }
 
-func (n *Node) rise(at Ballot, before ID) {
-	n.lead = &lead{since: n.now, first: n.known.N, at: at, peers: map[ID]*peer{}}
-	n.leadEpoch()
-	if p := n.lead.peers[before]; p != nil {
-		p.heard = max(n.heard, n.now-takeAfter) // its silence has gone on for a while
+func (n *Node) becomePrimary(ballot Ballot, previous ID) {
+	n.primary = &primaryState{startedAt: n.now, firstEpoch: n.known.N, ballot: ballot, peers: map[ID]*peer{}}
+	n.resetPeersForEpoch()
+	if p := n.primary.peers[previous]; p != nil {
+		p.lastHeard = max(n.primaryHeardAt, n.now-takeoverTimeout) // it has been silent for some time already
 	}
-	if !n.plant.noStamp {
+	if !n.faults.noStamp {
 		n.copy.Stamp = Stamp{n.known.N, n.copy.State.Revision}
 		n.dirtyCopy = true
 	}
-	if n.plant.trustOwn {
+	if n.faults.trustOwn {
 		n.setCommitted(n.copy)
-		n.lead.ready = true
+		n.primary.ready = true
 	}
-	n.beat()
-	n.storeAll(true)
+	n.sendHeartbeats()
+	n.sendCopies(true)
 }
 
-// stepDown ends the life of a primary. What it had in hand may or may not come to be committed.
+// stepDown ends this node's leadership. Pending proposals may or may not be committed later.
 func (n *Node) stepDown() {
-	n.lead, n.round = nil, nil
-	n.takeAt = n.now + n.patience()
+	n.primary, n.round = nil, nil
+	n.takeoverAt = n.now + n.takeoverDelay()
 	for _, c := range n.calls {
 		n.answer(c, Unknown, Doc{})
 	}
 	n.calls = nil
 }
 
-// leadEpoch follows a new epoch of one's own.
-func (n *Node) leadEpoch() {
-	l := n.lead
-	l.next = nil
+// resetPeersForEpoch prepares the peers for a new epoch of this primary.
+func (n *Node) resetPeersForEpoch() {
+	l := n.primary
+	l.pendingInSync = nil
 	for _, p := range l.peers {
-		p.okSeq = 0
+		p.confirmedSeq = 0
 	}
-	for _, m := range n.known.everyone() {
+	for _, m := range n.known.allMembers() {
 		if m.ID == n.id {
 			continue
 		}
 		if p := l.peers[m.ID]; p == nil {
-			l.peers[m.ID] = &peer{Member: m, heard: n.now, joined: never, behind: never, stored: never}
+			l.peers[m.ID] = &peer{Member: m, lastHeard: n.now, lastJoin: never, behindSince: never, lastSent: never}
 		}
 	}
 }
 
-func (n *Node) peerIDs() []ID { return slices.Sorted(maps.Keys(n.lead.peers)) }
+func (n *Node) peerIDs() []ID { return slices.Sorted(maps.Keys(n.primary.peers)) }
 
-func (n *Node) hearsMajority(within time.Duration) bool {
+func (n *Node) hearsQuorum(within time.Duration) bool {
 	return n.known.quorum(func(id ID) bool {
-		p := n.lead.peers[id]
-		return id == n.id || p != nil && n.now-p.heard < within
+		p := n.primary.peers[id]
+		return id == n.id || p != nil && n.now-p.lastHeard < within
 	})
 }
 
-func (n *Node) tickLead() {
-	if n.lead == nil {
+func (n *Node) tickPrimary() {
+	if n.primary == nil {
 		return
 	}
-	if n.stalled(stallAfter) || !n.hearsMajority(aloneAfter) {
+	if n.diskStalled(diskStallTimeout) || !n.hearsQuorum(quorumLossTimeout) {
 		n.stepDown()
 		return
 	}
-	n.forgetJoiners()
-	if n.now-n.lead.beatAt >= beatEvery {
-		n.beat()
+	n.expireJoiners()
+	if n.now-n.primary.heartbeatAt >= heartbeatInterval {
+		n.sendHeartbeats()
 	}
-	n.storeAll(false)
-	n.steer()
+	n.sendCopies(false)
+	n.changeEpochIfNeeded()
 }
 
-func (n *Node) forgetJoiners() {
+func (n *Node) expireJoiners() {
 	for _, id := range n.peerIDs() {
-		p := n.lead.peers[id]
-		if find(n.known.Members, id) < 0 && find(n.known.Prev, id) < 0 && n.now-max(p.heard, p.joined) > 3*time.Second {
-			delete(n.lead.peers, id)
+		p := n.primary.peers[id]
+		if memberIndex(n.known.Members, id) < 0 && memberIndex(n.known.Prev, id) < 0 &&
+			n.now-max(p.lastHeard, p.lastJoin) > 3*time.Second {
+			delete(n.primary.peers, id)
 		}
 	}
 }
 
-func (n *Node) beat() {
-	n.lead.beatAt = n.now
+func (n *Node) sendHeartbeats() {
+	n.primary.heartbeatAt = n.now
 	for _, id := range n.peerIDs() {
-		p := n.lead.peers[id]
-		n.beatTo(p)
-		if n.now-p.heard > dropAfter { // a new disk may live there that knows nobody, if all seeds lost theirs
+		p := n.primary.peers[id]
+		n.sendHeartbeat(p)
+		if n.now-p.lastHeard > dropTimeout { // a new disk there may know no other node, if all seeds lost their disks
 			e := *n.known
 			n.send(Member{Addr: p.Addr}, Message{Kind: Hint, Epoch: &e})
 		}
 	}
 }
 
-func (n *Node) beatTo(p *peer) {
-	l := n.lead
-	m := Message{Kind: Beat, N: n.known.N, Ballot: l.at, Seq: l.seq, At: n.now, Committed: n.committed.Stamp}
-	if p.knows != n.known.N {
+func (n *Node) sendHeartbeat(p *peer) {
+	l := n.primary
+	m := Message{Kind: Beat, N: n.known.N, Ballot: l.ballot, Seq: l.readSeq, At: n.now, Committed: n.committed.Stamp}
+	if p.knownEpoch != n.known.N {
 		e := *n.known
 		m.Epoch = &e
 	}
 	n.send(p.Member, m)
 }
 
-func (n *Node) onBeat(m Message) {
+func (n *Node) onHeartbeat(m Message) {
 	if m.Epoch != nil {
 		n.learn(*m.Epoch)
 	}
-	if e := n.newer(m.N); e != nil {
+	if e := n.newerEpoch(m.N); e != nil {
 		n.reply(m, Message{Kind: Hint, Epoch: e})
 		return
 	}
-	if n.lead == nil && m.N == n.known.N && m.From == n.known.Primary {
-		n.heard = n.now
-		n.takeAt = n.now + n.patience()
+	if n.primary == nil && m.N == n.known.N && m.From == n.known.Primary {
+		n.primaryHeardAt = n.now
+		n.takeoverAt = n.now + n.takeoverDelay()
 	}
-	n.hearCommitted(m.Committed)
+	n.markCommitted(m.Committed)
 	n.reply(m, Message{Kind: Pulse, N: m.N, Seq: m.Seq, At: m.At, OK: !m.Ballot.Less(n.vote.Promised),
-		Promised: n.vote.Promised, Stamp: n.synced, Knows: n.known.N, Stalled: n.stalled(dropAfter), Leaving: n.leaving, Member: n.me()})
+		Promised: n.vote.Promised, Stamp: n.synced, Knows: n.known.N, Stalled: n.diskStalled(dropTimeout), Leaving: n.leaving,
+		Member: n.self()})
 }
 
-func (n *Node) onPulse(m Message) {
-	l := n.lead
-	if l == nil || l.peers[m.From] == nil || m.N < l.first || m.N > n.known.N || m.At > n.now {
+func (n *Node) onHeartbeatReply(m Message) {
+	l := n.primary
+	if l == nil || l.peers[m.From] == nil || m.N < l.firstEpoch || m.N > n.known.N || m.At > n.now {
 		return
 	}
 	p := l.peers[m.From]
-	if m.At >= p.heard {
-		p.heard, p.stalled, p.leaving = m.At, m.Stalled, m.Leaving
+	if m.At >= p.lastHeard {
+		p.lastHeard, p.stalled, p.leaving = m.At, m.Stalled, m.Leaving
 		p.Member = m.Member
 	}
-	p.knows = max(p.knows, m.Knows)
-	n.topRound = max(n.topRound, m.Promised.Round)
+	p.knownEpoch = max(p.knownEpoch, m.Knows)
+	n.highestRound = max(n.highestRound, m.Promised.Round)
 	if m.N == n.known.N {
 		if m.OK {
-			p.okSeq = max(p.okSeq, m.Seq)
-		} else if l.at.Less(m.Promised) && n.round == nil {
-			l.refresh = true
+			p.confirmedSeq = max(p.confirmedSeq, m.Seq)
+		} else if l.ballot.Less(m.Promised) && n.round == nil {
+			l.renewBallot = true
 		}
 	}
 	n.onStored(m)
 	n.answerReads()
-	n.steer()
+	n.changeEpochIfNeeded()
 }
 
-// steer starts the next change of the epoch, if what is wanted differs from what is.
-func (n *Node) steer() {
-	if n.lead == nil || n.round != nil || n.now < n.lead.since {
+// changeEpochIfNeeded starts the next change of the epoch if the desired epoch differs from the known one.
+func (n *Node) changeEpochIfNeeded() {
+	if n.primary == nil || n.round != nil || n.now < n.primary.startedAt {
 		return
 	}
-	if n.lead.refresh || n.desired().N > n.known.N {
-		n.lead.refresh = false
+	if n.primary.renewBallot || n.desiredEpoch().N > n.known.N {
+		n.primary.renewBallot = false
 		n.startRound(false)
 	}
 }
 
-// desired is the epoch that the primary would have: one step from the known one, or the known one itself.
-func (n *Node) desired() Epoch {
+// desiredEpoch returns the epoch that the primary wants: the known one, or one step away from it.
+func (n *Node) desiredEpoch() Epoch {
 	want := *n.known
-	want.Members = n.placed(n.known.Members)
+	want.Members = n.withReportedMembers(n.known.Members)
 	want.Prev = want.Members
 	if !n.known.joint() {
-		if members := n.wantMembers(want.Members); members != nil {
+		if members := n.desiredMembers(want.Members); members != nil {
 			want.Members = members
 		}
 	}
 	want.InSync = n.chooseInSync(want.Members)
 	for _, id := range want.InSync {
-		if find(want.Members, id) < 0 { // somebody is to go whose copy is still needed: recruit first
+		if memberIndex(want.Members, id) < 0 { // the copy of a member that is to be removed is still needed: recruit first
 			want.Members = want.Prev
 			want.InSync = n.chooseInSync(want.Members)
 			break
@@ -208,7 +210,7 @@
 	if n.leaving {
 		n.handOver(&want)
 	}
-	if n.plant.skipJoint {
+	if n.faults.skipJoint {
 		want.Prev = want.Members
 	}
 	if !want.equal(n.known) {
@@ -217,13 +219,13 @@
 	return want
 }
 
-// placed fills in what members told of themselves; at the founding only their addresses are known.
-func (n *Node) placed(ms []Member) []Member {
+// withReportedMembers fills in what members reported about themselves. At the founding only their addresses are known.
+func (n *Node) withReportedMembers(ms []Member) []Member {
 	out := slices.Clone(ms)
 	for i, m := range out {
 		if m.ID == n.id {
-			out[i] = n.me()
-		} else if p := n.lead.peers[m.ID]; p != nil {
+			out[i] = n.self()
+		} else if p := n.primary.peers[m.ID]; p != nil {
 			out[i] = p.Member
 		}
 	}
--- a/consensus/round.go
+++ b/consensus/round.go
@@ -5,67 +5,70 @@
 	"time"
 )
 
-// A round changes the epoch: first phase, second phase, chosen. Three rules make changes of members safe:
-//   - the first phase needs a quorum of the very epoch that is the highest in its answers (Members and Prev);
-//   - a new value is only ever the child of an epoch known to be chosen; a highest value that is not is written again as
-//     it stands, and becomes known that way. So at most one epoch is chosen per number, and the chosen form a chain;
-//   - a child of (M, M) is (M, M) or (M2, M), a child of (M2, M) is (M2, M) or (M2, M2). So whoever goes by the older set
-//     meets, in a majority of it, somebody who accepted the newer.
+// round is an attempt to change the epoch. It has two phases, after which its value is chosen. Three rules make changes of
+// members safe:
+//   - The first phase needs a quorum of the epoch that is the highest among its replies (Members and Prev).
+//   - A new value is always the child of an epoch known to be chosen. A highest value that is not known to be chosen is
+//     proposed again unchanged and so becomes known. At most one epoch is therefore chosen per number, and the chosen
+//     epochs form a chain.
+//   - A child of (M, M) is (M, M) or (M2, M); a child of (M2, M) is (M2, M) or (M2, M2). A node that still uses the older
+//     set therefore finds, in any majority of it, a member that accepted the newer one.
 type round struct {
-	ballot   Ballot
-	take     bool
-	phase    Kind // Prepare or Accept
-	started  time.Duration
-	needs    uint64 // the write that puts the ballot on this disk: nothing is sent before
-	sent     time.Duration
-	promised map[ID]bool
-	accepted map[ID]bool
-	top      Ballot // under which the highest value seen was accepted
-	value    Epoch
-	fresh    bool // value is this round's own, not one written again
-	asked    []Member
+	ballot          Ballot
+	takeover        bool
+	phase           Kind // Prepare or Accept
+	startedAt       time.Duration
+	requiredToken   uint64 // the write that persists the ballot; nothing is sent before it is synced
+	sentAt          time.Duration
+	promised        map[ID]bool
+	accepted        map[ID]bool
+	highestAccepted Ballot // under which the highest value seen was accepted
+	value           Epoch
+	ownValue        bool // value was created by this round, not proposed again
+	participants    []Member
 }
 
-// startRound begins a round under a ballot of its own. The node promises it to itself first, and the disk holds that
-// promise before anybody hears of the ballot: a later life begins above it, so a ballot never stands for two values.
-func (n *Node) startRound(take bool) {
-	n.topRound++
-	r := &round{ballot: Ballot{n.topRound, n.id}, take: take, phase: Prepare, started: n.now,
+// startRound begins a round under a new ballot. The node first promises the ballot to itself and syncs that promise before
+// it sends the ballot to any other node. A later incarnation therefore starts above it, and a ballot never stands for two
+// values.
+func (n *Node) startRound(takeover bool) {
+	n.highestRound++
+	r := &round{ballot: Ballot{n.highestRound, n.id}, takeover: takeover, phase: Prepare, startedAt: n.now,
 		promised: map[ID]bool{}, accepted: map[ID]bool{}, value: *n.known}
 	n.round = r
-	if !n.plant.reuseBallots {
+	if !n.faults.reuseBallots {
 		n.vote.Promised, n.dirtyVote = r.ballot, true
-		r.needs = n.nextWrite()
+		r.requiredToken = n.pendingToken()
 	}
-	n.ask(n.known)
-	n.ask(&n.vote.Value)
+	n.addParticipants(n.known)
+	n.addParticipants(&n.vote.Value)
 	n.sendRound()
 }
 
-// ask adds an epoch's members to those whom the round asks.
-func (n *Node) ask(e *Epoch) {
-	for _, m := range e.everyone() {
-		if find(n.round.asked, m.ID) < 0 {
-			n.round.asked = append(n.round.asked, m)
+// addParticipants adds the members of an epoch to the nodes that the round queries.
+func (n *Node) addParticipants(e *Epoch) {
+	for _, m := range e.allMembers() {
+		if memberIndex(n.round.participants, m.ID) < 0 {
+			n.round.participants = append(n.round.participants, m)
 		}
 	}
 }
 
 func (n *Node) sendRound() {
 	r := n.round
-	if n.saved < r.needs {
+	if n.savedToken < r.requiredToken {
 		return
 	}
-	r.sent = n.now
+	r.sentAt = n.now
 	done := r.promised
 	if r.phase == Accept {
 		done = r.accepted
 	}
-	for _, to := range slices.Clone(r.asked) {
+	for _, to := range slices.Clone(r.participants) {
 		if done[to.ID] {
 			continue
 		}
-		m := Message{Kind: r.phase, Ballot: r.ballot, Take: r.take, N: n.known.N}
+		m := Message{Kind: r.phase, Ballot: r.ballot, Take: r.takeover, N: n.known.N}
 		if r.phase == Accept {
 			v := r.value
 			m.Epoch = &v
@@ -78,25 +81,25 @@
 	r := n.round
 	switch {
 	case r == nil:
-	case n.now-r.started > roundFor:
-		n.endRound()
-	case n.now-r.sent >= resendEvery:
+	case n.now-r.startedAt > roundTimeout:
+		n.abandonRound()
+	case n.now-r.sentAt >= resendInterval:
 		n.sendRound()
 	}
 }
 
-// endRound gives up; its value may still come to be chosen by whoever meets it.
-func (n *Node) endRound() {
+// abandonRound gives up the round. Its value may still be chosen by another node's round that finds it.
+func (n *Node) abandonRound() {
 	n.round = nil
-	n.takeAt = max(n.takeAt, n.now+n.spread(150*time.Millisecond, 300*time.Millisecond))
+	n.takeoverAt = max(n.takeoverAt, n.now+n.jitter(150*time.Millisecond, 300*time.Millisecond))
 }
 
-func (n *Node) spread(least, more time.Duration) time.Duration {
-	return least + time.Duration(n.rnd.Int64N(int64(more)))
+func (n *Node) jitter(minimum, spread time.Duration) time.Duration {
+	return minimum + time.Duration(n.rng.Int64N(int64(spread)))
 }
 
-func (n *Node) onRound(m Message) {
-	if m.Member.ID != "" && n.plant.voteForLost {
+func (n *Node) onRoundReply(m Message) {
+	if m.Member.ID != "" && n.faults.voteForLost {
 		m.From = m.Member.ID
 	}
 	r := n.round
@@ -108,16 +111,16 @@
 	}
 	switch {
 	case m.Kind == Reject:
-		n.topRound = max(n.topRound, m.Promised.Round)
+		n.highestRound = max(n.highestRound, m.Promised.Round)
 		if r.ballot.Less(m.Promised) {
-			n.endRound()
+			n.abandonRound()
 		}
 	case m.Kind == Promise && r.phase == Prepare && m.Epoch != nil:
 		n.onPromise(m)
 	case m.Kind == Accepted && r.phase == Accept:
 		r.accepted[m.From] = true
 		if r.value.quorum(func(id ID) bool { return r.accepted[id] }) {
-			n.chosen()
+			n.onChosen()
 		}
 	}
 }
@@ -125,119 +128,120 @@
 func (n *Node) onPromise(m Message) {
 	r := n.round
 	r.promised[m.From] = true
-	if r.top.Less(m.Promised) {
-		r.top, r.value = m.Promised, *m.Epoch
+	if r.highestAccepted.Less(m.Promised) {
+		r.highestAccepted, r.value = m.Promised, *m.Epoch
 	}
 	if m.Promised != (Ballot{}) {
-		before := len(r.asked)
-		n.ask(m.Epoch)
-		if len(r.asked) > before {
+		before := len(r.participants)
+		n.addParticipants(m.Epoch)
+		if len(r.participants) > before {
 			n.sendRound()
 		}
 	}
-	if r.top == (Ballot{}) || !r.value.quorum(func(id ID) bool { return r.promised[id] }) {
+	if r.highestAccepted == (Ballot{}) || !r.value.quorum(func(id ID) bool { return r.promised[id] }) {
 		return
 	}
-	n.decide()
+	n.finishPrepare()
 }
 
-// decide ends the first phase: what is to be written?
-func (n *Node) decide() {
+// finishPrepare ends the first phase and selects the value for the second.
+func (n *Node) finishPrepare() {
 	r := n.round
 	if r.value.N < n.known.N {
-		n.endRound() // others went on meanwhile
+		n.abandonRound() // other nodes have moved to a newer epoch meanwhile
 		return
 	}
 	if r.value.equal(n.known) {
-		n.wish()
+		n.chooseValue()
 		if n.round == nil {
 			return
 		}
 	}
 	r.phase = Accept
-	n.ask(&r.value)
+	n.addParticipants(&r.value)
 	n.sendRound()
 }
 
-// wish puts this node's own change in place of the chosen epoch. If it has none the epoch is written again, which lifts
-// it above the ballots of those who tried and failed.
-func (n *Node) wish() {
+// chooseValue replaces the chosen epoch by the change that this node wants. Without a change the epoch is proposed again,
+// which lifts it above the ballots of nodes whose rounds failed.
+func (n *Node) chooseValue() {
 	r := n.round
 	switch {
-	case n.lead != nil:
-		r.value = n.desired()
+	case n.primary != nil:
+		r.value = n.desiredEpoch()
 		if r.value.N > n.known.N {
-			n.lead.next = union(n.lead.next, r.value.InSync)
+			n.primary.pendingInSync = union(n.primary.pendingInSync, r.value.InSync)
 		}
-	case r.take && (slices.Contains(n.known.InSync, n.id) || n.plant.takeOutside) && !n.stalled(dropAfter):
+	case r.takeover && (slices.Contains(n.known.InSync, n.id) || n.faults.takeOutside) && !n.diskStalled(dropTimeout):
 		r.value = *n.known
 		r.value.N++
 		r.value.Primary = n.id
-		r.value.InSync = n.takeWith(r)
+		r.value.InSync = n.takeoverInSync(r)
 	default:
-		n.endRound()
+		n.abandonRound()
 		return
 	}
-	r.fresh = r.value.N > n.known.N
+	r.ownValue = r.value.N > n.known.N
 }
 
-// takeWith is the in-sync set of a take-over: those of the old one that are there, if that is enough, else all of them.
-// Keeping the silent ones costs nothing in speed (below the requirement nothing may be committed anyway) and keeps their
-// right to take over while they hold all that counts.
-func (n *Node) takeWith(r *round) []ID {
-	var here []ID
+// takeoverInSync returns the in-sync set for a takeover: the responsive members of the old set if they satisfy the
+// tolerance, otherwise the whole old set. Keeping unresponsive members does not slow anything down, since nothing may be
+// committed below the required copies anyway, and it preserves their right to take over while they hold everything that
+// was committed.
+func (n *Node) takeoverInSync(r *round) []ID {
+	var responsive []ID
 	for _, id := range n.known.InSync {
 		if id == n.id || r.promised[id] {
-			here = append(here, id)
+			responsive = append(responsive, id)
 		}
 	}
-	if n.plant.takeOutside {
-		here = union(here, []ID{n.id})
+	if n.faults.takeOutside {
+		responsive = union(responsive, []ID{n.id})
 	}
-	if n.plant.dropBelow || n.meets(n.known.Members, here) {
-		return here
+	if n.faults.dropBelow || n.meetsTolerance(n.known.Members, responsive) {
+		return responsive
 	}
 	return n.known.InSync
 }
 
-func (n *Node) chosen() {
+func (n *Node) onChosen() {
 	r := n.round
 	n.round = nil
-	was, before := n.lead != nil, n.known.Primary
+	wasPrimary, previous := n.primary != nil, n.known.Primary
 	n.learn(r.value)
 	if !n.known.equal(&r.value) {
 		return
 	}
 	switch {
-	case was && n.lead == nil:
-		n.announce()
-	case n.lead != nil:
-		n.lead.at = r.ballot
-		n.beat()
+	case wasPrimary && n.primary == nil:
+		n.announceEpoch()
+	case n.primary != nil:
+		n.primary.ballot = r.ballot
+		n.sendHeartbeats()
 		n.tryCommit()
-		n.steer()
-	case !was && r.fresh && r.take:
-		n.rise(r.ballot, before)
-	case !was && r.take:
-		n.takeAt = n.now // the unfinished epoch is finished; now the change itself
+		n.changeEpochIfNeeded()
+	case !wasPrimary && r.ownValue && r.takeover:
+		n.becomePrimary(r.ballot, previous)
+	case !wasPrimary && r.takeover:
+		n.takeoverAt = n.now // the unfinished epoch is settled; now propose the takeover
 	}
 }
 
-// patience is how long a silent primary is waited for.
-func (n *Node) patience() time.Duration {
+// takeoverDelay returns how long to wait for a silent primary before a takeover.
+func (n *Node) takeoverDelay() time.Duration {
 	if n.known.Primary == n.id {
-		return n.spread(50*time.Millisecond, takeSpread)
+		return n.jitter(50*time.Millisecond, takeoverJitter)
 	}
 	rank := max(0, slices.Index(n.known.InSync, n.id))
-	return takeAfter + takeRank*time.Duration(min(rank, 2)) + n.spread(0, takeSpread)
+	return takeoverTimeout + takeoverRankDelay*time.Duration(min(rank, 2)) + n.jitter(0, takeoverJitter)
 }
 
-func (n *Node) tickTake() {
-	if n.lead != nil || n.round != nil || n.now < n.takeAt || n.stalled(dropAfter) || n.leaving {
+func (n *Node) tickTakeover() {
+	if n.primary != nil || n.round != nil || n.now < n.takeoverAt || n.diskStalled(dropTimeout) || n.leaving {
 		return
 	}
 	if slices.Contains(n.known.InSync, n.id) || slices.Contains(n.vote.Value.InSync, n.id) ||
-		n.plant.takeOutside && n.known.N > 0 {
+		n.faults.takeOutside && n.known.N > 0 {
 		n.startRound(true)
 	}
 }
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -16,24 +16,24 @@
 	"peathollow/consensus/simulation"
 )
 
-// count is how many seeds a test plays: few by default, CONSENSUS_SEEDS for more.
-func count(few int) int {
+// seedCount is the number of seeds that a test runs: few by default, or CONSENSUS_SEEDS.
+func seedCount(few int) int {
 	if n, err := strconv.Atoi(os.Getenv("CONSENSUS_SEEDS")); err == nil {
 		return n
 	}
 	return few
 }
 
-func first() uint64 {
+func firstSeed() uint64 {
 	n, _ := strconv.ParseUint(os.Getenv("CONSENSUS_FIRST"), 10, 64)
 	return n
 }
 
-// TestSecondLossAfterRepair: one loss after the other, each at the soonest that the rules allow, ten deep and more.
+// TestSecondLossAfterRepair injects losses one after another, each as soon as the rules allow, at least ten in a run.
 func TestSecondLossAfterRepair(t *testing.T) {
 	losses := 0
-	for i := range count(5) {
-		seed := first() + uint64(i)
+	for i := range seedCount(5) {
+		seed := firstSeed() + uint64(i)
 		for _, s := range []shape{{3, 3, 1, 0, 0}, {5, 3, 1, 0, 0}, {5, 3, 2, 0, 0}, {9, 3, 2, 0, 0}, {5, 3, 1, 1, 0}, {9, 3, 3, 0, 1}} {
 			o := s.options(seed)
 			o.Story, o.Beyond, o.Span = simulation.Losses, false, 90*time.Second
@@ -52,15 +52,15 @@
 
 var shapes = []shape{
 	{3, 1, 0, 0, 0}, {3, 1, 1, 0, 0}, {3, 3, 1, 0, 0}, {3, 3, 0, 1, 0}, {3, 3, 1, 1, 0}, {4, 2, 1, 0, 0}, {5, 3, 1, 0, 0},
-	{5, 3, 2, 0, 0}, {5, 3, 1, 1, 0}, {5, 3, 1, 0, 1}, {6, 3, 2, 1, 0}, {7, 1, 3, 0, 0}, {7, 3, 2, 1, 1}, {9, 3, 2, 0, 0}, {9, 3, 2, 1, 0},
-	{9, 3, 3, 0, 1}, {8, 4, 3, 0, 0}, {1, 1, 0, 0, 0}, {2, 1, 0, 0, 0},
+	{5, 3, 2, 0, 0}, {5, 3, 1, 1, 0}, {5, 3, 1, 0, 1}, {6, 3, 2, 1, 0}, {7, 1, 3, 0, 0}, {7, 3, 2, 1, 1}, {9, 3, 2, 0, 0},
+	{9, 3, 2, 1, 0}, {9, 3, 3, 0, 1}, {8, 4, 3, 0, 0}, {1, 1, 0, 0, 0}, {2, 1, 0, 0, 0},
 }
 
 func (s shape) options(seed uint64) simulation.Options {
 	o := simulation.Options{Seed: seed, Nodes: s.nodes, Places: s.places, Losses: s.losses, Zones: s.zones, Regions: s.regions,
 		Span: 15 * time.Second, Beyond: seed%4 == 3}
 	if seed%16 == 5 {
-		o.Span = 45 * time.Second // long enough for cuts of twenty seconds
+		o.Span = 45 * time.Second // long enough for network cuts of 20 s
 	}
 	if seed%8 >= 6 {
 		stories := simulation.Stories()
@@ -69,10 +69,10 @@
 	return o
 }
 
-func TestTrouble(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	var sum simulation.Result
-	for i := range count(40) {
-		seed := first() + uint64(i)
+	for i := range seedCount(40) {
+		seed := firstSeed() + uint64(i)
 		s := shapes[seed%uint64(len(shapes))]
 		r, err := simulation.Play(s.options(seed), nil)
 		if err != nil {
@@ -84,7 +84,7 @@
 	t.Logf("%+v", sum)
 }
 
-func TestCalmTable(t *testing.T) {
+func TestWithoutFaults(t *testing.T) {
 	for _, s := range shapes {
 		t.Run(fmt.Sprintf("%+v", s), func(t *testing.T) {
 			o := s.options(1)
@@ -98,7 +98,7 @@
 
 func TestOne(t *testing.T) {
 	if os.Getenv("CONSENSUS_ONE") == "" {
-		t.Skip("CONSENSUS_ONE=seed shows one run")
+		t.Skip("set CONSENSUS_ONE to a seed to log one run")
 	}
 	seed, err := strconv.ParseUint(os.Getenv("CONSENSUS_ONE"), 10, 64)
 	must.NoError(t, err)
@@ -108,8 +108,8 @@
 	must.NoError(t, err)
 }
 
-// The same options give the same run, to the last event.
-func TestSameAgain(t *testing.T) {
+// The same options must give the same run, to the last event.
+func TestDeterministic(t *testing.T) {
 	var logs [2]strings.Builder
 	for i := range logs {
 		_, err := simulation.Play(shapes[6].options(4), func(f string, a ...any) { fmt.Fprintf(&logs[i], f+"\n", a...) })
@@ -119,8 +119,8 @@
 	must.Eq(t, logs[0].String(), logs[1].String())
 }
 
-// Settings that the machines cannot meet: nothing is ever acknowledged, and the primary says why.
-func TestUnmet(t *testing.T) {
+// With a tolerance that the machines cannot satisfy nothing is ever acknowledged, and the primary reports why.
+func TestUnsatisfiableTolerance(t *testing.T) {
 	for _, s := range []shape{{3, 1, 3, 0, 0}, {2, 1, 1, 0, 0}, {3, 1, 0, 1, 0}, {4, 2, 0, 0, 2}, {4, 3, 2, 0, 0}} {
 		t.Run(fmt.Sprintf("%+v", s), func(t *testing.T) {
 			o := s.options(1)
@@ -131,14 +131,14 @@
 	}
 }
 
-// TestRecovery bounds the time without service after single blows.
+// TestRecovery bounds the time without service after a single failure.
 func TestRecovery(t *testing.T) {
 	for _, b := range simulation.Blows() {
 		t.Run(string(b), func(t *testing.T) {
 			var all []time.Duration
-			for i := range count(8) {
+			for i := range seedCount(8) {
 				s := []shape{{3, 3, 1, 0, 0}, {5, 3, 1, 0, 0}, {9, 3, 2, 0, 0}}[i%3]
-				o := s.options(first() + uint64(i))
+				o := s.options(firstSeed() + uint64(i))
 				d, err := simulation.Recovery(o, b)
 				must.NoError(t, err)
 				all = append(all, d)
@@ -150,28 +150,28 @@
 	}
 }
 
-// plots are the stories in which faults that chance alone rarely meets are looked for.
-var plots = map[string]simulation.Story{
+// faultScenarios holds the scenarios for those injected faults that random faults rarely expose.
+var faultScenarios = map[string]simulation.Story{
 	"no new stamp at a take-over": simulation.Successors, "own copy taken for committed": simulation.Successors,
 	"lost members stay": simulation.Losses, "read without asking": simulation.Sleeper, "vote for a lost disk": simulation.Rota,
 }
 
-// near is where the search begins, a little before a seed that catches the fault, so that the test stays short. When the
-// code changes another seed does, and the search goes on until it is met.
-var near = map[string]uint64{
+// searchStart is where the search for a detecting seed begins, a little before a seed that detects the fault, to keep the
+// test short. When the code changes, the detecting seed changes too, and the search continues until it finds one.
+var searchStart = map[string]uint64{
 	"commit without those coming in": 185, "no new stamp at a take-over": 3710, "promise before the disk": 190,
 	"read without asking": 215, "recruit without the document": 8, "store what older epochs send": 62,
 }
 
-// TestPlants: each planted fault must be caught within so many seeds; which checks catch it is shown by -v.
+// TestPlants checks that each injected fault is detected within a number of seeds; -v shows which check detects it.
 func TestPlants(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(consensus.Plants)) {
 		t.Run(name, func(t *testing.T) {
-			for i := range uint64(count(1000)) {
-				seed := near[name] + first() + i
+			for i := range uint64(seedCount(1000)) {
+				seed := searchStart[name] + firstSeed() + i
 				o := shapes[seed%uint64(len(shapes))].options(seed)
 				o.OnNew = consensus.Plants[name]
-				if p := plots[name]; p != "" {
+				if p := faultScenarios[name]; p != "" {
 					o.Story = p
 				}
 				if _, err := simulation.Play(o, nil); err != nil {
@@ -179,7 +179,7 @@
 					return
 				}
 			}
-			t.Error("not caught")
+			t.Error("injected fault was not detected by any seed")
 		})
 	}
 }
--- a/consensus/state.go
+++ b/consensus/state.go
@@ -5,52 +5,52 @@
 	"sort"
 )
 
-// Doc is a document under its version. Digest stands for the body as its author sent it; Body may be packed.
+// Doc is a versioned document. Digest identifies the body as its author sent it; Body may be compressed.
 type Doc struct {
 	Version, Digest uint64
 	Body            []byte
 }
 
-// State is what the members replicate: the document of the highest version, and which orders were taken so far.
-// Revision rises with each change, also with one that leaves the document as it is.
+// State is replicated by the members: the document with the highest version, and the history of accepted proposals.
+// Revision rises with each change, even if the document stays the same.
 type State struct {
 	Revision uint64
 	Doc      Doc
 	Orders   History
 }
 
-// verdict is what a state makes of an order.
+// verdict classifies a proposal against a state.
 type verdict uint8
 
 const (
-	ahead        verdict = iota // its version is above that of the document: it would replace it
-	overtaken                   // below, and no order stands under it: it is only recorded
-	confirmed                   // taken before, or so long ago that it can't be told any more: nothing changes
-	contradicted                // another body stands under its version
+	ahead           verdict = iota // its version is above that of the document, which it would replace
+	superseded                     // its version is lower and unused: it is only recorded
+	alreadyAccepted                // accepted before, or too old for the history to tell: nothing changes
+	conflicting                    // another body has the same version
 )
 
-// judge says what becomes of an order. Confirmed and contradicted are final: no later state says otherwise.
-func (s *State) judge(d Doc) verdict {
+// classify decides what becomes of a proposal. alreadyAccepted and conflicting are final: no later state decides otherwise.
+func (s *State) classify(d Doc) verdict {
 	digest, known := s.Orders.find(d.Version)
 	switch {
 	case known && digest == d.Digest:
-		return confirmed
+		return alreadyAccepted
 	case known:
-		return contradicted
+		return conflicting
 	case d.Version > s.Doc.Version:
 		return ahead
-	case s.Orders.forgot(d.Version):
-		return confirmed
+	case s.Orders.forgotten(d.Version):
+		return alreadyAccepted
 	}
-	return overtaken
+	return superseded
 }
 
-// with gives the state after an order has been taken; false if there is nothing to change.
-func (s State) with(d Doc) (State, bool) {
-	switch s.judge(d) {
+// apply returns the state after accepting a proposal, or false if nothing changes.
+func (s State) apply(d Doc) (State, bool) {
+	switch s.classify(d) {
 	case ahead:
 		s.Doc = d
-	case overtaken:
+	case superseded:
 	default:
 		return s, false
 	}
@@ -59,23 +59,23 @@
 }
 
 const (
-	// historyMost is how many orders are remembered, the highest versions. It bounds memory, disk and messages.
-	historyMost = 512
-	orderSize   = 16 // bytes: version, digest
+	// maxHistoryEntries bounds memory, disk and messages. The proposals with the highest versions are kept.
+	maxHistoryEntries = 512
+	historyEntrySize  = 16 // bytes: version, digest
 )
 
-// History lists versions with the digest of the body that stands under each, by rising version. It is packed, since it
-// travels and is written with each change.
+// History lists versions in rising order, each with the digest of its body. It is packed because it is sent and written
+// with each change.
 type History []byte
 
-func (h History) size() int            { return len(h) / orderSize }
-func (h History) version(i int) uint64 { return binary.BigEndian.Uint64(h[i*orderSize:]) }
-func (h History) digest(i int) uint64  { return binary.BigEndian.Uint64(h[i*orderSize+8:]) }
+func (h History) size() int            { return len(h) / historyEntrySize }
+func (h History) version(i int) uint64 { return binary.BigEndian.Uint64(h[i*historyEntrySize:]) }
+func (h History) digest(i int) uint64  { return binary.BigEndian.Uint64(h[i*historyEntrySize+8:]) }
 func (h History) position(version uint64) int {
 	return sort.Search(h.size(), func(i int) bool { return h.version(i) >= version })
 }
 
-// find gives the digest under a version.
+// find returns the digest recorded for a version.
 func (h History) find(version uint64) (digest uint64, known bool) {
 	i := h.position(version)
 	if i == h.size() || h.version(i) != version {
@@ -84,18 +84,18 @@
 	return h.digest(i), true
 }
 
-// forgot tells that orders of this version are no longer remembered.
-func (h History) forgot(version uint64) bool {
-	return h.size() == historyMost && version < h.version(0)
+// forgotten reports whether proposals of this version are no longer in the history.
+func (h History) forgotten(version uint64) bool {
+	return h.size() == maxHistoryEntries && version < h.version(0)
 }
 
-// add gives a history with one order more, without the lowest if there are too many.
+// add returns the history with one more entry, without the lowest one if there are too many.
 func (h History) add(version, digest uint64) History {
-	i := h.position(version) * orderSize
-	out := make(History, 0, len(h)+orderSize)
+	i := h.position(version) * historyEntrySize
+	out := make(History, 0, len(h)+historyEntrySize)
 	out = append(out, h[:i]...)
 	out = binary.BigEndian.AppendUint64(out, version)
 	out = binary.BigEndian.AppendUint64(out, digest)
 	out = append(out, h[i:]...)
-	return out[max(0, len(out)-historyMost*orderSize):]
+	return out[max(0, len(out)-maxHistoryEntries*historyEntrySize):]
 }
--- a/consensus/store.go
+++ b/consensus/store.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// storeAll sends the copy to whoever lacks it: at once when it is new, else again now and then. Those that are not in
-// sync get it too, so that they can be recruited without delay.
-func (n *Node) storeAll(fresh bool) {
+// sendCopies sends the copy to all peers that lack it: at once if it is fresh, and repeatedly after a pause. Peers outside
+// the in-sync set receive it too, so that they can be recruited without delay.
+func (n *Node) sendCopies(fresh bool) {
 	for _, id := range n.peerIDs() {
-		p := n.lead.peers[id]
-		again := 200 * time.Millisecond
+		p := n.primary.peers[id]
+		resendAfter := 200 * time.Millisecond
 		if !slices.Contains(n.known.InSync, id) {
-			again = 2 * again
+			resendAfter = 2 * resendAfter
 		}
-		if n.holds(id, n.copy.Stamp) || !fresh && n.now-p.stored < again {
+		if n.holds(id, n.copy.Stamp) || !fresh && n.now-p.lastSent < resendAfter {
 			continue
 		}
-		n.storeTo(p)
+		n.sendCopy(p)
 	}
 }
 
-func (n *Node) storeTo(p *peer) {
-	if p.behind == never {
-		p.behind = n.now
+func (n *Node) sendCopy(p *peer) {
+	if p.behindSince == never {
+		p.behindSince = n.now
 	}
-	p.stored = n.now
+	p.lastSent = n.now
 	e := *n.known
 	n.send(p.Member, Message{Kind: Store, N: n.known.N, Epoch: &e, Stamp: n.copy.Stamp, State: n.copy.State,
 		Committed: n.committed.Stamp})
@@ -35,26 +35,26 @@
 	if m.Epoch != nil {
 		n.learn(*m.Epoch)
 	}
-	if e := n.newer(m.N); e != nil && !n.plant.oldEpochs {
+	if e := n.newerEpoch(m.N); e != nil && !n.faults.oldEpochs {
 		n.reply(m, Message{Kind: Hint, Epoch: e})
 		return
 	}
-	if n.lead != nil && !n.plant.oldEpochs {
-		return // a double of one's own life before
+	if n.primary != nil && !n.faults.oldEpochs {
+		return // a duplicate from an earlier leadership of this node
 	}
-	n.hearCommitted(m.Committed)
-	if n.copy.Stamp.Less(m.Stamp) || n.plant.oldEpochs && n.copy.State.Revision < m.State.Revision {
+	n.markCommitted(m.Committed)
+	if n.copy.Stamp.Less(m.Stamp) || n.faults.oldEpochs && n.copy.State.Revision < m.State.Revision {
 		n.copy, n.dirtyCopy = Copy{m.Stamp, m.State}, true
 	}
-	if n.plant.ackUnsynced {
+	if n.faults.ackUnsynced {
 		n.reply(m, Message{Kind: Stored, N: m.N, Stamp: m.Stamp})
 		return
 	}
-	n.replySynced(m, Message{Kind: Stored, N: m.N, Stamp: n.copy.Stamp})
+	n.replyAfterSync(m, Message{Kind: Stored, N: m.N, Stamp: n.copy.Stamp})
 }
 
-// hearCommitted: the primary says which copy is committed; one stamp is one content.
-func (n *Node) hearCommitted(s Stamp) {
+// markCommitted handles the primary's report that the copy with this stamp is committed. A stamp identifies one content.
+func (n *Node) markCommitted(s Stamp) {
 	if s == n.copy.Stamp {
 		n.setCommitted(n.copy)
 	}
@@ -63,7 +63,7 @@
 func (n *Node) setCommitted(c Copy) {
 	if n.committed.Stamp.Less(c.Stamp) {
 		if c.State.Revision < n.committed.State.Revision || c.State.Doc.Version < n.committed.State.Doc.Version {
-			n.broken("committed went back from %v to %v", n.committed.Stamp, c.Stamp)
+			n.recordViolation("committed copy regressed from %v to %v", n.committed.Stamp, c.Stamp)
 			return
 		}
 		n.committed = c
@@ -71,68 +71,68 @@
 }
 
 func (n *Node) onStored(m Message) {
-	if n.lead == nil || n.lead.peers[m.From] == nil {
+	if n.primary == nil || n.primary.peers[m.From] == nil {
 		return
 	}
-	p := n.lead.peers[m.From]
+	p := n.primary.peers[m.From]
 	if p.stamp.Less(m.Stamp) {
 		p.stamp = m.Stamp
 	}
 	if n.holds(p.ID, n.copy.Stamp) {
-		p.behind = never
+		p.behindSince = never
 	}
 	n.tryCommit()
 }
 
-// holds reports whether a node's disk has a copy with this stamp or a later one of this life. A stamp of an epoch beyond
-// the known one is another primary's and says nothing about ours.
+// holds reports whether a node's disk has a copy with this stamp or a later one of this leadership. A stamp of an epoch
+// beyond the known one comes from another primary and proves nothing about this one's copies.
 func (n *Node) holds(id ID, s Stamp) bool {
 	if id == n.id {
 		return !n.synced.Less(s)
 	}
-	p := n.lead.peers[id]
+	p := n.primary.peers[id]
 	return p != nil && p.stamp.Epoch <= n.known.N && !p.stamp.Less(s)
 }
 
-// tryCommit commits the copy once all hold it that may take over: the in-sync set, and that of any change under way,
-// since it may be chosen without this node hearing of it.
+// tryCommit commits the copy once it is held by every node that may take over: the in-sync set and that of any proposed
+// change, since that change may be chosen without this node learning of it.
 func (n *Node) tryCommit() {
-	l := n.lead
-	if l == nil || n.bad != nil {
+	l := n.primary
+	if l == nil || n.violation != nil {
 		return
 	}
-	need := union(n.known.InSync, l.next)
-	if n.plant.forgetNext {
-		need = n.known.InSync
+	required := union(n.known.InSync, l.pendingInSync)
+	if n.faults.forgetNext {
+		required = n.known.InSync
 	}
-	if n.plant.ackEarly {
-		need = []ID{n.id}
+	if n.faults.ackEarly {
+		required = []ID{n.id}
 	}
-	for _, id := range append(need, n.id) {
+	for _, id := range append(required, n.id) {
 		if !n.holds(id, n.copy.Stamp) {
 			return
 		}
 	}
-	if !n.safe() {
+	if !n.canAcknowledge() {
 		return
 	}
 	if n.copy.Stamp.Less(n.committed.Stamp) {
-		n.broken("the copy %v of an active primary is older than what was committed, %v", n.copy.Stamp, n.committed.Stamp)
+		n.recordViolation("copy %v of the active primary is older than the committed copy %v", n.copy.Stamp, n.committed.Stamp)
 		return
 	}
 	if n.committed.Stamp != n.copy.Stamp {
 		n.setCommitted(n.copy)
-		n.beat()
+		n.sendHeartbeats()
 	}
 	l.ready = true
 	n.answerProposals()
 	n.answerReads()
-	n.advance()
+	n.applyProposals()
 }
 
-// advance takes all orders that wait, once the state before them is committed. They become one revision.
-func (n *Node) advance() {
-	if !n.lead.ready || n.committed.Stamp != n.copy.Stamp {
+// applyProposals applies all pending proposals once the state before them is committed. Together they form one revision.
+func (n *Node) applyProposals() {
+	if !n.primary.ready || n.committed.Stamp != n.copy.Stamp {
 		return
 	}
 	next, changed := n.copy.State, false
@@ -140,9 +140,9 @@
 		if c.read {
 			continue
 		}
-		var taken bool
-		next, taken = next.with(c.doc)
-		changed = changed || taken
+		var accepted bool
+		next, accepted = next.apply(c.doc)
+		changed = changed || accepted
 	}
 	if !changed {
 		return
@@ -150,5 +150,5 @@
 	next.Revision++
 	n.copy = Copy{Stamp{n.known.N, next.Revision}, next}
 	n.dirtyCopy = true
-	n.storeAll(true)
+	n.sendCopies(true)
 }
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// ID names a disk, not a machine: it is drawn when the disk is first used, so a wiped machine is somebody new.
+// ID identifies a disk, not a machine. It is drawn when the disk is first used, so a machine whose disk was wiped returns
+// under a new ID.
 type ID string
 
-// Stamp orders copies of the state: first by the epoch whose primary took them in, then by revision. One stamp means
-// one content, which a revision alone does not: two primaries may have seen different orders under one number.
+// Stamp orders copies of the state: by the epoch whose primary accepted them, then by revision. Each stamp identifies
+// one content. A revision alone does not, since two primaries may have accepted different proposals under one number.
 type Stamp struct{ Epoch, Revision uint64 }
 
 // Less reports whether s is older than o.
@@ -18,13 +19,13 @@
 	return s.Epoch < o.Epoch || s.Epoch == o.Epoch && s.Revision < o.Revision
 }
 
-// Copy is the state as one disk holds it.
+// Copy is the state as stored on one disk.
 type Copy struct {
 	Stamp Stamp
 	State State
 }
 
-// Ballot orders rounds at the witnesses.
+// Ballot orders the rounds in which witnesses vote on the next epoch.
 type Ballot struct {
 	Round uint64
 	ID    ID
@@ -33,15 +34,15 @@
 // Less reports whether b is older than o.
 func (b Ballot) Less(o Ballot) bool { return b.Round < o.Round || b.Round == o.Round && b.ID < o.ID }
 
-// Member is a machine that keeps epochs and may keep documents.
+// Member is a machine that votes on epochs and may hold a copy of the state.
 type Member struct {
 	ID                 ID
 	Addr, Zone, Region string
-	Counts             bool // the tolerance speaks of this machine; any number of others may go
+	Counts             bool // whether the tolerance covers this machine; any number of the others may be lost
 }
 
-// Epoch is the value that the witnesses keep. Prev differs from Members while a change of members is under way: then
-// majorities of both are needed.
+// Epoch is the value that the witnesses agree on. Prev differs from Members while a change of members is in progress
+// (a joint epoch); majorities of both are then required.
 type Epoch struct {
 	System  SystemID
 	N       uint64
@@ -51,7 +52,7 @@
 	Prev    []Member
 }
 
-func idsOf(ms []Member) []ID {
+func memberIDs(ms []Member) []ID {
 	out := make([]ID, len(ms))
 	for i, m := range ms {
 		out[i] = m.ID
@@ -59,22 +60,22 @@
 	return out
 }
 
-func find(ms []Member, id ID) int {
+func memberIndex(ms []Member, id ID) int {
 	return slices.IndexFunc(ms, func(m Member) bool { return m.ID == id })
 }
 
-func (e *Epoch) joint() bool { return !slices.Equal(idsOf(e.Members), idsOf(e.Prev)) }
+func (e *Epoch) joint() bool { return !slices.Equal(memberIDs(e.Members), memberIDs(e.Prev)) }
 
 func (e *Epoch) equal(o *Epoch) bool {
 	return e.System == o.System && e.N == o.N && e.Primary == o.Primary && slices.Equal(e.InSync, o.InSync) &&
 		slices.Equal(e.Members, o.Members) && slices.Equal(e.Prev, o.Prev)
 }
 
-// everyone lists the members of both sets, by id.
-func (e *Epoch) everyone() []Member {
+// allMembers lists the members of both sets, ordered by ID.
+func (e *Epoch) allMembers() []Member {
 	out := slices.Clone(e.Members)
 	for _, m := range e.Prev {
-		if find(out, m.ID) < 0 {
+		if memberIndex(out, m.ID) < 0 {
 			out = append(out, m)
 		}
 	}
@@ -84,19 +85,19 @@
 
 func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
-// quorum reports whether those that say yes are a majority of the members and, in a joint epoch, of the former ones.
+// quorum reports whether yes holds for a majority of the members and, in a joint epoch, of the previous members.
 func (e *Epoch) quorum(yes func(ID) bool) bool {
 	return majority(e.Members, yes) && majority(e.Prev, yes)
 }
 
-// Quorum reports whether the members for which yes holds are a majority of the members and, while a change of members is
-// under way, of the former ones. Of an epoch that names nobody there is none.
+// Quorum reports whether yes holds for a majority of the members and, while a change of members is in progress, of the
+// previous ones. An epoch without members has no quorum.
 func (e *Epoch) Quorum(yes func(Member) bool) bool {
-	return majorityOf(e.Members, yes) && majorityOf(e.Prev, yes)
+	return majorityOfMembers(e.Members, yes) && majorityOfMembers(e.Prev, yes)
 }
 
-func majorityOf(ms []Member, yes func(Member) bool) bool {
-	return majority(ms, func(id ID) bool { return yes(ms[find(ms, id)]) })
+func majorityOfMembers(ms []Member, yes func(Member) bool) bool {
+	return majority(ms, func(id ID) bool { return yes(ms[memberIndex(ms, id)]) })
 }
 
 func majority(ms []Member, yes func(ID) bool) bool {
@@ -109,33 +110,35 @@
 	return count > len(ms)/2
 }
 
-// Config is what a node is told at its start.
+// Config holds the parameters of a node.
 type Config struct {
-	ID           ID // drawn by the caller; used only if the disk is empty and the node is no founder
+	ID           ID // drawn by the caller; used only if the disk is empty and the node is not a founder
 	Addr         string
 	Zone, Region string
 	Counts       bool
-	// What may be lost at once: so many machines that count, or zones, or regions.
+	// The losses to tolerate at one time: this many machines that count, or zones, or regions.
 	Losses, Zones, Regions int
-	ColdStart              bool     // the system's very first start
-	Seeds                  []string // addresses; at a cold start the founders
-	Seed                   uint64   // of the chance that spreads take-overs
+	ColdStart              bool     // set at the first start of the system only
+	Seeds                  []string // addresses; at a cold start those of the founders
+	Seed                   uint64   // of the random source that spreads takeovers
 }
 
-// Vote is a witness's memory; Known is no vote but the newest epoch known to be chosen, kept for the addresses.
+// Vote is the state of a witness. Known is not part of its vote: it is the newest epoch known to be chosen, kept for the
+// addresses of its members.
 type Vote struct {
 	Promised, Accepted Ballot
 	Value, Known       Epoch
 }
 
-// Saved is what a disk remembers.
+// Saved is the state stored on a disk.
 type Saved struct {
 	ID   ID
 	Vote Vote
 	Copy Copy
 }
 
-// Write is to be synced; then Saved is called with its token. Nil parts are unchanged. At most one is under way.
+// Write must be synced to disk, after which the caller calls Node.Saved with its token. Nil parts are unchanged. At most
+// one write is in progress at a time.
 type Write struct {
 	Token uint64
 	ID    ID
@@ -143,64 +146,64 @@
 	Copy  *Copy
 }
 
-// Kind tells messages apart.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
-	Prepare  Kind = iota + 1 // round, first phase
-	Promise                  // its yes
-	Accept                   // round, second phase
-	Accepted                 // its yes
-	Reject                   // the no to either
-	Beat                     // primary to everyone it knows
-	Pulse                    // answer to a beat
+	Prepare  Kind = iota + 1 // first phase of a round
+	Promise                  // positive reply to Prepare
+	Accept                   // second phase of a round
+	Accepted                 // positive reply to Accept
+	Reject                   // negative reply to Prepare or Accept
+	Beat                     // heartbeat from the primary to every node that it knows
+	Pulse                    // reply to a heartbeat
 	Store                    // a copy of the state
-	Stored                   // it is synced
-	Join                     // a node that is no member, or hears no primary
+	Stored                   // the copy is synced
+	Join                     // from a node that is not a member or receives no heartbeats from a primary
 	Hint                     // a newer epoch that is known to be chosen
 )
 
-// Message is what nodes say to each other. It may be lost, late, doubled or overtaken.
+// Message is exchanged between nodes. It may be lost, delayed, duplicated or reordered.
 type Message struct {
 	Kind             Kind
-	System           SystemID // of the sender
-	From, To         ID       // an empty To is for whoever lives at the address
+	System           SystemID // the sender's system
+	From, To         ID       // an empty To addresses any node at ToAddr
 	FromAddr, ToAddr string
-	N                uint64 // the epoch this is about
+	N                uint64 // number of the epoch that the message refers to
 	Ballot, Promised Ballot
 	Epoch            *Epoch
 	Seq              uint64
-	At               time.Duration // the primary's steady time, returned as it came
+	At               time.Duration // the primary's monotonic time, returned unchanged
 	Stamp, Committed Stamp
 	State            State
 	OK, Take         bool
 	Stalled, Leaving bool
-	Knows            uint64 // number of the newest epoch that the sender of a Pulse or Join knows
+	Knows            uint64 // number of the newest epoch known to the sender of a Pulse or Join
 	Member           Member
 }
 
-// Result is what became of a call.
+// Result is the outcome of a call.
 type Result uint8
 
 const (
-	OK       Result = iota + 1 // proposed: committed; read: here it is
-	Refused                    // not taken here; try Primary if told, else again later
-	Unknown                    // taken, but its fate is not known: it may be in force now, later or never
-	Conflict                   // another body stands under its version, for good
+	OK       Result = iota + 1 // a proposal is committed; a read returns the document
+	Refused                    // not accepted here; retry at Primary if it is set, otherwise later
+	Unknown                    // accepted, but the outcome is unknown: it may have taken effect, take effect later or never
+	Conflict                   // another body has the same version; this is final
 )
 
-// Answer ends a call.
+// Answer completes a call.
 type Answer struct {
 	Call    uint64
 	Result  Result
-	Doc     Doc    // of a read, or the newest known where the result is Conflict
-	Primary string // the primary's address as far as known
+	Doc     Doc    // the document read, or for Conflict the newest known document
+	Primary string // the primary's address, if known
 }
 
-// Actions are what the caller is to do now.
+// Actions are the operations that the caller must carry out.
 type Actions struct {
 	Writes    []Write
 	Sends     []Message
 	Answers   []Answer
-	Committed *Doc // newer than any told before
+	Committed *Doc // set if newer than any document delivered before
 }
--- a/consensus/witness.go
+++ b/consensus/witness.go
@@ -1,26 +1,26 @@
 package consensus
 
-// Witnesses keep epochs in one register: promised ballot, accepted ballot, accepted value; synced before any answer.
-// Any node answers under its own id whatever it is asked: its memory since its birth is whole, and only those that an
-// epoch names are counted. Why this is safe while members change is told in round.go.
+// Witnesses keep epochs in one register: promised ballot, accepted ballot and accepted value, synced before any reply. A
+// node answers every request under its own ID. This is safe because its record is complete since its ID was drawn, and
+// only the members of an epoch are counted. The comment on round explains why this holds while members change.
 
-func (n *Node) witness(m Message) {
+func (n *Node) handleBallot(m Message) {
 	if m.Kind == Prepare && m.Take && n.sticky(m.From) {
-		n.reply(m, Message{Kind: Reject, Ballot: m.Ballot, Epoch: n.newer(m.N)})
+		n.reply(m, Message{Kind: Reject, Ballot: m.Ballot, Epoch: n.newerEpoch(m.N)})
 		return
 	}
 	if m.Ballot.Less(n.vote.Promised) {
-		n.reply(m, Message{Kind: Reject, Ballot: m.Ballot, Promised: n.vote.Promised, Epoch: n.newer(m.N)})
+		n.reply(m, Message{Kind: Reject, Ballot: m.Ballot, Promised: n.vote.Promised, Epoch: n.newerEpoch(m.N)})
 		return
 	}
-	n.topRound = max(n.topRound, m.Ballot.Round)
+	n.highestRound = max(n.highestRound, m.Ballot.Round)
 	if m.Ballot != n.vote.Promised {
 		n.vote.Promised, n.dirtyVote = m.Ballot, true
 	}
 	out := Message{Kind: Promise, Ballot: m.Ballot}
 	if m.Kind == Prepare {
 		v := n.vote.Value
-		out.Promised, out.Epoch = n.vote.Accepted, &v // Promised holds the ballot under which Epoch was accepted
+		out.Promised, out.Epoch = n.vote.Accepted, &v // Promised carries the ballot under which Epoch was accepted
 	} else {
 		if m.Epoch == nil {
 			return
@@ -30,26 +30,26 @@
 		}
 		out.Kind = Accepted
 	}
-	if n.plant.forgetPromise {
+	if n.faults.forgetPromise {
 		n.reply(m, out)
 		return
 	}
-	if n.plant.voteForLost && m.To != n.id {
+	if n.faults.voteForLost && m.To != n.id {
 		out.Member.ID = m.To
 	}
-	n.replySynced(m, out)
+	n.replyAfterSync(m, out)
 }
 
-// sticky keeps a node that alone does not hear the primary from unseating it. This is for calm, not for safety.
+// sticky prevents a node that alone lost contact with the primary from unseating it. This serves stability, not safety.
 func (n *Node) sticky(from ID) bool {
 	if from == n.known.Primary || from == n.id {
 		return false
 	}
-	return n.lead != nil && n.hearsMajority(stickyFor) || n.lead == nil && n.now-n.heard < stickyFor
+	return n.primary != nil && n.hearsQuorum(stickyPeriod) || n.primary == nil && n.now-n.primaryHeardAt < stickyPeriod
 }
 
-// newer is the known epoch for somebody who only knows epoch number than.
-func (n *Node) newer(than uint64) *Epoch {
+// newerEpoch returns the known epoch if its number is above the given one.
+func (n *Node) newerEpoch(than uint64) *Epoch {
 	if n.known.N <= than {
 		return nil
 	}
