--- a/consensus/members.go
+++ b/consensus/members.go
@@ -105,7 +105,8 @@
 	var out []Member
 	for _, id := range n.peerIDs() {
 		p := n.primary.peers[id]
-		if memberIndex(ms, id) < 0 && p.Addr != n.config.Addr && n.now-p.lastHeard < dropTimeout && !p.stalled && (p.Counts || !counts) {
+		if memberIndex(ms, id) < 0 && p.Addr != n.config.Addr && n.now-p.lastHeard < dropTimeout && !p.stalled &&
+			(p.Counts || !counts) {
 			out = append(out, p.Member)
 		}
 	}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -75,7 +75,8 @@
 
 // New creates a node from the state on its disk; nil means that the disk is empty.
 func New(c Config, s *Saved, now time.Duration) *Node {
-	n := &Node{config: c, id: c.ID, now: now, primaryHeardAt: never, nextJoinAt: now, rng: rand.New(rand.NewPCG(c.Seed, uint64(now)))}
+	n := &Node{config: c, id: c.ID, now: now, primaryHeardAt: never, nextJoinAt: now,
+		rng: rand.New(rand.NewPCG(c.Seed, uint64(now)))}
 	switch {
 	case s != nil:
 		n.id, n.vote, n.copy, n.synced = s.ID, s.Vote, s.Copy, s.Copy.Stamp
--- a/consensus/orders_test.go
+++ b/consensus/orders_test.go
@@ -71,7 +71,8 @@
 	n := singleNode(t)
 	n.Propose(n.now, 1, proposal(1, "first"))
 	write := n.Take().Writes[0]
-	for i, d := range []Doc{proposal(4, "a"), proposal(3, "b"), proposal(4, "c"), proposal(2, "d"), proposal(3, "b"), proposal(1, "x")} {
+	for i, d := range []Doc{proposal(4, "a"), proposal(3, "b"), proposal(4, "c"), proposal(2, "d"),
+		proposal(3, "b"), proposal(1, "x")} {
 		n.Propose(n.now, uint64(10+i), d)
 	}
 	n.Saved(n.now, write.Token)
--- a/consensus/simulation/clients.go
+++ b/consensus/simulation/clients.go
@@ -9,98 +9,99 @@
 	"peathollow/consensus"
 )
 
-// op is one call of a client, with all its forwards.
+// op is one call of a client, including its retries on other machines.
 type op struct {
-	client   int
-	read     bool
-	doc      consensus.Doc // proposed, or read
-	from, to time.Duration
-	done     bool // with a clear answer
-	tries    int
-	over     bool
-	refused  bool   // another body stands under its version
-	floor    uint64 // the newest version acknowledged before it began
-	patience time.Duration
+	client     int
+	read       bool
+	doc        consensus.Doc // proposed or read
+	from, to   time.Duration
+	completed  bool // with a clear result
+	attempts   int
+	ended      bool
+	refused    bool   // another body has the same version
+	minVersion uint64 // the newest version acknowledged before the call began
+	timeout    time.Duration
 }
 
 type clients struct {
-	call    uint64
-	answers map[uint64]*op
-	history []*op
-	top     uint64 // highest version proposed
-	acked   uint64 // highest version acknowledged or read
+	lastCall            uint64
+	answers             map[uint64]*op
+	history             []*op
+	highestProposed     uint64 // highest version proposed
+	highestAcknowledged uint64 // highest version acknowledged or read
 }
 
-const giveUp = 5 * time.Second
+const clientTimeout = 5 * time.Second
 
-// clients call one after the other, each waiting for its answer.
+// client makes one call after another and waits for each result.
 func (w *World) client(id int) {
-	if w.now >= w.until {
+	if w.now >= w.faultsUntil {
 		return
 	}
 	var o *op
 	if w.chance(0.55) {
-		o = w.begin(id, true, consensus.Doc{})
+		o = w.startCall(id, true, consensus.Doc{})
 	} else {
-		o = w.begin(id, false, w.draw())
+		o = w.startCall(id, false, w.drawDocument())
 	}
 	var wait func()
 	wait = func() {
-		if !o.over && w.now-o.from < o.patience {
+		if !o.ended && w.now-o.from < o.timeout {
 			w.after(20*ms, wait)
 			return
 		}
-		o.over = true
-		w.after(w.span(0, 400*ms), func() { w.client(id) })
+		o.ended = true
+		w.after(w.randomDuration(0, 400*ms), func() { w.client(id) })
 	}
 	wait()
 }
 
-// draw: mostly a higher version, at times one that somebody else sends too with another body, at times an old one.
-func (w *World) draw() consensus.Doc {
+// drawDocument returns mostly a higher version, sometimes one that another client sends with another body, and sometimes
+// an old one.
+func (w *World) drawDocument() consensus.Doc {
 	c := &w.clients
 	if len(c.history) > 0 && w.chance(0.1) {
-		if o := c.history[w.rnd.IntN(len(c.history))]; !o.read {
-			return o.doc // sent again, as it was
+		if o := c.history[w.rng.IntN(len(c.history))]; !o.read {
+			return o.doc // repeated unchanged
 		}
 	}
-	v := c.top + 1
+	v := c.highestProposed + 1
 	switch {
-	case w.o.Story == Successors:
-		v = max(2, c.top+uint64(w.rnd.IntN(3))) - 1
-	case c.top > 0 && w.chance(0.25):
-		v = c.top
-	case c.top > 2 && w.chance(0.1):
-		v = c.top - 1
+	case w.options.Story == Successors:
+		v = max(2, c.highestProposed+uint64(w.rng.IntN(3))) - 1
+	case c.highestProposed > 0 && w.chance(0.25):
+		v = c.highestProposed
+	case c.highestProposed > 2 && w.chance(0.1):
+		v = c.highestProposed - 1
 	}
-	c.top = max(c.top, v)
-	return document(v, fmt.Sprintf("v%d-%d", v, w.rnd.IntN(1000)))
+	c.highestProposed = max(c.highestProposed, v)
+	return document(v, fmt.Sprintf("v%d-%d", v, w.rng.IntN(1000)))
 }
 
-func (w *World) begin(client int, read bool, d consensus.Doc) *op {
-	o := &op{client: client, read: read, doc: d, from: w.now, floor: w.clients.acked, patience: giveUp}
-	if read && !w.o.Gentle {
-		o.patience = w.span(100*ms, giveUp)
+func (w *World) startCall(client int, read bool, d consensus.Doc) *op {
+	o := &op{client: client, read: read, doc: d, from: w.now, minVersion: w.clients.highestAcknowledged, timeout: clientTimeout}
+	if read && !w.options.Gentle {
+		o.timeout = w.randomDuration(100*ms, clientTimeout)
 	}
 	w.clients.history = append(w.clients.history, o)
-	w.try(o, w.hosts[w.rnd.IntN(len(w.hosts))])
+	w.attempt(o, w.hosts[w.rng.IntN(len(w.hosts))])
 	return o
 }
 
-func (w *World) try(o *op, h *host) {
-	if o.over || w.now-o.from > o.patience {
-		o.over = true
+func (w *World) attempt(o *op, h *host) {
+	if o.ended || w.now-o.from > o.timeout {
+		o.ended = true
 		return
 	}
 	if h == nil || h.node == nil {
-		w.after(50*ms, func() { w.try(o, w.hosts[w.rnd.IntN(len(w.hosts))]) })
+		w.after(50*ms, func() { w.attempt(o, w.hosts[w.rng.IntN(len(w.hosts))]) })
 		return
 	}
-	o.tries++
-	w.clients.call++
-	id := w.clients.call
+	o.attempts++
+	w.clients.lastCall++
+	id := w.clients.lastCall
 	w.clients.answers[id] = o
-	w.on(h, h.life, func(n *consensus.Node, now time.Duration) {
+	w.runOn(h, h.incarnation, func(n *consensus.Node, now time.Duration) {
 		if o.read {
 			n.Read(now, id)
 		} else {
@@ -112,33 +113,33 @@
 func (c *clients) onAnswer(w *World, h *host, a consensus.Answer) {
 	o := c.answers[a.Call]
 	delete(c.answers, a.Call)
-	if o == nil || o.over {
+	if o == nil || o.ended {
 		return
 	}
 	switch a.Result {
 	case consensus.Refused:
-		w.after(w.span(5*ms, 60*ms), func() {
-			next := w.at(a.Primary)
+		w.after(w.randomDuration(5*ms, 60*ms), func() {
+			next := w.hostAt(a.Primary)
 			if next == nil || next == h || w.chance(0.1) {
-				next = w.hosts[w.rnd.IntN(len(w.hosts))]
+				next = w.hosts[w.rng.IntN(len(w.hosts))]
 			}
-			w.try(o, next)
+			w.attempt(o, next)
 		})
 	case consensus.Unknown:
-		// The operator sends the same again: a proposal may be repeated, a read too.
-		w.after(w.span(5*ms, 60*ms), func() { w.try(o, w.hosts[w.rnd.IntN(len(w.hosts))]) })
+		// The operator repeats the call, since proposals and reads may both be retried.
+		w.after(w.randomDuration(5*ms, 60*ms), func() { w.attempt(o, w.hosts[w.rng.IntN(len(w.hosts))]) })
 	case consensus.Conflict:
-		o.over, o.done, o.refused, o.to = true, true, true, w.now
+		o.ended, o.completed, o.refused, o.to = true, true, true, w.now
 	case consensus.OK:
-		o.over, o.done, o.to = true, true, w.now
+		o.ended, o.completed, o.to = true, true, w.now
 		if !o.read {
-			w.checkTaken(o)
+			w.checkAcknowledgedBody(o)
 		}
 		if o.read {
 			o.doc = a.Doc
 			w.checkRead(o)
 		}
-		c.acked = max(c.acked, o.doc.Version)
+		c.highestAcknowledged = max(c.highestAcknowledged, o.doc.Version)
 		w.Log("%v %s answers %+v %d", w.now, h.addr, a.Result, o.doc.Version)
 	}
 }
--- a/consensus/simulation/faults.go
+++ b/consensus/simulation/faults.go
@@ -6,28 +6,28 @@
 	"peathollow/consensus"
 )
 
-// catchUp: a machine counts as lost for so long after it returns (bound sync-s).
-const catchUp = 4 * time.Second
+// recoveryTime is how long a machine still counts as lost after it returns (bound sync-s).
+const recoveryTime = 4 * time.Second
 
-func (w *World) live() []*host {
+func (w *World) remainingHosts() []*host {
 	var out []*host
 	for _, h := range w.hosts {
-		if !h.gone {
+		if !h.removed {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-func (w *World) someone() *host {
-	ls := w.live()
-	return ls[w.rnd.IntN(len(ls))]
+func (w *World) randomHost() *host {
+	hosts := w.remainingHosts()
+	return hosts[w.rng.IntN(len(hosts))]
 }
 
-// aim picks the primary half of the time.
-func (w *World) aim() *host {
+// pickTarget picks the primary half of the time, otherwise a random machine.
+func (w *World) pickTarget() *host {
 	if w.chance(0.5) {
-		for _, h := range w.live() {
+		for _, h := range w.remainingHosts() {
 			if h.node != nil {
 				if _, ok := h.node.Leading(); ok {
 					return h
@@ -35,38 +35,38 @@
 			}
 		}
 	}
-	return w.someone()
+	return w.randomHost()
 }
 
-// lost counts a machine as lost for a while. Where more are lost at one time than the tolerance names, none of them can be
-// asked to be whole again before all are.
-func (w *World) lost(h *host, d time.Duration) {
-	h.lostTo = max(h.lostTo, w.now+d+catchUp)
-	if w.mayLose() {
+// markLost counts a machine as lost for a while. If more machines are lost at one time than the tolerance covers, none of
+// them is required to have recovered before all have.
+func (w *World) markLost(h *host, d time.Duration) {
+	h.lostUntil = max(h.lostUntil, w.now+d+recoveryTime)
+	if w.withinTolerance() {
 		return
 	}
-	last := h.lostTo
+	last := h.lostUntil
 	for _, o := range w.hosts {
-		last = max(last, o.lostTo)
+		last = max(last, o.lostUntil)
 	}
 	for _, o := range w.hosts {
-		if w.now < o.lostTo {
-			o.lostTo = last
+		if w.now < o.lostUntil {
+			o.lostUntil = last
 		}
 	}
 }
 
-// replacementsMost bounds the machines that come in the place of others.
-func (w *World) replacementsMost() int {
-	if w.o.Story == Losses {
+// maxReplacements bounds the number of replacement machines.
+func (w *World) maxReplacements() int {
+	if w.options.Story == Losses {
 		return 16
 	}
 	return 6
 }
 
-// mayLose reports whether these, with all that count as lost now, are within the tolerance.
-func (w *World) mayLose(add ...*host) bool {
-	if w.o.Beyond {
+// withinTolerance reports whether losing these machines, besides those that count as lost now, is within the tolerance.
+func (w *World) withinTolerance(add ...*host) bool {
+	if w.options.Beyond {
 		return true
 	}
 	set := map[*host]bool{}
@@ -74,137 +74,139 @@
 		set[h] = true
 	}
 	for _, h := range w.hosts {
-		if w.now < h.lostTo {
+		if w.now < h.lostUntil {
 			set[h] = true
 		}
 	}
-	zs, rs := map[string]bool{}, map[string]bool{}
+	zones, regions := map[string]bool{}, map[string]bool{}
 	for h := range set {
-		zs[h.zone], rs[h.region] = true, true
+		zones[h.zone], regions[h.region] = true, true
 	}
-	return len(set) <= w.o.Losses || len(zs) <= w.o.Zones || len(rs) <= w.o.Regions
+	return len(set) <= w.options.Losses || len(zones) <= w.options.Zones || len(regions) <= w.options.Regions
 }
 
 func (w *World) down(h *host, d time.Duration) {
-	w.lost(h, d)
+	w.markLost(h, d)
 	w.stop(h)
 	w.after(d, func() { w.start(h) })
 }
 
 func (w *World) wipe(h *host, d time.Duration) {
 	w.Log("%v %s loses its disk, back in %v", w.now, h.addr, d)
-	h.wipedAt = w.now + d
+	h.diskLostAt = w.now + d
 	w.wipes++
 	w.down(h, d)
 	h.disk = nil
-	h.cold = false
+	h.coldStart = false
 }
 
-// trouble draws one fault after the other until the calm. Some strike at once, some wait for a message of some kind and
-// strike its sender or receiver: between a write and its sync, a promise and its round, a copy and its commit.
-func (w *World) trouble() {
-	if w.now >= w.until-500*ms {
+// injectFault draws one fault after another until the quiet period. Some act at once. Others wait for a message of a random
+// kind and hit its sender or receiver: between a write and its sync, a promise and its round, or a copy and its commit.
+func (w *World) injectFault() {
+	if w.now >= w.faultsUntil-500*ms {
 		return
 	}
-	pause := w.span(100*ms, 2000*ms)
+	pause := w.randomDuration(100*ms, 2000*ms)
 	if w.chance(0.2) {
-		pause = catchUp + w.span(0, ms) // the soonest that the next loss may come
+		pause = recoveryTime + w.randomDuration(0, ms) // the earliest time for the next loss
 	}
-	do := w.draws[w.rnd.IntN(len(w.draws))]
+	chosen := w.candidateFaults[w.rng.IntN(len(w.candidateFaults))]
 	if w.chance(0.6) {
-		w.armed, w.trigger = do, consensus.Kind(1+w.rnd.IntN(int(consensus.Hint)))
+		w.armedFault, w.triggerKind = chosen, consensus.Kind(1+w.rng.IntN(int(consensus.Hint)))
 	} else {
-		w.strike(do, w.aim())
+		w.apply(chosen, w.pickTarget())
 	}
-	w.after(pause, w.trouble)
+	w.after(pause, w.injectFault)
 }
 
-func (w *World) strike(do fault, h *host) {
-	if w.now < w.until && !h.gone {
-		do(h, min(w.span(50*ms, 3000*ms), w.until-w.now))
+func (w *World) apply(f fault, h *host) {
+	if w.now < w.faultsUntil && !h.removed {
+		f(h, min(w.randomDuration(50*ms, 3000*ms), w.faultsUntil-w.now))
 	}
 }
 
-// spring is called with each message that is sent.
-func (w *World) spring(m consensus.Message) {
-	if w.armed == nil || m.Kind != w.trigger {
+// triggerArmedFault is called for each message sent, and applies an armed fault that waits for its kind.
+func (w *World) triggerArmedFault(m consensus.Message) {
+	if w.armedFault == nil || m.Kind != w.triggerKind {
 		return
 	}
-	do, addr := w.armed, m.FromAddr
+	armed, addr := w.armedFault, m.FromAddr
 	if w.chance(0.5) {
 		addr = m.ToAddr
 	}
-	w.armed = nil
-	w.after(w.span(0, 12*ms), func() {
-		if h := w.at(addr); h != nil {
-			w.strike(do, h)
+	w.armedFault = nil
+	w.after(w.randomDuration(0, 12*ms), func() {
+		if h := w.hostAt(addr); h != nil {
+			w.apply(armed, h)
 		}
 	})
 }
 
-// longSpan is that of runs in which machines are cut off for twenty seconds and more.
+// longSpan is the minimum span of runs in which machines are cut off for 20 s or more.
 const longSpan = 40 * time.Second
 
 type fault func(*host, time.Duration)
 
-// faults of one run: all of them, or mostly a few, so that these meet each other.
-func (w *World) drawFaults() {
+// chooseFaults selects the faults of one run: all of them, or mostly a few, so that these coincide more often.
+func (w *World) chooseFaults() {
 	kill := func(h *host, d time.Duration) {
 		w.Log("%v %s is killed for %v", w.now, h.addr, d)
 		w.down(h, d)
 	}
 	freeze := func(h *host, d time.Duration) {
 		w.Log("%v %s freezes for %v", w.now, h.addr, d)
-		h.frozenTo = w.now + d
-		w.lost(h, d)
+		h.frozenUntil = w.now + d
+		w.markLost(h, d)
 	}
 	hang := func(h *host, d time.Duration) {
 		w.Log("%v disk of %s hangs for %v", w.now, h.addr, d)
-		h.stallTo = w.now + d
-		w.lost(h, d)
+		h.stalledUntil = w.now + d
+		w.markLost(h, d)
 		if w.chance(0.3) {
-			w.after(w.span(0, d), func() { w.down(h, w.span(50*ms, 500*ms)) })
+			w.after(w.randomDuration(0, d), func() { w.down(h, w.randomDuration(50*ms, 500*ms)) })
 		}
 	}
-	// A disk that refuses writes is retried until it takes them: to the process it hangs. One that is slow does not.
+	// A disk that refuses writes is retried until it accepts them, which the process sees as a stall. A slow disk
+	// does not stall the process.
 	slow := func(h *host, d time.Duration) {
 		w.Log("%v disk of %s is slow for %v", w.now, h.addr, d)
-		h.slowTo = w.now + d
-		w.lost(h, d)
+		h.slowUntil = w.now + d
+		w.markLost(h, d)
 	}
 	leave := func(h *host, d time.Duration) { w.leave(h, d) }
-	long := func(h *host, _ time.Duration) { w.cut(h, w.span(20*time.Second, 25*time.Second)) }
+	long := func(h *host, _ time.Duration) { w.cut(h, w.randomDuration(20*time.Second, 25*time.Second)) }
 	links := func(_ *host, d time.Duration) {
-		w.loss, w.slow = w.rnd.Float64()*0.3, w.rnd.Float64()*0.3
-		w.after(d, func() { w.loss, w.slow = 0.01, 0.02 })
+		w.lossRate, w.slowRate = w.rng.Float64()*0.3, w.rng.Float64()*0.3
+		w.after(d, func() { w.lossRate, w.slowRate = 0.01, 0.02 })
 	}
-	herd := func(_ *host, d time.Duration) { w.herd(d) }
+	killMany := func(_ *host, d time.Duration) { w.killMany(d) }
 	wipe := func(h *host, d time.Duration) { w.wipeSome(h, min(d, 1500*ms)) }
 	replace := func(h *host, _ time.Duration) { w.replace(h) }
 	wipeAll := func(*host, time.Duration) { w.wipeAll() }
-	w.draws = []fault{kill, freeze, hang, slow, leave, w.cut, w.cut, w.split, w.roll, links, herd, wipe, wipe, replace, wipeAll}
-	if w.o.Span >= longSpan {
-		w.draws = append(w.draws, long, long, long)
+	w.candidateFaults = []fault{kill, freeze, hang, slow, leave, w.cut, w.cut, w.split, w.isolateInTurn, links, killMany, wipe,
+		wipe, replace, wipeAll}
+	if w.options.Span >= longSpan {
+		w.candidateFaults = append(w.candidateFaults, long, long, long)
 	}
 	if w.chance(0.5) {
 		few := []fault{}
 		for range 3 {
-			few = append(few, w.draws[w.rnd.IntN(len(w.draws))])
+			few = append(few, w.candidateFaults[w.rng.IntN(len(w.candidateFaults))])
 		}
-		w.draws = append(few, wipe)
+		w.candidateFaults = append(few, wipe)
 	}
 }
 
-// cut takes one machine's links away, or one link, both ways or one.
+// cut interrupts all connections of a machine, or one connection, in both directions or one.
 func (w *World) cut(h *host, d time.Duration) {
 	to, from := w.chance(0.7), true
 	if !to {
 		from = w.chance(0.7)
 	}
 	single := w.chance(0.3)
-	other := w.someone()
-	w.Log("%v %s is cut for %v: to %v from %v single %v %s", w.now, h.addr, d, to, from, single, other.addr)
-	w.lost(h, d)
+	other := w.randomHost()
+	w.Log("%v %s is cut off for %v: to %v, from %v, single connection %v, other %s", w.now, h.addr, d, to, from, single, other.addr)
+	w.markLost(h, d)
 	for _, o := range w.hosts {
 		if o == h || single && o != other {
 			continue
@@ -218,10 +220,10 @@
 	}
 }
 
-// split parts the machines in two, both ways or one.
+// split partitions the machines into two groups, in both directions or one.
 func (w *World) split(_ *host, d time.Duration) {
 	oneWay := w.chance(0.2)
-	w.Log("%v split for %v, one way %v", w.now, d, oneWay)
+	w.Log("%v network is split for %v, one way %v", w.now, d, oneWay)
 	side := map[*host]bool{}
 	for _, h := range w.hosts {
 		side[h] = w.chance(0.5)
@@ -232,30 +234,30 @@
 				w.cuts[[2]string{h.addr, o.addr}] = w.now + d
 			}
 		}
-		w.lost(h, d)
+		w.markLost(h, d)
 	}
 }
 
-// roll cuts one machine off and, the moment it is back, another, so that majorities meet in few; with a loss in between
-// where the tolerance allows it.
-func (w *World) roll(h *host, d time.Duration) {
+// isolateInTurn isolates one machine and, as soon as it is back, another, so that successive majorities share few members.
+// It adds a disk loss if the tolerance allows it.
+func (w *World) isolateInTurn(h *host, d time.Duration) {
 	d = max(d, 900*ms)
 	w.isolate(h, d)
 	w.after(d, func() {
-		if w.now+d > w.until {
+		if w.now+d > w.faultsUntil {
 			return
 		}
-		o := w.aim()
+		o := w.pickTarget()
 		w.isolate(o, max(d, 1500*ms))
-		if l := w.someone(); l != o && l != h && w.mayLose(l) {
-			w.wipe(l, w.span(ms, 300*ms))
+		if l := w.randomHost(); l != o && l != h && w.withinTolerance(l) {
+			w.wipe(l, w.randomDuration(ms, 300*ms))
 		}
 	})
 }
 
 func (w *World) isolate(h *host, d time.Duration) {
-	w.Log("%v %s is alone for %v", w.now, h.addr, d)
-	w.lost(h, d)
+	w.Log("%v %s is isolated for %v", w.now, h.addr, d)
+	w.markLost(h, d)
 	for _, o := range w.hosts {
 		if o != h {
 			w.cuts[[2]string{h.addr, o.addr}], w.cuts[[2]string{o.addr, h.addr}] = w.now+d, w.now+d
@@ -263,10 +265,10 @@
 	}
 }
 
-// wipeSome takes disks within the tolerance: one, or as many as it allows.
+// wipeSome wipes disks within the tolerance: those of one machine or of its whole zone.
 func (w *World) wipeSome(h *host, d time.Duration) {
 	for _, set := range [][]*host{w.zoneOf(h), {h}} {
-		if w.mayLose(set...) && (len(set) == 1 || w.chance(0.5)) {
+		if w.withinTolerance(set...) && (len(set) == 1 || w.chance(0.5)) {
 			for _, o := range set {
 				w.wipe(o, d)
 			}
@@ -277,7 +279,7 @@
 
 func (w *World) zoneOf(h *host) []*host {
 	var out []*host
-	for _, o := range w.live() {
+	for _, o := range w.remainingHosts() {
 		if o.zone == h.zone {
 			out = append(out, o)
 		}
@@ -285,9 +287,9 @@
 	return out
 }
 
-// replace removes a machine for good and adds another at a new address, before or after.
+// replace removes a machine for good and adds another at a new address, before or after the removal.
 func (w *World) replace(h *host) {
-	if !w.mayLose(h) || len(w.hosts) > w.o.Nodes+w.replacementsMost() || len(w.live()) < 2 {
+	if !w.withinTolerance(h) || len(w.hosts) > w.options.Nodes+w.maxReplacements() || len(w.remainingHosts()) < 2 {
 		return
 	}
 	planned := w.chance(0.5)
@@ -295,59 +297,59 @@
 	w.Log("%v %s is replaced, planned %v", w.now, h.addr, planned)
 	leave := func() {
 		w.stop(h)
-		h.gone, h.disk, h.wipedAt = true, nil, w.now
+		h.removed, h.disk, h.diskLostAt = true, nil, w.now
 	}
-	in := w.span(0, 2500*ms)
-	w.lost(h, in)
+	delay := w.randomDuration(0, 2500*ms)
+	w.markLost(h, delay)
 	add := func() {
 		n := w.addHost(false)
 		n.zone, n.region = h.zone, h.region
-		w.lost(n, 0)
-		w.lost(h, 0)
+		w.markLost(n, 0)
+		w.markLost(h, 0)
 	}
 	if planned {
 		add()
-		w.after(in, func() { w.lost(h, handOverMost); w.handOver(h, leave) })
+		w.after(delay, func() { w.markLost(h, handOverTimeout); w.handOver(h, leave) })
 		return
 	}
 	leave()
-	w.after(min(in, max(0, w.until-w.now)), add)
+	w.after(min(delay, max(0, w.faultsUntil-w.now)), add)
 }
 
-// herd kills many at once, with their disks kept.
-func (w *World) herd(d time.Duration) {
+// killMany kills many processes at once; their disks are kept.
+func (w *World) killMany(d time.Duration) {
 	all := w.chance(0.5)
 	d = min(d, 2500*ms)
-	w.Log("%v herd is killed for %v, all %v", w.now, d, all)
-	w.keepOdds = w.rnd.Float64()
-	for _, h := range w.live() {
+	w.Log("%v many processes are killed for up to %v, all: %v", w.now, d, all)
+	w.keepWriteProbability = w.rng.Float64()
+	for _, h := range w.remainingHosts() {
 		if all || w.chance(0.6) {
-			w.down(h, w.span(50*ms, d))
+			w.down(h, w.randomDuration(50*ms, d))
 		}
 	}
 }
 
-// wipeAll is the closing fault: all that the tolerance allows lose their disks while the rest loses power.
+// wipeAll is the most severe fault: as many machines as tolerated lose their disks while the others lose power.
 func (w *World) wipeAll() {
-	set := w.zoneOf(w.someone())
-	if w.chance(0.7) || !w.mayLose(set...) {
+	set := w.zoneOf(w.randomHost())
+	if w.chance(0.7) || !w.withinTolerance(set...) {
 		set = nil
-		for len(set) < w.o.Losses {
-			if h := w.aim(); !contains(set, h) {
+		for len(set) < w.options.Losses {
+			if h := w.pickTarget(); !contains(set, h) {
 				set = append(set, h)
 			}
 		}
 	}
-	if len(set) == 0 || !w.mayLose(set...) {
+	if len(set) == 0 || !w.withinTolerance(set...) {
 		return
 	}
 	w.Log("%v all lose power, some their disks", w.now)
-	w.keepOdds = w.rnd.Float64()
-	for _, h := range w.live() {
+	w.keepWriteProbability = w.rng.Float64()
+	for _, h := range w.remainingHosts() {
 		if contains(set, h) {
-			w.wipe(h, w.span(50*ms, 1000*ms))
+			w.wipe(h, w.randomDuration(50*ms, 1000*ms))
 		} else {
-			w.down(h, w.span(50*ms, 1000*ms))
+			w.down(h, w.randomDuration(50*ms, 1000*ms))
 		}
 	}
 }
@@ -361,12 +363,12 @@
 	return false
 }
 
-// calm ends all trouble at once.
-func (w *World) calm() {
-	w.Log("%v calm", w.now)
+// stopFaults ends all faults at once.
+func (w *World) stopFaults() {
+	w.Log("%v faults end", w.now)
 	clear(w.cuts)
-	w.loss, w.slow = 0.01, 0.02
-	for _, h := range w.live() {
-		h.frozenTo, h.stallTo, h.slowTo = min(h.frozenTo, w.now), min(h.stallTo, w.now), min(h.slowTo, w.now)
+	w.lossRate, w.slowRate = 0.01, 0.02
+	for _, h := range w.remainingHosts() {
+		h.frozenUntil, h.stalledUntil, h.slowUntil = min(h.frozenUntil, w.now), min(h.stalledUntil, w.now), min(h.slowUntil, w.now)
 	}
 }
--- a/consensus/simulation/leave.go
+++ b/consensus/simulation/leave.go
@@ -6,31 +6,31 @@
 	"peathollow/consensus"
 )
 
-// leave ends a process by plan: it is told, and ends once it has handed over or the grace is over.
+// leave shuts down a process as planned: it is notified, and ends once it has handed over or the timeout has passed.
 func (w *World) leave(h *host, d time.Duration) {
-	w.Log("%v %s is to leave", w.now, h.addr)
-	w.lost(h, d+handOverMost)
+	w.Log("%v %s is asked to leave", w.now, h.addr)
+	w.markLost(h, d+handOverTimeout)
 	w.handOver(h, func() { w.down(h, d) })
 }
 
-// handOverMost is how long a process that was told to leave goes on at most.
-const handOverMost = 2 * time.Second
+// handOverTimeout is how long a process may continue after it was asked to leave.
+const handOverTimeout = 2 * time.Second
 
-// handOver tells a process to leave, and ends it once it has.
+// handOver asks a process to leave and ends it once it has handed over.
 func (w *World) handOver(h *host, end func()) {
-	life, until := h.life, w.now+handOverMost
-	w.on(h, life, func(n *consensus.Node, now time.Duration) { n.Leave(now) })
-	var look func()
-	look = func() {
-		if h.life != life || h.node == nil {
+	incarnation, deadline := h.incarnation, w.now+handOverTimeout
+	w.runOn(h, incarnation, func(n *consensus.Node, now time.Duration) { n.Leave(now) })
+	var poll func()
+	poll = func() {
+		if h.incarnation != incarnation || h.node == nil {
 			return
 		}
-		if h.node.Left() || w.now >= until {
+		if h.node.Left() || w.now >= deadline {
 			w.Log("%v %s leaves, handed over: %v", w.now, h.addr, h.node.Left())
 			end()
 			return
 		}
-		w.after(20*ms, look)
+		w.after(20*ms, poll)
 	}
-	look()
+	poll()
 }
--- a/consensus/simulation/orders.go
+++ b/consensus/simulation/proposals.go
@@ -7,8 +7,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// standing is the model of one version: which body stands under it, none at first. The first order taken decides.
-var standing = porcupine.Model{
+// versionBodies models which body stands for a version, none at first. The first accepted proposal decides.
+var versionBodies = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) (parts [][]porcupine.Operation) {
 		byVersion := map[uint64]int{}
 		for _, x := range ops {
@@ -32,28 +32,28 @@
 		case digest == 0:
 			return true, o.doc.Digest
 		}
-		// One without a clear answer may have been refused without anybody hearing of it.
-		return !o.done || digest == o.doc.Digest, digest
+		// A call without a clear result may have been refused without any client seeing it.
+		return !o.completed || digest == o.doc.Digest, digest
 	},
 }
 
-// checkOrders checks the history of proposals against a register that keeps one body a version.
-func (w *World) checkOrders() {
+// checkProposalHistory checks the proposals against a register that keeps one body per version.
+func (w *World) checkProposalHistory() {
 	var ops []porcupine.Operation
 	for i, o := range w.clients.history {
 		if o.read {
 			continue
 		}
 		x := porcupine.Operation{ClientId: i, Input: o, Call: int64(o.from), Return: int64(o.to)}
-		if !o.done {
+		if !o.completed {
 			x.Return = math.MaxInt64
 		}
 		ops = append(ops, x)
 	}
-	switch porcupine.CheckOperationsTimeout(standing, ops, 3*time.Second) {
+	switch porcupine.CheckOperationsTimeout(versionBodies, ops, 3*time.Second) {
 	case porcupine.Illegal:
-		w.fail("the history of %d orders is not that of a register that keeps one body a version", len(ops))
+		w.fail("the history of %d proposals is not that of a register that keeps one body a version", len(ops))
 	case porcupine.Unknown:
-		w.fail("the history of %d orders was not decided in time", len(ops))
+		w.fail("the history of %d proposals was not decided in time", len(ops))
 	}
 }
--- a/consensus/simulation/world.go
+++ b/consensus/simulation/world.go
@@ -11,16 +11,16 @@
 
 const ms = time.Millisecond
 
-// Options are what a run is made of.
+// Options are the parameters of a run.
 type Options struct {
 	Seed                   uint64
-	Nodes, Places          int // machines; zones they are spread over, each in a region of its own
+	Nodes, Places          int // machines, and the zones that they are spread over, each in a region of its own
 	Losses, Zones, Regions int
-	Span                   time.Duration // of trouble, before the calm at the end
-	Gentle                 bool          // no trouble at all
-	Beyond                 bool          // losses know no tolerance: all may stand still then, but nothing untrue be told
-	Story                  Story         // in place of trouble drawn at large
-	Unmet                  bool          // the settings cannot be met: no acknowledgement may come
+	Span                   time.Duration // of the period with faults, before the quiet period at the end
+	Gentle                 bool          // no faults at all
+	Beyond                 bool          // losses may exceed the tolerance: service may stop then, but no result may be wrong
+	Story                  Story         // replaces random faults
+	Unmet                  bool          // the tolerance cannot be satisfied: nothing may be acknowledged
 	OnNew                  func(*consensus.Node)
 }
 
@@ -45,102 +45,102 @@
 	return e
 }
 
-// host is a machine: what survives its processes, and the process of the moment.
+// host is a machine: what survives its processes, and its current process.
 type host struct {
-	addr, zone, region string
-	cold               bool
-	gone               bool // removed for good
-	node               *consensus.Node
-	life               int           // changes when a process begins and when it ends
-	lives              uint64        // names the process of the moment among those of all machines
-	offset             time.Duration // its steady clock starts anywhere in each life
-	disk               *consensus.Saved
-	pending            *consensus.Write
-	frozenTo, stallTo  time.Duration
-	slowTo             time.Duration // its disk takes thirty times as long up to then
-	lostTo             time.Duration // counts as lost up to then, as the rules have it
-	wipedAt            time.Duration
-	committed          uint64
+	addr, zone, region        string
+	coldStart                 bool
+	removed                   bool // for good
+	node                      *consensus.Node
+	incarnation               int           // changes when a process starts and when it ends
+	processID                 uint64        // identifies the current process among those of all machines
+	offset                    time.Duration // start of the monotonic clock, random for each process
+	disk                      *consensus.Saved
+	pending                   *consensus.Write
+	frozenUntil, stalledUntil time.Duration
+	slowUntil                 time.Duration // until then disk writes take 30 times as long
+	lostUntil                 time.Duration // until then the machine counts as lost under the tolerance rules
+	diskLostAt                time.Duration
+	committed                 uint64
 }
 
-// World is one run.
+// World is the state of one simulation run.
 type World struct {
-	o               Options
-	rnd             *rand.Rand
-	now             time.Duration
-	seq             uint64
-	queue           events
-	hosts           []*host
-	cuts            map[[2]string]time.Duration // from, to: until
-	loss            float64
-	slow            float64
-	drawn           int
-	processes       uint64
-	syncMost        time.Duration // how long a sync takes at most
-	wipes, replaced int
-	blows           int // losses of the story of that name
-	draws           []fault
-	armed           fault
-	trigger         consensus.Kind
-	keepOdds        float64 // of a write under way at the end of a process
-	clients         clients
-	seen            seen
-	err             error
-	until           time.Duration // trouble ends
-	Log             func(string, ...any)
+	options              Options
+	rng                  *rand.Rand
+	now                  time.Duration
+	seq                  uint64
+	queue                events
+	hosts                []*host
+	cuts                 map[[2]string]time.Duration // sender and receiver to the end of the cut
+	lossRate             float64
+	slowRate             float64
+	drawnDisks           int
+	processCount         uint64
+	maxSync              time.Duration // longest duration of a sync
+	wipes, replaced      int
+	lossesInjected       int // by the scenario Losses
+	candidateFaults      []fault
+	armedFault           fault
+	triggerKind          consensus.Kind
+	keepWriteProbability float64 // that a write in progress reaches the disk when its process ends
+	clients              clients
+	observed             observed
+	err                  error
+	faultsUntil          time.Duration
+	Log                  func(string, ...any)
 }
 
-// New builds the machines, all of them started cold.
+// New creates the machines, all with a cold start.
 func New(o Options) *World {
-	w := &World{o: o, rnd: rand.New(rand.NewPCG(o.Seed, 7)), cuts: map[[2]string]time.Duration{}, loss: 0.01, slow: 0.02,
-		until: o.Span, Log: func(string, ...any) {}}
+	w := &World{options: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), cuts: map[[2]string]time.Duration{}, lossRate: 0.01,
+		slowRate: 0.02, faultsUntil: o.Span, Log: func(string, ...any) {}}
 	w.clients.answers = map[uint64]*op{}
-	w.seen.init()
-	w.syncMost = 8 * ms
+	w.observed.init()
+	w.maxSync = 8 * ms
 	if w.chance(0.2) {
-		w.syncMost = 60 * ms
+		w.maxSync = 60 * ms
 	}
 	for range o.Nodes {
-		w.lost(w.addHost(true), 0) // a new machine counts as lost at first
+		w.markLost(w.addHost(true), 0) // a new machine counts as lost at first
 	}
 	return w
 }
 
-func (w *World) addHost(cold bool) *host {
+func (w *World) addHost(coldStart bool) *host {
 	i := len(w.hosts)
-	place := i % max(1, w.o.Places)
-	h := &host{addr: fmt.Sprintf("a%02d", i), zone: fmt.Sprintf("z%d", place), region: fmt.Sprintf("r%d", place), cold: cold,
-		wipedAt: -time.Hour}
+	place := i % max(1, w.options.Places)
+	h := &host{addr: fmt.Sprintf("a%02d", i), zone: fmt.Sprintf("z%d", place), region: fmt.Sprintf("r%d", place),
+		coldStart: coldStart, diskLostAt: -time.Hour}
 	w.hosts = append(w.hosts, h)
-	w.after(w.span(0, 100*ms), func() { w.start(h) })
+	w.after(w.randomDuration(0, 100*ms), func() { w.start(h) })
 	return h
 }
 
-// seeds are as the operator's list had them when the settings were written: those of the first start for a machine that
-// had them, as likely as newer ones; all of them may be gone.
+// seeds returns the seed addresses from the operator's list at the time the settings were written. A machine from the first
+// start has, with equal probability, the original list or a newer one. All listed machines may be gone.
 func (w *World) seeds(h *host) []string {
 	var out []string
-	old := h.cold && w.chance(0.5)
+	old := h.coldStart && w.chance(0.5)
 	for i, h := range w.hosts {
-		if (!h.gone || old && i < 3) && len(out) < 3 {
+		if (!h.removed || old && i < 3) && len(out) < 3 {
 			out = append(out, h.addr)
 		}
 	}
 	return out
 }
 
-func (w *World) span(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rnd.Int64N(max(0, int64(most-least))+1))
+func (w *World) randomDuration(least, most time.Duration) time.Duration {
+	return least + time.Duration(w.rng.Int64N(max(0, int64(most-least))+1))
 }
 
-func (w *World) chance(p float64) bool { return w.rnd.Float64() < p }
+func (w *World) chance(p float64) bool { return w.rng.Float64() < p }
 
 func (w *World) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + d, w.seq, do})
 }
 
-// run plays all events up to a moment, or to the first broken check.
+// run processes all events up to a time, or until the first check fails.
 func (w *World) run(to time.Duration) {
 	for w.err == nil && len(w.queue) > 0 && w.queue[0].at <= to {
 		e := heap.Pop(&w.queue).(event)
@@ -157,59 +157,59 @@
 }
 
 func (w *World) start(h *host) {
-	if h.gone || h.node != nil {
+	if h.removed || h.node != nil {
 		return
 	}
-	h.life++
-	h.offset = w.span(0, time.Hour)
+	h.incarnation++
+	h.offset = w.randomDuration(0, time.Hour)
 	h.committed = 0
-	w.processes++
-	h.lives = w.processes
-	h.frozenTo = 0
-	w.drawn++
-	id := consensus.ID(fmt.Sprintf("d%03d", w.drawn))
+	w.processCount++
+	h.processID = w.processCount
+	h.frozenUntil = 0
+	w.drawnDisks++
+	id := consensus.ID(fmt.Sprintf("d%03d", w.drawnDisks))
 	h.node = consensus.New(consensus.Config{ID: id, Addr: h.addr, Zone: h.zone, Region: h.region, Counts: true,
-		Losses: w.o.Losses, Zones: w.o.Zones, Regions: w.o.Regions, ColdStart: h.cold && h.disk == nil, Seeds: w.seeds(h),
-		Seed: w.rnd.Uint64()}, h.disk, h.offset+w.now)
-	if w.o.OnNew != nil {
-		w.o.OnNew(h.node)
+		Losses: w.options.Losses, Zones: w.options.Zones, Regions: w.options.Regions, ColdStart: h.coldStart && h.disk == nil,
+		Seeds: w.seeds(h), Seed: w.rng.Uint64()}, h.disk, h.offset+w.now)
+	if w.options.OnNew != nil {
+		w.options.OnNew(h.node)
 	}
 	w.Log("%v %s starts as %s", w.now, h.addr, h.node.ID())
-	w.act(h)
-	w.tick(h, h.life)
+	w.performActions(h)
+	w.tick(h, h.incarnation)
 }
 
-func (w *World) tick(h *host, life int) {
-	w.after(w.span(45*ms, 60*ms), func() {
-		if h.life == life && h.node != nil {
-			w.on(h, life, func(n *consensus.Node, now time.Duration) { n.Tick(now) })
-			w.tick(h, life)
+func (w *World) tick(h *host, incarnation int) {
+	w.after(w.randomDuration(45*ms, 60*ms), func() {
+		if h.incarnation == incarnation && h.node != nil {
+			w.runOn(h, incarnation, func(n *consensus.Node, now time.Duration) { n.Tick(now) })
+			w.tick(h, incarnation)
 		}
 	})
 }
 
-// on lets a process handle something, once it is not frozen, if it still lives.
-func (w *World) on(h *host, life int, do func(*consensus.Node, time.Duration)) {
-	if h.node == nil || h.life != life {
+// runOn executes an event on a process as soon as it is not frozen, provided that the process still exists.
+func (w *World) runOn(h *host, incarnation int, do func(*consensus.Node, time.Duration)) {
+	if h.node == nil || h.incarnation != incarnation {
 		return
 	}
-	if w.now < h.frozenTo {
-		// What waited comes in any order: it waited at different sockets.
-		w.after(h.frozenTo-w.now+w.span(0, 30*ms)*time.Duration(w.rnd.IntN(2)), func() { w.on(h, life, do) })
+	if w.now < h.frozenUntil {
+		// Delayed events arrive in any order, since they waited at different sockets.
+		w.after(h.frozenUntil-w.now+w.randomDuration(0, 30*ms)*time.Duration(w.rng.IntN(2)), func() { w.runOn(h, incarnation, do) })
 		return
 	}
 	do(h.node, h.offset+w.now)
-	w.act(h)
+	w.performActions(h)
 }
 
-func (w *World) act(h *host) {
+func (w *World) performActions(h *host) {
 	a := h.node.Take()
 	for _, wr := range a.Writes {
 		w.sync(h, wr)
 	}
 	for _, m := range a.Sends {
 		w.checkSent(h, m)
-		w.carry(m)
+		w.deliver(m)
 	}
 	for _, an := range a.Answers {
 		w.clients.onAnswer(w, h, an)
@@ -219,31 +219,31 @@
 
 func (w *World) sync(h *host, wr consensus.Write) {
 	if h.pending != nil {
-		w.fail("%s: two writes at once", h.addr)
+		w.fail("%s: two writes in progress", h.addr)
 	}
-	life := h.life
+	incarnation := h.incarnation
 	h.pending = &wr
-	d := w.span(2*ms, w.syncMost)
-	if w.now < h.slowTo {
+	d := w.randomDuration(2*ms, w.maxSync)
+	if w.now < h.slowUntil {
 		d *= 30
 	}
 	var done func()
 	done = func() {
-		if h.life != life || h.pending == nil {
+		if h.incarnation != incarnation || h.pending == nil {
 			return
 		}
-		if w.now < h.stallTo {
-			w.after(h.stallTo-w.now+ms, done)
+		if w.now < h.stalledUntil {
+			w.after(h.stalledUntil-w.now+ms, done)
 			return
 		}
-		h.keep()
-		w.on(h, life, func(n *consensus.Node, now time.Duration) { n.Saved(now, wr.Token) })
+		h.flush()
+		w.runOn(h, incarnation, func(n *consensus.Node, now time.Duration) { n.Saved(now, wr.Token) })
 	}
 	w.after(d, done)
 }
 
-// keep puts the pending write on the disk.
-func (h *host) keep() {
+// flush moves the pending write to the disk.
+func (h *host) flush() {
 	if h.disk == nil {
 		h.disk = &consensus.Saved{}
 	}
@@ -258,40 +258,40 @@
 	h.disk, h.pending = &s, nil
 }
 
-// stop ends a process. A write under way may have reached the disk or not.
+// stop ends a process. A write in progress may or may not have reached the disk.
 func (w *World) stop(h *host) {
 	if h.node == nil {
 		return
 	}
-	if h.pending != nil && w.chance(w.keepOdds) {
-		h.keep()
+	if h.pending != nil && w.chance(w.keepWriteProbability) {
+		h.flush()
 	}
 	h.node, h.pending = nil, nil
-	h.life++
+	h.incarnation++
 }
 
-func (w *World) carry(m consensus.Message) {
-	w.spring(m)
-	if w.now < w.cuts[[2]string{m.FromAddr, m.ToAddr}] || w.chance(w.loss) {
+func (w *World) deliver(m consensus.Message) {
+	w.triggerArmedFault(m)
+	if w.now < w.cuts[[2]string{m.FromAddr, m.ToAddr}] || w.chance(w.lossRate) {
 		return
 	}
-	for range 1 + w.rnd.IntN(1+w.rnd.IntN(2)) {
-		d := w.span(100*time.Microsecond, 3*ms)
-		if w.chance(w.slow) {
-			d = w.span(10*ms, 600*ms)
+	for range 1 + w.rng.IntN(1+w.rng.IntN(2)) {
+		d := w.randomDuration(100*time.Microsecond, 3*ms)
+		if w.chance(w.slowRate) {
+			d = w.randomDuration(10*ms, 600*ms)
 		}
-		if w.chance(w.slow / 20) {
-			d = w.span(500*ms, 5000*ms)
+		if w.chance(w.slowRate / 20) {
+			d = w.randomDuration(500*ms, 5000*ms)
 		}
 		w.after(d, func() {
-			if h := w.at(m.ToAddr); h != nil && w.now >= w.cuts[[2]string{m.FromAddr, m.ToAddr}] {
-				w.on(h, h.life, func(n *consensus.Node, now time.Duration) { n.Receive(now, m) })
+			if h := w.hostAt(m.ToAddr); h != nil && w.now >= w.cuts[[2]string{m.FromAddr, m.ToAddr}] {
+				w.runOn(h, h.incarnation, func(n *consensus.Node, now time.Duration) { n.Receive(now, m) })
 			}
 		})
 	}
 }
 
-func (w *World) at(addr string) *host {
+func (w *World) hostAt(addr string) *host {
 	for _, h := range w.hosts {
 		if h.addr == addr && h.node != nil {
 			return h
