--- a/consensus/export_test.go
+++ b/consensus/export_test.go
@@ -1,7 +1,7 @@
 package consensus
 
-// Plants maps the names of the faults that tests of the simulation inject.
-var Plants = map[string]func(*Node){
+// InjectedFaults maps the names of the faults that tests of the simulation inject.
+var InjectedFaults = map[string]func(*Node){
 	"ack before the backups":         func(n *Node) { n.faults.ackEarly = true },
 	"backup answers before its disk": func(n *Node) { n.faults.ackUnsynced = true },
 	"promise before the disk":        func(n *Node) { n.faults.forgetPromise = true },
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -36,7 +36,7 @@
 		seed := firstSeed() + uint64(i)
 		for _, s := range []shape{{3, 3, 1, 0, 0}, {5, 3, 1, 0, 0}, {5, 3, 2, 0, 0}, {9, 3, 2, 0, 0}, {5, 3, 1, 1, 0}, {9, 3, 3, 0, 1}} {
 			o := s.options(seed)
-			o.Story, o.Beyond, o.Span = simulation.Losses, false, 90*time.Second
+			o.Scenario, o.ExceedTolerance, o.Span = simulation.SuccessiveLosses, false, 90*time.Second
 			r, err := simulation.Play(o, nil)
 			if err != nil {
 				t.Errorf("seed %d, %+v: %v", seed, s, err)
@@ -58,13 +58,13 @@
 
 func (s shape) options(seed uint64) simulation.Options {
 	o := simulation.Options{Seed: seed, Nodes: s.nodes, Places: s.places, Losses: s.losses, Zones: s.zones, Regions: s.regions,
-		Span: 15 * time.Second, Beyond: seed%4 == 3}
+		Span: 15 * time.Second, ExceedTolerance: seed%4 == 3}
 	if seed%16 == 5 {
 		o.Span = 45 * time.Second // long enough for network cuts of 20 s
 	}
 	if seed%8 >= 6 {
-		stories := simulation.Stories()
-		o.Story = stories[seed/8%uint64(len(stories))]
+		scenarios := simulation.Scenarios()
+		o.Scenario = scenarios[seed/8%uint64(len(scenarios))]
 	}
 	return o
 }
@@ -88,7 +88,7 @@
 	for _, s := range shapes {
 		t.Run(fmt.Sprintf("%+v", s), func(t *testing.T) {
 			o := s.options(1)
-			o.Gentle, o.Span = true, 4*time.Second
+			o.NoFaults, o.Span = true, 4*time.Second
 			r, err := simulation.Play(o, nil)
 			must.NoError(t, err)
 			must.Eq(t, 0, r.Open)
@@ -103,7 +103,7 @@
 	seed, err := strconv.ParseUint(os.Getenv("CONSENSUS_ONE"), 10, 64)
 	must.NoError(t, err)
 	o := shapes[seed%uint64(len(shapes))].options(seed)
-	o.OnNew = consensus.Plants[os.Getenv("CONSENSUS_PLANT")]
+	o.OnNew = consensus.InjectedFaults[os.Getenv("CONSENSUS_PLANT")]
 	_, err = simulation.Play(o, t.Logf)
 	must.NoError(t, err)
 }
@@ -124,7 +124,7 @@
 	for _, s := range []shape{{3, 1, 3, 0, 0}, {2, 1, 1, 0, 0}, {3, 1, 0, 1, 0}, {4, 2, 0, 0, 2}, {4, 3, 2, 0, 0}} {
 		t.Run(fmt.Sprintf("%+v", s), func(t *testing.T) {
 			o := s.options(1)
-			o.Unmet, o.Gentle, o.Span = true, true, 4*time.Second
+			o.Unsatisfiable, o.NoFaults, o.Span = true, true, 4*time.Second
 			_, err := simulation.Play(o, nil)
 			must.NoError(t, err)
 		})
@@ -133,13 +133,13 @@
 
 // TestRecovery bounds the time without service after a single failure.
 func TestRecovery(t *testing.T) {
-	for _, b := range simulation.Blows() {
-		t.Run(string(b), func(t *testing.T) {
+	for _, failure := range simulation.Failures() {
+		t.Run(string(failure), func(t *testing.T) {
 			var all []time.Duration
 			for i := range seedCount(8) {
 				s := []shape{{3, 3, 1, 0, 0}, {5, 3, 1, 0, 0}, {9, 3, 2, 0, 0}}[i%3]
 				o := s.options(firstSeed() + uint64(i))
-				d, err := simulation.Recovery(o, b)
+				d, err := simulation.Recovery(o, failure)
 				must.NoError(t, err)
 				all = append(all, d)
 			}
@@ -151,9 +151,9 @@
 }
 
 // faultScenarios holds the scenarios for those injected faults that random faults rarely expose.
-var faultScenarios = map[string]simulation.Story{
+var faultScenarios = map[string]simulation.Scenario{
 	"no new stamp at a take-over": simulation.Successors, "own copy taken for committed": simulation.Successors,
-	"lost members stay": simulation.Losses, "read without asking": simulation.Sleeper, "vote for a lost disk": simulation.Rota,
+	"lost members stay": simulation.SuccessiveLosses, "read without asking": simulation.PausedPrimary, "vote for a lost disk": simulation.RotatingIsolation,
 }
 
 // searchStart is where the search for a detecting seed begins, a little before a seed that detects the fault, to keep the
@@ -165,14 +165,14 @@
 
 // TestPlants checks that each injected fault is detected within a number of seeds; -v shows which check detects it.
 func TestPlants(t *testing.T) {
-	for _, name := range slices.Sorted(maps.Keys(consensus.Plants)) {
+	for _, name := range slices.Sorted(maps.Keys(consensus.InjectedFaults)) {
 		t.Run(name, func(t *testing.T) {
 			for i := range uint64(seedCount(1000)) {
 				seed := searchStart[name] + firstSeed() + i
 				o := shapes[seed%uint64(len(shapes))].options(seed)
-				o.OnNew = consensus.Plants[name]
+				o.OnNew = consensus.InjectedFaults[name]
 				if p := faultScenarios[name]; p != "" {
-					o.Story = p
+					o.Scenario = p
 				}
 				if _, err := simulation.Play(o, nil); err != nil {
 					t.Logf("seed %d: %v", seed, err)
--- a/consensus/simulation/check.go
+++ b/consensus/simulation/check.go
@@ -184,10 +184,10 @@
 			holders = append(holders, place{o.zone, o.region})
 		}
 	}
-	if w.options.Unmet {
+	if w.options.Unsatisfiable {
 		w.fail("%s: version %d is committed although the tolerance cannot be satisfied", h.addr, d.Version)
 	}
-	if !w.options.Beyond && !w.meetsTolerance(holders) {
+	if !w.options.ExceedTolerance && !w.meetsTolerance(holders) {
 		w.fail("version %d is committed with copies on %v only", d.Version, holders)
 	}
 }
--- a/consensus/simulation/clients.go
+++ b/consensus/simulation/clients.go
@@ -67,7 +67,7 @@
 	}
 	v := c.highestProposed + 1
 	switch {
-	case w.options.Story == Successors:
+	case w.options.Scenario == Successors:
 		v = max(2, c.highestProposed+uint64(w.rng.IntN(3))) - 1
 	case c.highestProposed > 0 && w.chance(0.25):
 		v = c.highestProposed
@@ -80,7 +80,7 @@
 
 func (w *World) startCall(client int, read bool, d consensus.Doc) *op {
 	o := &op{client: client, read: read, doc: d, from: w.now, minVersion: w.clients.highestAcknowledged, timeout: clientTimeout}
-	if read && !w.options.Gentle {
+	if read && !w.options.NoFaults {
 		o.timeout = w.randomDuration(100*ms, clientTimeout)
 	}
 	w.clients.history = append(w.clients.history, o)
--- a/consensus/simulation/faults.go
+++ b/consensus/simulation/faults.go
@@ -58,7 +58,7 @@
 
 // maxReplacements bounds the number of replacement machines.
 func (w *World) maxReplacements() int {
-	if w.options.Story == Losses {
+	if w.options.Scenario == SuccessiveLosses {
 		return 16
 	}
 	return 6
@@ -66,7 +66,7 @@
 
 // withinTolerance reports whether losing these machines, besides those that count as lost now, is within the tolerance.
 func (w *World) withinTolerance(add ...*host) bool {
-	if w.options.Beyond {
+	if w.options.ExceedTolerance {
 		return true
 	}
 	set := map[*host]bool{}
--- a/consensus/simulation/losses.go
+++ b/consensus/simulation/losses.go
@@ -47,7 +47,7 @@
 // checkRepaired checks, when the previous losses count as over, that the newest epoch survives any further tolerated loss:
 // the remaining members form a majority, and one of them holds a copy of everything committed.
 func (w *World) checkRepaired() {
-	if w.options.Beyond || w.options.Unmet || w.options.Losses == 0 || w.lossesInjected == 0 {
+	if w.options.ExceedTolerance || w.options.Unsatisfiable || w.options.Losses == 0 || w.lossesInjected == 0 {
 		return
 	}
 	further := w.options.Losses
--- a/consensus/simulation/run.go
+++ b/consensus/simulation/run.go
@@ -18,16 +18,16 @@
 	for i := range 4 {
 		w.after(w.randomDuration(0, 300*ms), func() { w.client(i) })
 	}
-	if o.Story != "" {
+	if o.Scenario != "" {
 		w.after(w.randomDuration(500*ms, 2000*ms), w.runScenario)
-	} else if !o.Gentle {
+	} else if !o.NoFaults {
 		w.chooseFaults()
 		w.after(w.randomDuration(500*ms, 5000*ms), w.injectFault)
 	}
 	w.run(o.Span)
 	w.stopFaults()
 	w.run(o.Span + 3000*ms)
-	if !o.Beyond {
+	if !o.ExceedTolerance {
 		w.checkFinalCalls()
 	}
 	w.checkLinearizable()
@@ -55,12 +55,12 @@
 		o := w.startCall(9, read, d)
 		o.timeout = clientTimeout
 		w.run(w.now + 1500*ms)
-		if w.options.Unmet {
+		if w.options.Unsatisfiable {
 			w.checkBlockedReason()
 		}
-		if w.err == nil && o.completed == w.options.Unmet {
+		if w.err == nil && o.completed == w.options.Unsatisfiable {
 			w.fail("in calm: read %v, answered %v, unsatisfiable tolerance %v; %d attempts",
-				read, o.completed, w.options.Unmet, o.attempts)
+				read, o.completed, w.options.Unsatisfiable, o.attempts)
 		}
 	}
 }
@@ -77,45 +77,46 @@
 	}
 }
 
-// Blow is a single failure without other faults; Recovery measures its effect.
-type Blow string
+// Failure is a single failure without other faults; Recovery measures its effect.
+type Failure string
 
 // The failures that Recovery measures.
 const (
-	PrimaryKilled Blow = "primary killed for good"
-	PrimaryFrozen Blow = "primary frozen for 5 s"
-	PrimaryStuck  Blow = "disk of the primary hangs for 5 s"
-	PrimaryAlone  Blow = "primary alone for 5 s"
-	PrimaryWiped  Blow = "primary loses its disk, back in 200 ms"
-	BackupStuck   Blow = "disk of a backup hangs for 5 s"
-	AllKilled     Blow = "all killed, back within 1 s"
-	AllWiped      Blow = "all lose power, back within 1 s, some without disks"
+	PrimaryKilled      Failure = "primary killed for good"
+	PrimaryFrozen      Failure = "primary frozen for 5 s"
+	PrimaryDiskStalled Failure = "disk of the primary hangs for 5 s"
+	PrimaryIsolated    Failure = "primary alone for 5 s"
+	PrimaryWiped       Failure = "primary loses its disk, back in 200 ms"
+	BackupDiskStalled  Failure = "disk of a backup hangs for 5 s"
+	AllKilled          Failure = "all killed, back within 1 s"
+	AllWiped           Failure = "all lose power, back within 1 s, some without disks"
 )
 
-// Blows returns all failures.
-func Blows() []Blow {
-	return []Blow{PrimaryKilled, PrimaryFrozen, PrimaryStuck, PrimaryAlone, PrimaryWiped, BackupStuck, AllKilled, AllWiped}
+// Failures returns all failures.
+func Failures() []Failure {
+	return []Failure{PrimaryKilled, PrimaryFrozen, PrimaryDiskStalled, PrimaryIsolated, PrimaryWiped, BackupDiskStalled,
+		AllKilled, AllWiped}
 }
 
-func (w *World) inject(b Blow) (back time.Duration) {
+func (w *World) inject(failure Failure) (back time.Duration) {
 	lead, others := w.primary()
 	backup := others[0]
-	switch b {
+	switch failure {
 	case PrimaryKilled:
 		w.down(lead, time.Hour)
 	case PrimaryFrozen:
 		lead.frozenUntil = w.now + 5*time.Second
-	case PrimaryStuck:
+	case PrimaryDiskStalled:
 		lead.stalledUntil = w.now + 5*time.Second
-	case PrimaryAlone:
+	case PrimaryIsolated:
 		w.isolate(lead, 5*time.Second)
 	case PrimaryWiped:
 		w.wipe(lead, 200*ms)
-	case BackupStuck:
+	case BackupDiskStalled:
 		backup.stalledUntil = w.now + 5*time.Second
 	default:
 		for i, h := range w.hosts {
-			if b == AllWiped && i < w.options.Losses {
+			if failure == AllWiped && i < w.options.Losses {
 				w.wipe(h, w.randomDuration(50*ms, time.Second))
 			} else {
 				w.down(h, w.randomDuration(50*ms, time.Second))
@@ -128,12 +129,12 @@
 
 // Recovery returns how long after a failure the first proposal that begins then is acknowledged and a following read is
 // answered. For failures of all machines the time starts when the last one is back.
-func Recovery(o Options, b Blow) (time.Duration, error) {
+func Recovery(o Options, failure Failure) (time.Duration, error) {
 	w := New(o)
 	w.run(5 * time.Second)
 	w.startCall(1, false, w.drawDocument())
 	w.run(w.now + time.Second)
-	from := w.now + w.inject(b)
+	from := w.now + w.inject(failure)
 	w.run(from)
 	for _, read := range []bool{false, true} {
 		d := consensus.Doc{}
--- a/consensus/simulation/scenarios.go
+++ b/consensus/simulation/scenarios.go
@@ -2,19 +2,22 @@
 
 import "time"
 
-// Story is a scenario of related faults with random details, which random faults meet only once in thousands of runs.
-type Story string
+// Scenario is a sequence of related faults with random details. Independent random faults produce such a sequence only once
+// in thousands of runs.
+type Scenario string
 
 // The scenarios.
 const (
-	Successors Story = "successors" // primaries fail in turn while a document is being written, several bodies per version
-	Sleeper    Story = "sleeper"    // a primary is paused, resumes and receives reads before any message
-	Rota       Story = "rota"       // a backup is cut off; when it is back the primary is, and the third loses its disk
-	Losses     Story = "losses"     // one loss after another, each as soon as the rules allow it
+	Successors        Scenario = "successors" // primaries fail in turn while a document is being written, with several bodies per version
+	PausedPrimary     Scenario = "sleeper"    // a primary is paused, resumes and receives reads before any message
+	RotatingIsolation Scenario = "rota"       // a backup is cut off; when it is back the primary is, and the third loses its disk
+	SuccessiveLosses  Scenario = "losses"     // one loss after another, each as soon as the rules allow it
 )
 
-// Stories returns all scenarios.
-func Stories() []Story { return []Story{Successors, Sleeper, Rota, Losses} }
+// Scenarios returns all scenarios.
+func Scenarios() []Scenario {
+	return []Scenario{Successors, PausedPrimary, RotatingIsolation, SuccessiveLosses}
+}
 
 // primary returns the newest active primary and all other running machines.
 func (w *World) primary() (lead *host, others []*host) {
@@ -45,14 +48,14 @@
 		return
 	}
 	pause := 3 * time.Second
-	switch w.options.Story {
+	switch w.options.Scenario {
 	case Successors:
 		pause = w.failPrimaryDuringWrite(lead, others)
-	case Sleeper:
+	case PausedPrimary:
 		w.pausePrimary(lead)
-	case Rota:
+	case RotatingIsolation:
 		w.rotateIsolation(lead, others)
-	case Losses:
+	case SuccessiveLosses:
 		pause = w.nextLoss(lead, others)
 	}
 	w.after(min(pause, max(ms, w.faultsUntil-w.now)), w.runScenario)
--- a/consensus/simulation/world.go
+++ b/consensus/simulation/world.go
@@ -17,10 +17,10 @@
 	Nodes, Places          int // machines, and the zones that they are spread over, each in a region of its own
 	Losses, Zones, Regions int
 	Span                   time.Duration // of the period with faults, before the quiet period at the end
-	Gentle                 bool          // no faults at all
-	Beyond                 bool          // losses may exceed the tolerance: service may stop then, but no result may be wrong
-	Story                  Story         // replaces random faults
-	Unmet                  bool          // the tolerance cannot be satisfied: nothing may be acknowledged
+	NoFaults               bool          // no faults at all
+	ExceedTolerance        bool          // losses may exceed the tolerance: service may stop then, but no result may be wrong
+	Scenario               Scenario      // replaces random faults
+	Unsatisfiable          bool          // the tolerance cannot be satisfied: nothing may be acknowledged
 	OnNew                  func(*consensus.Node)
 }
 
@@ -78,7 +78,7 @@
 	processCount         uint64
 	maxSync              time.Duration // longest duration of a sync
 	wipes, replaced      int
-	lossesInjected       int // by the scenario Losses
+	lossesInjected       int // by the scenario SuccessiveLosses
 	candidateFaults      []fault
 	armedFault           fault
 	triggerKind          consensus.Kind
