--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -1,6 +1,7 @@
-// Package consensus keeps the control state of a cluster: one register (Doc) whose version only rises, replicated on enough
-// machines that no loss within the configured tolerance removes anything acknowledged. It is a state machine without I/O,
-// clock or goroutines: the process calls Tick, Receive, Propose, Read and Saved, and carries out the actions that Take returns.
+// Package consensus keeps the control state of a cluster: one register (Doc) whose version only rises, replicated on
+// enough machines that no loss within the configured tolerance removes anything acknowledged. It is a state machine without
+// I/O, clock or goroutines: the process calls Tick, Receive, Propose, Read and Saved, and carries out the actions that Take
+// returns.
 //
 // An epoch names a primary, its in-sync set and the members. The members keep epochs as witnesses, in a single-decree
 // register decided by majority; changes of members are joint (see witness.go, round.go and members.go). The primary
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -7,7 +7,7 @@
 
 const (
 	replaceTimeout = 3 * time.Second        // a member silent for this long is replaced by a node that wants to join
-	removeTimeout  = 8 * time.Second        // a member silent for this long is removed without replacement if enough members remain
+	removeTimeout  = 8 * time.Second        // a member silent for this long is removed if enough members remain
 	urgentTimeout  = 700 * time.Millisecond // replaces both while one more loss within the tolerance would cost the majority
 )
 
@@ -64,7 +64,7 @@
 		}
 	}
 	urgent := !n.keepsMajority(ms, n.responsiveMembers(ms))
-	silent := n.longestSilent(ms, urgentOr(urgent, urgentTimeout, replaceTimeout))
+	silent := n.longestSilent(ms, chooseTimeout(urgent, urgentTimeout, replaceTimeout))
 	for _, j := range joiners {
 		if silent >= 0 {
 			if changed := replaceMember(ms, silent, j); n.preservesTolerance(ms, changed) {
@@ -75,7 +75,7 @@
 			return larger
 		}
 	}
-	if i := n.removable(ms, silent, urgentOr(urgent, urgentTimeout, removeTimeout)); i >= 0 {
+	if i := n.removable(ms, silent, chooseTimeout(urgent, urgentTimeout, removeTimeout)); i >= 0 {
 		if smaller := slices.Delete(slices.Clone(ms), i, i+1); n.preservesTolerance(ms, smaller) {
 			return smaller
 		}
@@ -142,7 +142,7 @@
 	return n.now - p.lastHeard
 }
 
-func urgentOr(urgent bool, soon, late time.Duration) time.Duration {
+func chooseTimeout(urgent bool, soon, late time.Duration) time.Duration {
 	if urgent {
 		return soon
 	}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -29,6 +29,7 @@
 	maxMembers        = 9
 )
 
+// never is the time of an event that has not happened.
 const never = -time.Hour
 
 type heldReply struct {
@@ -138,7 +139,7 @@
 func (n *Node) Leading() (uint64, bool) { return n.known.N, n.primary != nil }
 
 // Check returns the first invariant violation that was found. After a violation the node sends no messages and answers
-// calls without results.
+// every call as Unknown.
 func (n *Node) Check() error { return n.violation }
 
 func (n *Node) recordViolation(format string, args ...any) {
--- a/consensus/primary.go
+++ b/consensus/primary.go
@@ -64,17 +64,17 @@
 
 // resetPeersForEpoch prepares the peers for a new epoch of this primary.
 func (n *Node) resetPeersForEpoch() {
-	l := n.primary
-	l.pendingInSync = nil
-	for _, p := range l.peers {
+	primary := n.primary
+	primary.pendingInSync = nil
+	for _, p := range primary.peers {
 		p.confirmedSeq = 0
 	}
 	for _, m := range n.known.allMembers() {
 		if m.ID == n.id {
 			continue
 		}
-		if p := l.peers[m.ID]; p == nil {
-			l.peers[m.ID] = &peer{Member: m, lastHeard: n.now, lastJoin: never, behindSince: never, lastSent: never}
+		if p := primary.peers[m.ID]; p == nil {
+			primary.peers[m.ID] = &peer{Member: m, lastHeard: n.now, lastJoin: never, behindSince: never, lastSent: never}
 		}
 	}
 }
@@ -127,8 +127,9 @@
 }
 
 func (n *Node) sendHeartbeat(p *peer) {
-	l := n.primary
-	m := Message{Kind: Beat, N: n.known.N, Ballot: l.ballot, Seq: l.readSeq, At: n.now, Committed: n.committed.Stamp}
+	primary := n.primary
+	m := Message{Kind: Beat, N: n.known.N, Ballot: primary.ballot, Seq: primary.readSeq, At: n.now,
+		Committed: n.committed.Stamp}
 	if p.knownEpoch != n.known.N {
 		e := *n.known
 		m.Epoch = &e
@@ -155,11 +156,11 @@
 }
 
 func (n *Node) onHeartbeatReply(m Message) {
-	l := n.primary
-	if l == nil || l.peers[m.From] == nil || m.N < l.firstEpoch || m.N > n.known.N || m.At > n.now {
+	primary := n.primary
+	if primary == nil || primary.peers[m.From] == nil || m.N < primary.firstEpoch || m.N > n.known.N || m.At > n.now {
 		return
 	}
-	p := l.peers[m.From]
+	p := primary.peers[m.From]
 	if m.At >= p.lastHeard {
 		p.lastHeard, p.stalled, p.leaving = m.At, m.Stalled, m.Leaving
 		p.Member = m.Member
@@ -169,8 +170,8 @@
 	if m.N == n.known.N {
 		if m.OK {
 			p.confirmedSeq = max(p.confirmedSeq, m.Seq)
-		} else if l.ballot.Less(m.Promised) && n.round == nil {
-			l.renewBallot = true
+		} else if primary.ballot.Less(m.Promised) && n.round == nil {
+			primary.renewBallot = true
 		}
 	}
 	n.onStored(m)
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -34,7 +34,9 @@
 	losses := 0
 	for i := range seedCount(5) {
 		seed := firstSeed() + uint64(i)
-		for _, s := range []shape{{3, 3, 1, 0, 0}, {5, 3, 1, 0, 0}, {5, 3, 2, 0, 0}, {9, 3, 2, 0, 0}, {5, 3, 1, 1, 0}, {9, 3, 3, 0, 1}} {
+		for _, s := range []shape{
+			{3, 3, 1, 0, 0}, {5, 3, 1, 0, 0}, {5, 3, 2, 0, 0}, {9, 3, 2, 0, 0}, {5, 3, 1, 1, 0}, {9, 3, 3, 0, 1},
+		} {
 			o := s.options(seed)
 			o.Scenario, o.ExceedTolerance, o.Span = simulation.SuccessiveLosses, false, 90*time.Second
 			r, err := simulation.Play(o, nil)
@@ -153,7 +155,8 @@
 // faultScenarios holds the scenarios for those injected faults that random faults rarely expose.
 var faultScenarios = map[string]simulation.Scenario{
 	"no new stamp at a take-over": simulation.Successors, "own copy taken for committed": simulation.Successors,
-	"lost members stay": simulation.SuccessiveLosses, "read without asking": simulation.PausedPrimary, "vote for a lost disk": simulation.RotatingIsolation,
+	"lost members stay": simulation.SuccessiveLosses, "read without asking": simulation.PausedPrimary,
+	"vote for a lost disk": simulation.RotatingIsolation,
 }
 
 // searchStart is where the search for a detecting seed begins, a little before a seed that detects the fault, to keep the
--- a/consensus/simulation/clients.go
+++ b/consensus/simulation/clients.go
@@ -27,7 +27,7 @@
 	lastCall            uint64
 	answers             map[uint64]*op
 	history             []*op
-	highestProposed     uint64 // highest version proposed
+	highestProposed     uint64
 	highestAcknowledged uint64 // highest version acknowledged or read
 }
 
--- a/consensus/simulation/scenarios.go
+++ b/consensus/simulation/scenarios.go
@@ -8,7 +8,7 @@
 
 // The scenarios.
 const (
-	Successors        Scenario = "successors" // primaries fail in turn while a document is being written, with several bodies per version
+	Successors        Scenario = "successors" // primaries fail in turn during a write, with several bodies per version
 	PausedPrimary     Scenario = "sleeper"    // a primary is paused, resumes and receives reads before any message
 	RotatingIsolation Scenario = "rota"       // a backup is cut off; when it is back the primary is, and the third loses its disk
 	SuccessiveLosses  Scenario = "losses"     // one loss after another, each as soon as the rules allow it
--- a/consensus/store.go
+++ b/consensus/store.go
@@ -97,11 +97,11 @@
 // tryCommit commits the copy once it is held by every node that may take over: the in-sync set and that of any proposed
 // change, since that change may be chosen without this node learning of it.
 func (n *Node) tryCommit() {
-	l := n.primary
-	if l == nil || n.violation != nil {
+	primary := n.primary
+	if primary == nil || n.violation != nil {
 		return
 	}
-	required := union(n.known.InSync, l.pendingInSync)
+	required := union(n.known.InSync, primary.pendingInSync)
 	if n.faults.forgetNext {
 		required = n.known.InSync
 	}
@@ -124,7 +124,7 @@
 		n.setCommitted(n.copy)
 		n.sendHeartbeats()
 	}
-	l.ready = true
+	primary.ready = true
 	n.answerProposals()
 	n.answerReads()
 	n.applyProposals()
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -176,7 +176,7 @@
 	At               time.Duration // the primary's monotonic time, returned unchanged
 	Stamp, Committed Stamp
 	State            State
-	OK, Take         bool
+	OK, Take         bool // OK: no higher ballot was promised; Take: the round is a takeover
 	Stalled, Leaving bool
 	Knows            uint64 // number of the newest epoch known to the sender of a Pulse or Join
 	Member           Member
