--- a/consensus/calls.go
+++ b/consensus/calls.go
@@ -8,7 +8,7 @@
 type call struct {
 	id       uint64
 	read     bool
-	doc      Doc
+	doc      Document
 	seq      uint64 // a read waits until a majority has replied to this sequence number or a later one
 	deadline time.Duration
 }
@@ -16,15 +16,15 @@
 // Propose submits a document: the register becomes d if its version is the highest, and no other body may ever have that
 // version. A node that knows of an earlier acceptance acknowledges it again, and a conflicting proposal is refused for
 // good. Both results are final, so they need no contact with other nodes.
-func (n *Node) Propose(now time.Duration, id uint64, d Doc) {
+func (n *Node) Propose(now time.Duration, id uint64, d Document) {
 	n.advanceClock(now)
 	c := call{id: id, doc: d, deadline: n.now + callTimeout}
 	switch {
 	case d.Version == 0 || n.violation != nil:
-		n.answer(c, Refused, Doc{})
+		n.answer(c, Refused, Document{})
 	case n.answerIfDecided(c):
 	case !n.acceptsCalls():
-		n.answer(c, Refused, Doc{})
+		n.answer(c, Refused, Document{})
 	default:
 		n.calls = append(n.calls, c)
 		n.applyProposals()
@@ -36,10 +36,10 @@
 func (n *Node) answerIfDecided(c call) bool {
 	switch n.committed.State.classify(c.doc) {
 	case alreadyAccepted:
-		n.answer(c, OK, Doc{})
+		n.answer(c, OK, Document{})
 	case conflicting:
 		if n.faults.anyBody {
-			n.answer(c, OK, Doc{})
+			n.answer(c, OK, Document{})
 			break
 		}
 		n.answer(c, Conflict, n.committed.State.Doc)
@@ -54,7 +54,7 @@
 	n.advanceClock(now)
 	c := call{id: id, read: true, deadline: n.now + callTimeout}
 	if !n.acceptsCalls() {
-		n.answer(c, Refused, Doc{})
+		n.answer(c, Refused, Document{})
 		return
 	}
 	n.primary.readSeq++ // a new query to the witnesses; heartbeats repeat it until it is answered
@@ -69,7 +69,7 @@
 	return n.primary != nil && n.violation == nil && len(n.calls) < maxCalls
 }
 
-func (n *Node) answer(c call, r Result, d Doc) {
+func (n *Node) answer(c call, r Result, d Document) {
 	_, addr, _ := n.Primary()
 	n.actions.Answers = append(n.actions.Answers, Answer{Call: c.id, Result: r, Doc: d, Primary: addr})
 }
@@ -107,7 +107,7 @@
 	n.calls = slices.DeleteFunc(n.calls, func(c call) bool {
 		expired := n.now >= c.deadline
 		if expired {
-			n.answer(c, Unknown, Doc{})
+			n.answer(c, Unknown, Document{})
 		}
 		return expired
 	})
--- a/consensus/copies.go
+++ b/consensus/copies.go
@@ -75,9 +75,9 @@
 	return n.meetsTolerance(n.known.Members, n.known.InSync) && n.survivesLoss(n.known.Members) && n.survivesLoss(n.known.Prev)
 }
 
-// Note explains in one line why nothing can be acknowledged at present. It is empty if changes can be acknowledged
+// BlockedReason explains in one line why nothing can be acknowledged at present. It is empty if changes can be acknowledged
 // or this node is not the primary.
-func (n *Node) Note() string {
+func (n *Node) BlockedReason() string {
 	if n.primary == nil || n.canAcknowledge() {
 		return ""
 	}
--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -1,4 +1,4 @@
-// Package consensus keeps the control state of a cluster: one register (Doc) whose version only rises, replicated on
+// Package consensus keeps the control state of a cluster: one register (Document) whose version only rises, replicated on
 // enough machines that no loss within the configured tolerance removes anything acknowledged. It is a state machine without
 // I/O, clock or goroutines: the process calls Tick, Receive, Propose, Read and Saved, and carries out the actions that Take
 // returns.
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -133,7 +133,7 @@
 }
 
 // Committed returns the newest document known to be committed; Version 0 means that none is known.
-func (n *Node) Committed() Doc { return n.committed.State.Doc }
+func (n *Node) Committed() Document { return n.committed.State.Doc }
 
 // Leading returns the number of the known epoch and whether this node is its active primary.
 func (n *Node) Leading() (uint64, bool) { return n.known.N, n.primary != nil }
@@ -208,9 +208,9 @@
 		n.handleBallot(m)
 	case Promise, Accepted, Reject:
 		n.onRoundReply(m)
-	case Beat:
+	case Heartbeat:
 		n.onHeartbeat(m)
-	case Pulse:
+	case HeartbeatReply:
 		n.onHeartbeatReply(m)
 	case Store:
 		n.onStore(m)
@@ -295,7 +295,7 @@
 
 func withUnknownResults(as []Answer) []Answer {
 	for i := range as {
-		as[i].Result, as[i].Doc = Unknown, Doc{}
+		as[i].Result, as[i].Doc = Unknown, Document{}
 	}
 	return as
 }
--- a/consensus/node_test.go
+++ b/consensus/node_test.go
@@ -70,11 +70,11 @@
 	must.LessEq(t, maxHeldReplies, len(n.heldReplies))
 
 	n = singleNode(t)
-	n.Propose(n.now, 1, Doc{Version: 1})
+	n.Propose(n.now, 1, Document{Version: 1})
 	n.Take() // never synced
 	refused := 0
 	for i := range uint64(2 * maxCalls) {
-		n.Propose(n.now, 2+i, Doc{Version: 2 + i})
+		n.Propose(n.now, 2+i, Document{Version: 2 + i})
 		for _, a := range n.Take().Answers {
 			must.Eq(t, Refused, a.Result)
 			refused++
@@ -122,7 +122,7 @@
 func TestRegister(t *testing.T) {
 	n := singleNode(t)
 	for i, step := range []struct{ propose, want uint64 }{{3, 3}, {2, 3}, {3, 3}, {7, 7}} {
-		n.Propose(n.now, uint64(i), Doc{Version: step.propose, Body: []byte{byte(i)}})
+		n.Propose(n.now, uint64(i), Document{Version: step.propose, Body: []byte{byte(i)}})
 		must.Eq(t, []Answer{{Call: uint64(i), Result: OK, Primary: "a"}}, drainAnswers(n, n.now))
 		n.Read(n.now, 99)
 		as := drainAnswers(n, n.now)
@@ -130,14 +130,14 @@
 		must.Eq(t, step.want, as[0].Doc.Version)
 	}
 	must.Eq(t, []byte{3}, n.Committed().Body)
-	n.Propose(n.now, 50, Doc{})
+	n.Propose(n.now, 50, Document{})
 	must.Eq(t, Refused, drainAnswers(n, n.now)[0].Result)
 }
 
 // A call that cannot be completed ends as unknown after its timeout, and also when the primary steps down.
 func TestCallsEnd(t *testing.T) {
 	n := singleNode(t)
-	n.Propose(n.now, 1, Doc{Version: 1})
+	n.Propose(n.now, 1, Document{Version: 1})
 	n.Take()
 	n.Tick(n.now + diskStallTimeout + tick)
 	as := n.Take().Answers
@@ -149,8 +149,8 @@
 
 func TestGobRoundTrip(t *testing.T) {
 	for _, m := range []Message{{Kind: Promise, Epoch: &Epoch{}}, {Kind: Store,
-		State: State{5, Doc{3, 9, []byte("x")}, History{}.add(3, 9)}, Stamp: Stamp{1, 5},
-		Epoch: &Epoch{N: 2, InSync: []ID{"a"}, Members: []Member{{ID: "a", Counts: true}}}}, {Kind: Beat, At: 5}} {
+		State: State{5, Document{3, 9, []byte("x")}, History{}.add(3, 9)}, Stamp: Stamp{1, 5},
+		Epoch: &Epoch{N: 2, InSync: []ID{"a"}, Members: []Member{{ID: "a", Counts: true}}}}, {Kind: Heartbeat, At: 5}} {
 		var b bytes.Buffer
 		must.NoError(t, gob.NewEncoder(&b).Encode(m))
 		var got Message
@@ -173,7 +173,7 @@
 	must.Error(t, n.Check())
 	n.Take()
 	n.Read(n.now, 1)
-	n.Propose(n.now, 2, Doc{Version: 1})
+	n.Propose(n.now, 2, Document{Version: 1})
 	for _, a := range n.Take().Answers {
 		must.NotEq(t, OK, a.Result)
 	}
--- a/consensus/orders_test.go
+++ b/consensus/orders_test.go
@@ -8,15 +8,15 @@
 	"github.com/shoenig/test/must"
 )
 
-func proposal(version uint64, body string) Doc {
+func proposal(version uint64, body string) Document {
 	digest := uint64(17)
 	for _, b := range []byte(body) {
 		digest = digest*31 + uint64(b)
 	}
-	return Doc{Version: version, Digest: digest, Body: []byte(body)}
+	return Document{Version: version, Digest: digest, Body: []byte(body)}
 }
 
-func propose(n *Node, d Doc) Result {
+func propose(n *Node, d Document) Result {
 	n.Propose(n.now, 1, d)
 	answers := drainAnswers(n, n.now)
 	if len(answers) != 1 {
@@ -59,7 +59,7 @@
 }
 
 // proposeOrUnknown returns Unknown also for a proposal that was refused.
-func proposeOrUnknown(n *Node, d Doc) Result {
+func proposeOrUnknown(n *Node, d Document) Result {
 	if r := propose(n, d); r != Refused {
 		return r
 	}
@@ -71,7 +71,7 @@
 	n := singleNode(t)
 	n.Propose(n.now, 1, proposal(1, "first"))
 	write := n.Take().Writes[0]
-	for i, d := range []Doc{proposal(4, "a"), proposal(3, "b"), proposal(4, "c"), proposal(2, "d"),
+	for i, d := range []Document{proposal(4, "a"), proposal(3, "b"), proposal(4, "c"), proposal(2, "d"),
 		proposal(3, "b"), proposal(1, "x")} {
 		n.Propose(n.now, uint64(10+i), d)
 	}
--- a/consensus/primary.go
+++ b/consensus/primary.go
@@ -57,7 +57,7 @@
 	n.primary, n.round = nil, nil
 	n.takeoverAt = n.now + n.takeoverDelay()
 	for _, c := range n.calls {
-		n.answer(c, Unknown, Doc{})
+		n.answer(c, Unknown, Document{})
 	}
 	n.calls = nil
 }
@@ -128,7 +128,7 @@
 
 func (n *Node) sendHeartbeat(p *peer) {
 	primary := n.primary
-	m := Message{Kind: Beat, N: n.known.N, Ballot: primary.ballot, Seq: primary.readSeq, At: n.now,
+	m := Message{Kind: Heartbeat, N: n.known.N, Ballot: primary.ballot, Seq: primary.readSeq, At: n.now,
 		Committed: n.committed.Stamp}
 	if p.knownEpoch != n.known.N {
 		e := *n.known
@@ -150,7 +150,7 @@
 		n.takeoverAt = n.now + n.takeoverDelay()
 	}
 	n.markCommitted(m.Committed)
-	n.reply(m, Message{Kind: Pulse, N: m.N, Seq: m.Seq, At: m.At, OK: !m.Ballot.Less(n.vote.Promised),
+	n.reply(m, Message{Kind: HeartbeatReply, N: m.N, Seq: m.Seq, At: m.At, OK: !m.Ballot.Less(n.vote.Promised),
 		Promised: n.vote.Promised, Stamp: n.synced, Knows: n.known.N, Stalled: n.diskStalled(dropTimeout), Leaving: n.leaving,
 		Member: n.self()})
 }
--- a/consensus/simulation/check.go
+++ b/consensus/simulation/check.go
@@ -34,7 +34,7 @@
 }
 
 // check verifies the invariants after each event on a machine.
-func (w *World) check(h *host, committed *consensus.Doc) {
+func (w *World) check(h *host, committed *consensus.Document) {
 	if err := h.node.Check(); err != nil {
 		w.fail("%s: %v", h.addr, err)
 	}
@@ -165,7 +165,7 @@
 
 // checkCommitted verifies that each version has one content, that versions never fall within an incarnation, and that
 // enough copies exist when a version is first seen. Machines that lost their disk within the recovery time count as holders.
-func (w *World) checkCommitted(h *host, d consensus.Doc) {
+func (w *World) checkCommitted(h *host, d consensus.Document) {
 	if d.Version <= h.committed {
 		w.fail("%s: committed version went from %d to %d", h.addr, h.committed, d.Version)
 	}
@@ -193,7 +193,7 @@
 }
 
 // has reports whether the disk holds this document or a later one.
-func (h *host) has(d consensus.Doc) bool {
+func (h *host) has(d consensus.Document) bool {
 	if h.disk == nil {
 		return false
 	}
@@ -212,9 +212,9 @@
 
 // documentRegister models a register whose version only rises.
 var documentRegister = porcupine.Model{
-	Init: func() any { return consensus.Doc{} },
+	Init: func() any { return consensus.Document{} },
 	Step: func(state, in, out any) (bool, any) {
-		s, o := state.(consensus.Doc), in.(*op)
+		s, o := state.(consensus.Document), in.(*op)
 		if o.read {
 			return !o.completed || o.doc.Version == s.Version && bytes.Equal(o.doc.Body, s.Body), s
 		}
@@ -224,7 +224,7 @@
 		return true, s
 	},
 	Equal: func(a, b any) bool {
-		x, y := a.(consensus.Doc), b.(consensus.Doc)
+		x, y := a.(consensus.Document), b.(consensus.Document)
 		return x.Version == y.Version && bytes.Equal(x.Body, y.Body)
 	},
 }
--- a/consensus/simulation/clients.go
+++ b/consensus/simulation/clients.go
@@ -13,7 +13,7 @@
 type op struct {
 	client     int
 	read       bool
-	doc        consensus.Doc // proposed or read
+	doc        consensus.Document // proposed or read
 	from, to   time.Duration
 	completed  bool // with a clear result
 	attempts   int
@@ -40,7 +40,7 @@
 	}
 	var o *op
 	if w.chance(0.55) {
-		o = w.startCall(id, true, consensus.Doc{})
+		o = w.startCall(id, true, consensus.Document{})
 	} else {
 		o = w.startCall(id, false, w.drawDocument())
 	}
@@ -58,7 +58,7 @@
 
 // drawDocument returns mostly a higher version, sometimes one that another client sends with another body, and sometimes
 // an old one.
-func (w *World) drawDocument() consensus.Doc {
+func (w *World) drawDocument() consensus.Document {
 	c := &w.clients
 	if len(c.history) > 0 && w.chance(0.1) {
 		if o := c.history[w.rng.IntN(len(c.history))]; !o.read {
@@ -78,7 +78,7 @@
 	return document(v, fmt.Sprintf("v%d-%d", v, w.rng.IntN(1000)))
 }
 
-func (w *World) startCall(client int, read bool, d consensus.Doc) *op {
+func (w *World) startCall(client int, read bool, d consensus.Document) *op {
 	o := &op{client: client, read: read, doc: d, from: w.now, minVersion: w.clients.highestAcknowledged, timeout: clientTimeout}
 	if read && !w.options.NoFaults {
 		o.timeout = w.randomDuration(100*ms, clientTimeout)
@@ -144,6 +144,6 @@
 	}
 }
 
-func document(version uint64, body string) consensus.Doc {
-	return consensus.Doc{Version: version, Digest: xxh3.HashString(body), Body: []byte(body)}
+func document(version uint64, body string) consensus.Document {
+	return consensus.Document{Version: version, Digest: xxh3.HashString(body), Body: []byte(body)}
 }
--- a/consensus/simulation/run.go
+++ b/consensus/simulation/run.go
@@ -47,7 +47,7 @@
 		return
 	}
 	for _, read := range []bool{false, true} {
-		d := consensus.Doc{}
+		d := consensus.Document{}
 		if !read {
 			w.clients.highestProposed++
 			d = document(w.clients.highestProposed, "last")
@@ -71,7 +71,7 @@
 		if h.node == nil {
 			continue
 		}
-		if _, ok := h.node.Leading(); ok && h.node.Note() == "" {
+		if _, ok := h.node.Leading(); ok && h.node.BlockedReason() == "" {
 			w.fail("%s is primary and acknowledges nothing, but reports no reason", h.addr)
 		}
 	}
@@ -137,7 +137,7 @@
 	from := w.now + w.inject(failure)
 	w.run(from)
 	for _, read := range []bool{false, true} {
-		d := consensus.Doc{}
+		d := consensus.Document{}
 		if !read {
 			d = w.drawDocument()
 		}
--- a/consensus/state.go
+++ b/consensus/state.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// Doc is a versioned document. Digest identifies the body as its author sent it; Body may be compressed.
-type Doc struct {
+// Document is a versioned document. Digest identifies the body as its author sent it; Body may be compressed.
+type Document struct {
 	Version, Digest uint64
 	Body            []byte
 }
@@ -15,7 +15,7 @@
 // Revision rises with each change, even if the document stays the same.
 type State struct {
 	Revision uint64
-	Doc      Doc
+	Doc      Document
 	Orders   History
 }
 
@@ -30,7 +30,7 @@
 )
 
 // classify decides what becomes of a proposal. alreadyAccepted and conflicting are final: no later state decides otherwise.
-func (s *State) classify(d Doc) verdict {
+func (s *State) classify(d Document) verdict {
 	digest, known := s.Orders.find(d.Version)
 	switch {
 	case known && digest == d.Digest:
@@ -46,7 +46,7 @@
 }
 
 // apply returns the state after accepting a proposal, or false if nothing changes.
-func (s State) apply(d Doc) (State, bool) {
+func (s State) apply(d Document) (State, bool) {
 	switch s.classify(d) {
 	case ahead:
 		s.Doc = d
--- a/consensus/system.go
+++ b/consensus/system.go
@@ -27,5 +27,5 @@
 	return m.System.differs(here) || m.Epoch != nil && m.Epoch.System.differs(here)
 }
 
-// Elsewhere returns the number of messages from other systems that were dropped.
-func (n *Node) Elsewhere() uint64 { return n.foreignMessages }
+// ForeignMessages returns the number of messages from other systems that were dropped.
+func (n *Node) ForeignMessages() uint64 { return n.foreignMessages }
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -150,17 +150,17 @@
 type Kind uint8
 
 const (
-	Prepare  Kind = iota + 1 // first phase of a round
-	Promise                  // positive reply to Prepare
-	Accept                   // second phase of a round
-	Accepted                 // positive reply to Accept
-	Reject                   // negative reply to Prepare or Accept
-	Beat                     // heartbeat from the primary to every node that it knows
-	Pulse                    // reply to a heartbeat
-	Store                    // a copy of the state
-	Stored                   // the copy is synced
-	Join                     // from a node that is not a member or receives no heartbeats from a primary
-	Hint                     // a newer epoch that is known to be chosen
+	Prepare        Kind = iota + 1 // first phase of a round
+	Promise                        // positive reply to Prepare
+	Accept                         // second phase of a round
+	Accepted                       // positive reply to Accept
+	Reject                         // negative reply to Prepare or Accept
+	Heartbeat                      // heartbeat from the primary to every node that it knows
+	HeartbeatReply                 // reply to a heartbeat
+	Store                          // a copy of the state
+	Stored                         // the copy is synced
+	Join                           // from a node that is not a member or receives no heartbeats from a primary
+	Hint                           // a newer epoch that is known to be chosen
 )
 
 // Message is exchanged between nodes. It may be lost, delayed, duplicated or reordered.
@@ -178,7 +178,7 @@
 	State            State
 	OK, Take         bool // OK: no higher ballot was promised; Take: the round is a takeover
 	Stalled, Leaving bool
-	Knows            uint64 // number of the newest epoch known to the sender of a Pulse or Join
+	Knows            uint64 // number of the newest epoch known to the sender of a HeartbeatReply or Join
 	Member           Member
 }
 
@@ -196,8 +196,8 @@
 type Answer struct {
 	Call    uint64
 	Result  Result
-	Doc     Doc    // the document read, or for Conflict the newest known document
-	Primary string // the primary's address, if known
+	Doc     Document // the document read, or for Conflict the newest known document
+	Primary string   // the primary's address, if known
 }
 
 // Actions are the operations that the caller must carry out.
@@ -205,5 +205,5 @@
 	Writes    []Write
 	Sends     []Message
 	Answers   []Answer
-	Committed *Doc // set if newer than any document delivered before
+	Committed *Document // set if newer than any document delivered before
 }
--- a/controlplane/calls.go
+++ b/controlplane/calls.go
@@ -16,7 +16,7 @@
 // Call is an operator's order on its way to the primary.
 type Call struct {
 	Read  bool
-	Doc   consensus.Doc
+	Doc   consensus.Document
 	Hops  int
 	Until time.Duration // what is left of its time
 }
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -255,7 +255,7 @@
 }
 
 // committed takes a configuration that is in force.
-func (c *Controller) committed(d consensus.Doc) {
+func (c *Controller) committed(d consensus.Document) {
 	m, err := c.parsed(d)
 	if err != nil {
 		c.log.Error().Str("event", "configuration").Uint64("version", d.Version).Err(err).Msg("")
@@ -267,7 +267,7 @@
 }
 
 // parsed gives a configuration that consensus holds; the machine that took the order has parsed it already.
-func (c *Controller) parsed(d consensus.Doc) (*manifest.Manifest, error) {
+func (c *Controller) parsed(d consensus.Document) (*manifest.Manifest, error) {
 	if m := c.taken.Load(); m != nil && m.Version == d.Version && xxh3.Hash(m.Raw) == d.Digest {
 		return m, nil
 	}
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -41,9 +41,9 @@
 	epoch   consensus.Epoch
 	primary string
 	next    atomic.Uint64
-	inForce atomic.Pointer[consensus.Doc] // the newest that is known to be
+	inForce atomic.Pointer[consensus.Document] // the newest that is known to be
 
-	committed func(consensus.Doc)
+	committed func(consensus.Document)
 	changed   func(consensus.Epoch) // the members, or who leads
 	leave     chan struct{}         // closed when this process is about to end by plan
 	left      chan struct{}         // closed once it has handed over
@@ -55,7 +55,7 @@
 type call struct {
 	id    uint64
 	read  bool
-	doc   consensus.Doc
+	doc   consensus.Document
 	reply chan consensus.Answer // of one place
 }
 
@@ -75,7 +75,7 @@
 			return nil
 		case <-t.C:
 			c.node.Tick(c.now())
-			if n := c.node.Note(); n != note {
+			if n := c.node.BlockedReason(); n != note {
 				note = n
 				if n != "" {
 					c.log.Warn().Str("event", "note").Str("text", n).Msg("")
@@ -111,7 +111,7 @@
 
 // tellStrangers logs that messages of other systems came, once for all since the last tick.
 func (c *core) tellStrangers() {
-	count := c.node.Elsewhere()
+	count := c.node.ForeignMessages()
 	if c.sight.elsewhere.Swap(count) == count {
 		return
 	}
--- a/controlplane/doors.go
+++ b/controlplane/doors.go
@@ -212,7 +212,7 @@
 		return fault(http.StatusBadRequest, err.Error())
 	}
 	c.taken.Store(m)
-	a, err := c.call(ctx, Call{Doc: consensus.Doc{Version: m.Version, Digest: xxh3.Hash(body), Body: manifest.Pack(body)}})
+	a, err := c.call(ctx, Call{Doc: consensus.Document{Version: m.Version, Digest: xxh3.Hash(body), Body: manifest.Pack(body)}})
 	switch {
 	case err == nil && a.Result == consensus.OK:
 		return reply{http.StatusOK, []byte("{}")}
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -126,7 +126,7 @@
 	t.Run("stored-id", checkGob[consensus.ID]("stored-id"))
 	t.Run("stored-vote", checkGob[consensus.Vote]("stored-vote"))
 	t.Run("stored-copy", checkGob[consensus.Copy]("stored-copy"))
-	t.Run("stored-doc", checkGob[consensus.Doc]("stored-doc"))
+	t.Run("stored-doc", checkGob[consensus.Document]("stored-doc"))
 	t.Run("stored-entry", checkGob[registry.Entry]("stored-entry"))
 	t.Run("call", checkGob[controlplane.Call]("call"))
 	t.Run("answer", checkGob[consensus.Answer]("answer"))
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -77,7 +77,7 @@
 }
 
 // PutForce keeps the configuration that is in force.
-func (s *Store) PutForce(d consensus.Doc) error {
+func (s *Store) PutForce(d consensus.Document) error {
 	if err := s.db.Set([]byte(keyForce), encode(d), pebble.Sync); err != nil {
 		return errors.Wrap(err, "sync configuration")
 	}
@@ -110,9 +110,9 @@
 
 // Remembered gives the configuration and the searchers last kept. A record that can't be read is passed over: both are
 // told again by others.
-func (s *Store) Remembered() (*consensus.Doc, []registry.Entry) {
-	var doc *consensus.Doc
-	var d consensus.Doc
+func (s *Store) Remembered() (*consensus.Document, []registry.Entry) {
+	var doc *consensus.Document
+	var d consensus.Document
 	if ok, err := s.read(keyForce, &d); ok && err == nil {
 		doc = &d
 	}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -29,7 +29,7 @@
 	must.Nil(t, saved)
 	vote := consensus.Vote{Promised: consensus.Ballot{Round: 3, ID: "a"}, Known: consensus.Epoch{N: 2, Primary: "a"}}
 	kept := consensus.Copy{Stamp: consensus.Stamp{Epoch: 2, Revision: 7},
-		State: consensus.State{Revision: 7, Doc: consensus.Doc{Version: 7, Body: []byte("seven")}}}
+		State: consensus.State{Revision: 7, Doc: consensus.Document{Version: 7, Body: []byte("seven")}}}
 	must.NoError(t, s.Write(&consensus.Write{Token: 1, ID: "me", Vote: &vote, Copy: &kept}))
 	s, saved, lost = reopen(t, s, dir)
 	must.NoError(t, lost)
@@ -52,7 +52,7 @@
 	entry := func(id string, st registry.State) registry.Entry {
 		return registry.Entry{Searcher: registry.Searcher{ID: id, Plant: "p", Address: "a:1", State: st, Calls: 4}, Source: "h", No: 9}
 	}
-	must.NoError(t, s.PutForce(consensus.Doc{Version: 5, Body: []byte("five")}))
+	must.NoError(t, s.PutForce(consensus.Document{Version: 5, Body: []byte("five")}))
 	must.NoError(t, s.PutSearchers([]registry.Entry{entry("i", registry.Ready), entry("j", registry.Draining)}, nil))
 	must.NoError(t, s.PutSearchers([]registry.Entry{entry("i", registry.Gone)}, nil))
 	_, list = s.Remembered()
@@ -62,7 +62,7 @@
 	must.NoError(t, lost)
 	must.Nil(t, saved) // neither is a vote or a copy
 	doc, list = s.Remembered()
-	must.Eq(t, &consensus.Doc{Version: 5, Body: []byte("five")}, doc)
+	must.Eq(t, &consensus.Document{Version: 5, Body: []byte("five")}, doc)
 	must.Eq(t, []registry.Entry{entry("j", registry.Draining)}, list)
 
 	// A searcher that can't be read is passed over.
