--- a/registry/check.go
+++ b/registry/check.go
@@ -4,86 +4,88 @@
 	"fmt"
 )
 
-// Check returns what is wrong with the registry, or nil. It costs a walk over everything.
+// Check verifies the registry's invariants and returns the first violation, or nil. It walks over all
+// records.
 func (r *Registry) Check() error {
 	var (
-		gone   int
-		leaves [leafCount]leaf
-		held   = map[string]int{}
+		tombstones int
+		leaves     [leafCount]leaf
+		entries    = map[string]int{}
 	)
-	for id, rec := range r.recs {
-		if rec.ID != id || !sound(&rec.Entry) {
+	for id, rec := range r.records {
+		if rec.ID != id || !validEntry(&rec.Entry) {
 			return fmt.Errorf("record %q holds %+v", id, rec.Entry)
 		}
 		if rec.hash != rec.sum() || rec.leaf != leafOf(id) {
-			return fmt.Errorf("%s: changed beside join", id)
+			return fmt.Errorf("%s: record changed without join", id)
 		}
 		if rec.seq == 0 || rec.seq > r.seq {
-			return fmt.Errorf("%s: place %d in a log of %d", id, rec.seq, r.seq)
+			return fmt.Errorf("%s: position %d in a log of length %d", id, rec.seq, r.seq)
 		}
-		if rec.Source == r.cfg.Name && (r.cfg.Relay || rec.No > r.no(rec.Source)) {
-			return fmt.Errorf("%s: number %d is not one of ours", id, rec.No)
+		if rec.Source == r.cfg.Name && (r.cfg.Relay || rec.No > r.numberOf(rec.Source)) {
+			return fmt.Errorf("%s: number %d was not issued by this registry", id, rec.No)
 		}
-		if rec.at.After(r.now) || rec.since.After(r.now) || rec.heard.After(r.now) {
-			return fmt.Errorf("%s: told in the future", id)
+		if rec.publishedAt.After(r.now) || rec.receivedAt.After(r.now) || rec.lastHeartbeat.After(r.now) {
+			return fmt.Errorf("%s: a timestamp lies in the future", id)
 		}
-		held[rec.Source]++
+		entries[rec.Source]++
 		leaves[rec.leaf].sum += rec.hash
 		leaves[rec.leaf].count++
 		listed := rec.State != Gone
 		if !listed {
-			gone++
+			tombstones++
 		}
-		if (r.plants[rec.Plant][id] == rec) != listed || (r.places[rec.Address][id] == rec) != listed {
-			return fmt.Errorf("%s: listed %v, the indexes disagree", id, listed)
+		if (r.services[rec.Plant][id] == rec) != listed || (r.addresses[rec.Address][id] == rec) != listed {
+			return fmt.Errorf("%s: listed is %v, but the indexes disagree", id, listed)
 		}
 	}
-	if gone != r.gone || leaves != r.leaves {
-		return fmt.Errorf("counts or digests don't match the records (%d gone, counted %d)", gone, r.gone)
+	if tombstones != r.tombstones || leaves != r.leaves {
+		return fmt.Errorf("counts or digests don't match the records (%d tombstones, counted %d)", tombstones, r.tombstones)
 	}
-	if err := r.checkIndexes(gone); err != nil {
+	if err := r.checkIndexes(tombstones); err != nil {
 		return err
 	}
 	for name, s := range r.sources {
-		if s.held != held[name] {
-			return fmt.Errorf("source %s: %d records, counted %d", name, held[name], s.held)
+		if s.entries != entries[name] {
+			return fmt.Errorf("source %s: has %d records, counted %d", name, entries[name], s.entries)
 		}
-		delete(held, name)
+		delete(entries, name)
 	}
-	if len(held) > 0 {
-		return fmt.Errorf("records of unknown sources: %v", held)
+	if len(entries) > 0 {
+		return fmt.Errorf("records of unknown sources: %v", entries)
 	}
-	if len(r.recs) > r.cfg.MaxEntries || len(r.chains) > maxChains || len(r.adopted) > r.cfg.MaxSources {
-		return fmt.Errorf("over a bound: %d records, %d chains, %d adopted", len(r.recs), len(r.chains), len(r.adopted))
+	if len(r.records) > r.cfg.MaxEntries || len(r.cursors) > maxCursors || len(r.adopted) > r.cfg.MaxSources {
+		return fmt.Errorf("a bound is exceeded: %d records, %d cursors, %d adopted sources", len(r.records), len(r.cursors), len(r.adopted))
 	}
 	return nil
 }
 
-func (r *Registry) checkIndexes(gone int) error {
-	for what, m := range map[string]map[string]map[string]*record{"plants": r.plants, "places": r.places} {
+// checkIndexes verifies the indexes and the log against the records.
+func (r *Registry) checkIndexes(tombstones int) error {
+	for name, m := range map[string]map[string]map[string]*record{"plants": r.services, "places": r.addresses} {
 		n := 0
 		for _, set := range m {
 			n += len(set)
 		}
-		if n != len(r.recs)-gone {
-			return fmt.Errorf("%s hold %d, %d are listed", what, n, len(r.recs)-gone)
+		if n != len(r.records)-tombstones {
+			return fmt.Errorf("index %s holds %d records, %d are listed", name, n, len(r.records)-tombstones)
 		}
 	}
-	live, last := 0, uint64(0)
+	current, last := 0, uint64(0)
 	for _, it := range r.log {
 		if it.seq <= last {
-			return fmt.Errorf("the log goes from %d to %d", last, it.seq)
+			return fmt.Errorf("log positions don't rise: %d is followed by %d", last, it.seq)
 		}
 		last = it.seq
-		if it.rec.seq == it.seq {
-			live++
-			if r.recs[it.rec.ID] != it.rec {
-				return fmt.Errorf("%s: in the log, not held", it.rec.ID)
+		if it.record.seq == it.seq {
+			current++
+			if r.records[it.record.ID] != it.record {
+				return fmt.Errorf("%s: is in the log but not held", it.record.ID)
 			}
 		}
 	}
-	if live != len(r.recs) || len(r.log) > 2*len(r.recs)+64 && len(r.log) > 2*r.cfg.MaxEntries+64 {
-		return fmt.Errorf("log of %d with %d live, %d records", len(r.log), live, len(r.recs))
+	if current != len(r.records) || len(r.log) > 2*len(r.records)+64 && len(r.log) > 2*r.cfg.MaxEntries+64 {
+		return fmt.Errorf("log of %d items, of which %d are current, for %d records", len(r.log), current, len(r.records))
 	}
 	return nil
 }
--- a/registry/digest.go
+++ b/registry/digest.go
@@ -9,10 +9,10 @@
 
 // Ids are spread by hash over a tree of ranges: 16 children to each, 4096 leaves.
 const (
-	fanBits   = 4
-	leafLevel = 3
-	leafCount = 1 << (fanBits * leafLevel)
-	// smallRange: that few entries are sent sooner than asked about further.
+	fanoutBits = 4
+	leafLevel  = 3
+	leafCount  = 1 << (fanoutBits * leafLevel)
+	// smallRange is the number of entries up to which a range is sent instead of compared further.
 	smallRange = 32
 )
 
@@ -27,14 +27,14 @@
 	Index uint16
 }
 
-func (g Range) valid() bool { return g.Level <= leafLevel && int(g.Index) < 1<<(fanBits*g.Level) }
+func (g Range) valid() bool { return g.Level <= leafLevel && int(g.Index) < 1<<(fanoutBits*g.Level) }
 
 func (g Range) leaves() (from, to int) {
-	width := leafCount >> (fanBits * g.Level)
+	width := leafCount >> (fanoutBits * g.Level)
 	return int(g.Index) * width, (int(g.Index) + 1) * width
 }
 
-// Digest sums up the entries of a range.
+// Digest summarizes the entries of a range.
 type Digest struct {
 	Range
 	Sum   uint64
@@ -45,14 +45,15 @@
 type Patch struct {
 	Ranges  []Range
 	Entries []Entry
-	// Doubted ones are held by the sender, who was out of touch and may have missed their end.
+	// Doubted entries are held by the sender, which was without contact and may have missed that
+	// their searchers left.
 	Doubted []Entry
 	Vector  Vector
 }
 
-func leafOf(id string) uint16 { return uint16(xxh3.HashString(id) >> (64 - fanBits*leafLevel)) }
+func leafOf(id string) uint16 { return uint16(xxh3.HashString(id) >> (64 - fanoutBits*leafLevel)) }
 
-// sum covers what makes versions of an entry differ: Source and No name the rest of it.
+// sum hashes what distinguishes versions of an entry: Source and No identify the rest of it.
 func (rec *record) sum() uint64 {
 	var a [192]byte
 	b := append(a[:0], rec.ID...)
@@ -67,7 +68,7 @@
 	return xxh3.Hash(b)
 }
 
-// Digest sums up a range; the zero Range is the whole registry.
+// Digest summarizes a range; the zero Range is the whole registry.
 func (r *Registry) Digest(g Range) Digest {
 	d := Digest{Range: g}
 	if !g.valid() {
@@ -81,39 +82,39 @@
 	return d
 }
 
-// Compare goes one step down: of the ranges in which we differ from a peer's digests, it returns
-// our digests of the parts of large ones, to be compared by the peer in turn, and the small ones
-// themselves, whose entries are to be exchanged by Patch and Mend.
+// Compare goes one level down. Of the ranges in which this registry differs from a peer's digests,
+// it returns its own digests of the subranges of large ones, to be compared by the peer in turn, and
+// the small ones themselves, whose entries are to be exchanged by Patch and Mend.
 func (r *Registry) Compare(theirs []Digest) (finer []Digest, differ []Range) {
 	for _, d := range theirs {
 		if !d.valid() {
 			continue
 		}
-		m := r.Digest(d.Range)
+		ours := r.Digest(d.Range)
 		switch {
-		case m == d:
-			if d.Level == 0 { // held by a peer that is in touch
-				for _, rec := range r.recs {
-					rec.doubt = false
+		case ours == d:
+			if d.Level == 0 { // a peer in contact holds the same entries
+				for _, rec := range r.records {
+					rec.suspect = false
 				}
 			}
-		case d.Level == leafLevel || d.Count+m.Count <= smallRange:
+		case d.Level == leafLevel || d.Count+ours.Count <= smallRange:
 			differ = append(differ, d.Range)
 		default:
-			for i := range uint16(1 << fanBits) {
-				finer = append(finer, r.Digest(Range{d.Level + 1, d.Index<<fanBits | i}))
+			for i := range uint16(1 << fanoutBits) {
+				finer = append(finer, r.Digest(Range{d.Level + 1, d.Index<<fanoutBits | i}))
 			}
 		}
 	}
 	return finer, differ
 }
 
-// Patch gives the entries of whole ranges, in all about limit of them; ranges that don't fit are
-// left for the next round, which finds them still to differ.
+// Patch returns the entries of whole ranges, in all about limit of them; ranges that don't fit are
+// left for the next round, which finds that they still differ.
 func (r *Registry) Patch(ranges []Range, limit int) Patch {
 	p := Patch{Vector: r.Vector()}
 	total := 0
-	var in [leafCount]bool
+	var selected [leafCount]bool
 	for _, g := range ranges {
 		if !g.valid() {
 			continue
@@ -126,16 +127,16 @@
 		p.Ranges = append(p.Ranges, g)
 		from, to := g.leaves()
 		for i := from; i < to; i++ {
-			in[i] = true
+			selected[i] = true
 		}
 	}
 	for _, it := range r.log {
 		switch {
-		case it.rec.seq != it.seq || !in[it.rec.leaf]:
-		case it.rec.doubt:
-			p.Doubted = append(p.Doubted, r.out(it.rec))
+		case it.record.seq != it.seq || !selected[it.record.leaf]:
+		case it.record.suspect:
+			p.Doubted = append(p.Doubted, r.wireEntry(it.record))
 		default:
-			p.Entries = append(p.Entries, r.out(it.rec))
+			p.Entries = append(p.Entries, r.wireEntry(it.record))
 		}
 	}
 	return p
@@ -144,48 +145,51 @@
 // Mend joins a peer's patch and reports whether the list changed.
 //
 // When one side lacks an id that its vector covers, either it knew the id and forgot it after its
-// end, or a pull missed it by some fault. A missing searcher is dearer than a stale one, so the
-// entry is taken, unless the peer is behind or the entry is of an end anyway. And an entry of ours
-// that the peer forgot is dropped only if we were out of touch, so that we may have missed its end.
+// end, or a fault made a pull miss it. A missing searcher costs more than a stale one, so the entry
+// is taken unless the peer's vector is behind or the entry is silent or a tombstone anyway. An entry
+// held here that the peer forgot is dropped only if it is suspect: this registry was without contact
+// and may have missed its end.
 func (r *Registry) Mend(now time.Time, p Patch) bool {
-	r.step(now)
-	gen := r.gen
+	r.advanceClock(now)
+	generation := r.generation
 	ahead := p.Vector.Covers(r.Vector())
 	theirs := make(map[string]bool, len(p.Entries)+len(p.Doubted))
 	for _, e := range p.Entries {
-		r.mend(e, ahead, theirs)
+		r.repairEntry(e, ahead, theirs)
 	}
 	for _, e := range p.Doubted {
-		rec := r.recs[e.ID]
-		doubt := rec != nil && rec.doubt
-		r.mend(e, false, theirs)
+		rec := r.records[e.ID]
+		suspect := rec != nil && rec.suspect
+		r.repairEntry(e, false, theirs)
 		if rec != nil {
-			rec.doubt = doubt // two who doubt don't make one who knows
+			rec.suspect = suspect // a peer that suspects the entry too is no confirmation
 		}
 	}
-	var in [leafCount]bool
+	var selected [leafCount]bool
 	for _, g := range p.Ranges {
 		if g.valid() {
 			from, to := g.leaves()
 			for i := from; i < to; i++ {
-				in[i] = true
+				selected[i] = true
 			}
 		}
 	}
-	for _, rec := range r.recs {
-		if rec.doubt && in[rec.leaf] && !theirs[rec.ID] && rec.No <= p.Vector[rec.Source] {
+	for _, rec := range r.records {
+		if rec.suspect && selected[rec.leaf] && !theirs[rec.ID] && rec.No <= p.Vector[rec.Source] {
 			r.drop(rec)
 		}
 	}
-	return r.gen != gen
+	return r.generation != generation
 }
 
-func (r *Registry) mend(e Entry, ahead bool, theirs map[string]bool) {
-	if !r.takes(&e) {
+// repairEntry joins one entry of a patch and adds its id to theirs. ahead says that the peer's vector
+// covers ours, so that its entry may be taken even if it was forgotten here.
+func (r *Registry) repairEntry(e Entry, ahead bool, theirs map[string]bool) {
+	if !r.accepts(&e) {
 		return
 	}
 	theirs[e.ID] = true
-	if r.recs[e.ID] == nil && e.No <= r.no(e.Source) && (!ahead || e.Silent || e.State == Gone) {
+	if r.records[e.ID] == nil && e.No <= r.numberOf(e.Source) && (!ahead || e.Silent || e.State == Gone) {
 		return
 	}
 	r.join(e)
--- a/registry/doc.go
+++ b/registry/doc.go
@@ -1,11 +1,13 @@
-// Package registry decides which searchers exist, as news told by several sources.
+// Package registry keeps a replicated list of the searchers that exist, merged from several sources.
 //
-// What for: every process of the system (controller, agent, proxy) holds one Registry and joins what it
-// hears into it. Each controller is a source of what it heard first-hand, numbered by a count that
-// rises through its life; peers pull what they lack by a vector of these numbers, and digests over
-// ranges find and mend what pulls missed. Joining takes the greater of two states of an id, so
-// that order, loss and doubling of messages don't matter and a shorter list never undoes a longer.
-// Who calls it: the doors and links of those processes, under their own lock.
-// What it never does: read a clock, open a socket or a file, start a goroutine, or take a searcher
-// off the list because it has merely fallen silent (it is listed as Silent for Expire first).
+// Every process of the system (controller, agent, proxy) holds one Registry and joins the updates it
+// receives into it. Each controller is a source: it publishes what it received first-hand from
+// searchers, numbered by a counter that rises during one incarnation of the process. Peers pull the
+// entries they lack by a version vector of these numbers; digests over ranges of ids (anti-entropy)
+// find and repair what pulls missed. Joining keeps the greater of two entries of an id, so that
+// order, loss and duplication of messages don't matter and a shorter list never undoes a longer one.
+//
+// Callers are the HTTP handlers and connections of those processes, under their own lock. The package
+// doesn't read a clock, open a socket or a file, or start a goroutine, and it doesn't remove a searcher
+// from the list just because it became unresponsive: it is first listed as Silent for SilentTTL.
 package registry
--- a/registry/list.go
+++ b/registry/list.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// Generation rises with each change that a reader of the list can see.
-func (r *Registry) Generation() uint64 { return r.gen }
+// Generation returns a counter that rises with each change that a reader of the list can see.
+func (r *Registry) Generation() uint64 { return r.generation }
 
-// Complete tells whether the list may be taken for the whole. A source that has just started
-// knows few searchers until all had time to beat; a relay knows what its peer says.
-func (r *Registry) Complete() bool { return r.whole }
+// Complete reports whether the list may be taken as complete. A source that has just started
+// knows few searchers until all of them had time to send a heartbeat; a relay relies on its peer.
+func (r *Registry) Complete() bool { return r.complete }
 
-// Len is how many searchers are listed.
-func (r *Registry) Len() int { return len(r.recs) - r.gone }
+// Len returns the number of listed searchers.
+func (r *Registry) Len() int { return len(r.records) - r.tombstones }
 
-// All yields the searchers that are listed, the silent ones too, by id.
-func (r *Registry) All() iter.Seq[Entry] { return r.list(r.recs) }
+// All yields the listed searchers, including the silent ones, ordered by id.
+func (r *Registry) All() iter.Seq[Entry] { return r.list(r.records) }
 
-// Plant yields those of one service, by id.
-func (r *Registry) Plant(name string) iter.Seq[Entry] { return r.list(r.plants[name]) }
+// Plant yields the listed searchers of one service, ordered by id.
+func (r *Registry) Plant(name string) iter.Seq[Entry] { return r.list(r.services[name]) }
 
-// Plants yields the services that have a listed searcher, by name.
-func (r *Registry) Plants() []string { return slices.Sorted(maps.Keys(r.plants)) }
+// Plants returns the names of the services that have a listed searcher, sorted.
+func (r *Registry) Plants() []string { return slices.Sorted(maps.Keys(r.services)) }
 
-// Get returns what is held of an id, also when it has left.
+// Get returns the entry held for an id, also when the searcher has left.
 func (r *Registry) Get(id string) (Entry, bool) {
-	rec := r.recs[id]
+	rec := r.records[id]
 	if rec == nil {
 		return Entry{}, false
 	}
-	return r.shown(rec), true
+	return r.listedEntry(rec), true
 }
 
-func (r *Registry) list(recs map[string]*record) iter.Seq[Entry] {
+func (r *Registry) list(records map[string]*record) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
-		for _, id := range slices.Sorted(maps.Keys(recs)) {
-			// Looked up again: the caller may have changed the registry in its loop.
-			if rec := recs[id]; rec != nil && rec.State != Gone && !yield(r.shown(rec)) {
+		for _, id := range slices.Sorted(maps.Keys(records)) {
+			// Looked up again: the caller may have changed the registry during the iteration.
+			if rec := records[id]; rec != nil && rec.State != Gone && !yield(r.listedEntry(rec)) {
 				return
 			}
 		}
 	}
 }
 
-func (r *Registry) shown(rec *record) Entry {
+// listedEntry returns the entry as readers of the list see it, with age and warm-up as of now.
+func (r *Registry) listedEntry(rec *record) Entry {
 	e := rec.Entry
-	e.Age = r.now.Sub(rec.at)
-	e.WarmupLeft = warmupAt(rec, r.now)
+	e.Age = r.now.Sub(rec.publishedAt)
+	e.WarmupLeft = warmupLeftAt(rec, r.now)
 	return e
 }
 
-// warmupAt is what is left of the told warm-up.
-func warmupAt(rec *record, now time.Time) time.Duration {
-	return max(0, rec.WarmupLeft-now.Sub(rec.at))
+// warmupLeftAt returns what is left at now of the published warm-up.
+func warmupLeftAt(rec *record, now time.Time) time.Duration {
+	return max(0, rec.WarmupLeft-now.Sub(rec.publishedAt))
 }
--- a/registry/mesh_test.go
+++ b/registry/mesh_test.go
@@ -13,34 +13,34 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-type caller struct {
+type simSearcher struct {
 	Searcher
 	home  int
 	ended bool
 }
 
-type post struct {
+type delivery struct {
 	at time.Duration
 	do func()
 }
 
 // mesh is a simulated fleet: controllers pull from each other, agents from a controller, proxies from
-// their agent. fault, where set, spoils a delta before it is merged.
+// their agent. fault, where set, corrupts a delta before it is merged.
 type mesh struct {
-	rnd     *rand.Rand
-	t       time.Duration
-	calm    bool
-	nodes   []*Registry
-	by      [][]string // the name last heard from each peer
-	cut     map[[2]int]time.Duration
-	posts   []post
-	callers []*caller
-	told    map[string][]Entry
-	seen    []uint64
-	drained []map[string]bool
-	lives   int
-	dead    []string
-	fault   func(to *Registry, d *Delta)
+	rng          *rand.Rand
+	t            time.Duration
+	calm         bool
+	nodes        []*Registry
+	peerNames    [][]string // the name last received from each peer
+	partitions   map[[2]int]time.Duration
+	deliveries   []delivery
+	searchers    []*simSearcher
+	published    map[string][]Entry
+	logSeen      []uint64
+	drainSeen    []map[string]bool // ids known to drain, by node
+	incarnations int
+	crashed      []string
+	fault        func(to *Registry, d *Delta)
 }
 
 const (
@@ -50,9 +50,9 @@
 
 func newMesh(seed uint64, fault func(*Registry, *Delta)) *mesh {
 	m := &mesh{
-		rnd: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]time.Duration{}, told: map[string][]Entry{},
-		nodes: make([]*Registry, meshNodes), by: make([][]string, meshNodes), seen: make([]uint64, meshNodes),
-		drained: make([]map[string]bool, meshNodes), fault: fault,
+		rng: rand.New(rand.NewPCG(seed, 1)), partitions: map[[2]int]time.Duration{}, published: map[string][]Entry{},
+		nodes: make([]*Registry, meshNodes), peerNames: make([][]string, meshNodes), logSeen: make([]uint64, meshNodes),
+		drainSeen: make([]map[string]bool, meshNodes), fault: fault,
 	}
 	for i := range m.nodes {
 		m.start(i)
@@ -63,27 +63,28 @@
 func (m *mesh) now() time.Time { return epoch.Add(m.t) }
 
 func (m *mesh) start(i int) {
-	m.lives++
-	m.nodes[i] = New(Config{Name: fmt.Sprintf("n%d/%d", i, m.lives), Relay: i >= meshControllers, Period: beatPeriod, Start: m.now()})
-	m.by[i], m.seen[i], m.drained[i] = make([]string, meshNodes), 0, map[string]bool{}
+	m.incarnations++
+	m.nodes[i] = New(Config{Name: fmt.Sprintf("n%d/%d", i, m.incarnations), Relay: i >= meshControllers, Period: beatPeriod, Start: m.now()})
+	m.peerNames[i], m.logSeen[i], m.drainSeen[i] = make([]string, meshNodes), 0, map[string]bool{}
 }
 
-// send delivers later, perhaps twice, perhaps never.
+// send delivers with a random delay. Unless calm, the message may be lost or duplicated, and none crosses a
+// partition.
 func (m *mesh) send(a, b int, do func()) {
-	copies, late := 1, 5
+	copies, maxDelay := 1, 5
 	if !m.calm {
-		copies, late = min(m.rnd.IntN(10), 1)+m.rnd.IntN(8)/7, 20
+		copies, maxDelay = min(m.rng.IntN(10), 1)+m.rng.IntN(8)/7, 20
 	}
-	if m.cut[[2]int{min(a, b), max(a, b)}] > m.t && !m.calm {
+	if m.partitions[[2]int{min(a, b), max(a, b)}] > m.t && !m.calm {
 		return
 	}
 	for range copies {
-		m.posts = append(m.posts, post{m.t + time.Duration(m.rnd.IntN(late)*m.rnd.IntN(late))*4*time.Millisecond, do})
+		m.deliveries = append(m.deliveries, delivery{m.t + time.Duration(m.rng.IntN(maxDelay)*m.rng.IntN(maxDelay))*4*time.Millisecond, do})
 	}
 }
 
 func (m *mesh) pull(i, from int) {
-	w, limit := m.nodes[i].Want(m.by[i][from]), 1+m.rnd.IntN(40)
+	w, limit := m.nodes[i].Want(m.peerNames[i][from]), 1+m.rng.IntN(40)
 	m.send(i, from, func() {
 		d := m.nodes[from].Since(w, limit)
 		m.send(from, i, func() {
@@ -92,103 +93,104 @@
 				m.fault(to, &d)
 			}
 			to.Merge(m.now(), d)
-			m.by[i][from] = d.By
+			m.peerNames[i][from] = d.By
 		})
 	})
 }
 
-// note keeps what a controller told, for the claims that vectors make.
-func (m *mesh) note(i int) {
+// note records what a controller published, to verify the claims of vectors.
+func (m *mesh) recordPublished(i int) {
 	r := m.nodes[i]
 	for _, it := range r.log {
-		if it.seq > m.seen[i] && it.rec.seq == it.seq && it.rec.Source == r.cfg.Name {
-			m.told[r.cfg.Name] = append(m.told[r.cfg.Name], it.rec.Entry)
+		if it.seq > m.logSeen[i] && it.record.seq == it.seq && it.record.Source == r.cfg.Name {
+			m.published[r.cfg.Name] = append(m.published[r.cfg.Name], it.record.Entry)
 		}
 	}
-	m.seen[i] = r.seq
+	m.logSeen[i] = r.seq
 }
 
-func (m *mesh) beat(c *caller) {
-	if m.rnd.IntN(30) == 0 && !m.calm {
-		c.home = m.rnd.IntN(meshControllers)
+func (m *mesh) beat(c *simSearcher) {
+	if m.rng.IntN(30) == 0 && !m.calm {
+		c.home = m.rng.IntN(meshControllers)
 	}
 	c.Calls++
 	s, home := c.Searcher, c.home
-	m.send(home, home, func() { m.nodes[home].Beat(m.now(), s); m.note(home) })
+	m.send(home, home, func() { m.nodes[home].Beat(m.now(), s); m.recordPublished(home) })
 }
 
 func (m *mesh) step() {
 	m.t += 50 * time.Millisecond
 	if !m.calm {
-		m.trouble()
+		m.disrupt()
 	}
-	due := m.posts
-	m.posts = nil
+	due := m.deliveries
+	m.deliveries = nil
 	for _, p := range due {
 		if p.at <= m.t {
 			p.do()
 		} else {
-			m.posts = append(m.posts, p)
+			m.deliveries = append(m.deliveries, p)
 		}
 	}
-	for i, c := range m.callers {
+	for i, c := range m.searchers {
 		if !c.ended && (int(m.t/(50*time.Millisecond))+i)%10 == 0 {
 			m.beat(c)
 		}
 	}
 	for i, r := range m.nodes {
 		r.Tick(m.now())
-		m.note(i)
-		if m.rnd.IntN(3) == 0 {
+		m.recordPublished(i)
+		if m.rng.IntN(3) == 0 {
 			from := i - 5 // a proxy's agent
 			if i < meshControllers {
-				from = (i + 1 + m.rnd.IntN(meshControllers-1)) % meshControllers
+				from = (i + 1 + m.rng.IntN(meshControllers-1)) % meshControllers
 			} else if i < meshControllers+5 {
-				from = (i + int(m.t/(5*time.Second))) % meshControllers // moves on now and then
+				from = (i + int(m.t/(5*time.Second))) % meshControllers // changes every 5 s
 			}
 			m.pull(i, from)
 		}
 	}
 }
 
-func (m *mesh) trouble() {
-	switch k := m.rnd.IntN(100); {
-	case k < 20 && len(m.callers) < 150:
-		m.callers = append(m.callers, &caller{home: m.rnd.IntN(meshControllers), Searcher: Searcher{
-			ID: fmt.Sprint("i", len(m.callers)), Plant: fmt.Sprint("p", m.rnd.IntN(5)), Capacity: 3, Address: fmt.Sprint("a", m.rnd.IntN(120)),
+// disrupt injects one random event: a new searcher, a drain, a crash or a leave, a restarted node, or a partition.
+func (m *mesh) disrupt() {
+	switch k := m.rng.IntN(100); {
+	case k < 20 && len(m.searchers) < 150:
+		m.searchers = append(m.searchers, &simSearcher{home: m.rng.IntN(meshControllers), Searcher: Searcher{
+			ID: fmt.Sprint("i", len(m.searchers)), Plant: fmt.Sprint("p", m.rng.IntN(5)), Capacity: 3, Address: fmt.Sprint("a", m.rng.IntN(120)),
 		}})
-	case k < 30 && len(m.callers) > 0:
-		c := m.callers[m.rnd.IntN(len(m.callers))]
+	case k < 30 && len(m.searchers) > 0:
+		c := m.searchers[m.rng.IntN(len(m.searchers))]
 		switch {
 		case c.ended:
-		case m.rnd.IntN(4) == 0:
-			c.ended = true // a crash says nothing
+		case m.rng.IntN(4) == 0:
+			c.ended = true // a crash sends no message
 		case c.State == Ready:
 			c.State = Draining
 			m.beat(c)
 		default:
 			c.ended = true
-			m.send(c.home, c.home, func() { m.nodes[c.home].Leave(m.now(), c.ID); m.note(c.home) })
+			m.send(c.home, c.home, func() { m.nodes[c.home].Leave(m.now(), c.ID); m.recordPublished(c.home) })
 		}
 	case k < 32:
-		i := m.rnd.IntN(meshNodes)
+		i := m.rng.IntN(meshNodes)
 		if i < meshControllers {
-			m.dead = append(m.dead, m.nodes[i].Name())
+			m.crashed = append(m.crashed, m.nodes[i].Name())
 		}
 		m.start(i)
 	case k < 40:
-		a := m.rnd.IntN(meshNodes)
-		m.cut[[2]int{a, a + m.rnd.IntN(meshNodes-a)}] = m.t + time.Duration(m.rnd.IntN(4000))*time.Millisecond
+		a := m.rng.IntN(meshNodes)
+		m.partitions[[2]int{a, a + m.rng.IntN(meshNodes-a)}] = m.t + time.Duration(m.rng.IntN(4000))*time.Millisecond
 	}
 }
 
 func (m *mesh) check(claims bool) error {
 	for i, r := range m.nodes {
-		for id, rec := range r.recs {
+		for id, rec := range r.records {
 			if rec.State >= Draining {
-				m.drained[i][id] = true
-			} else if m.drained[i][id] {
-				return fmt.Errorf("%s: the drain of %s is undone", r.Name(), id)
+				m.drainSeen[i][id] = true
+			} else if m.drainSeen[i][id] {
+				return fmt.Errorf("%s: the drain of %s was reverted", r.Name(), id)
 			}
 		}
 		if !claims {
@@ -198,11 +200,11 @@
 			return fmt.Errorf("%s: %w", r.Name(), err)
 		}
 		for name, no := range r.Vector() {
-			for _, e := range m.told[name] {
+			for _, e := range m.published[name] {
 				if e.No > no {
 					continue
 				}
-				if rec := r.recs[e.ID]; rec == nil || compare(&rec.Entry, &e) < 0 {
+				if rec := r.records[e.ID]; rec == nil || compare(&rec.Entry, &e) < 0 {
 					return fmt.Errorf("%s claims %s up to %d and lacks %s of %d", r.Name(), name, no, e.ID, e.No)
 				}
 			}
@@ -229,7 +231,7 @@
 		m := newMesh(seed, nil)
 		must.NoError(t, m.run(25*time.Second), must.Sprintf("seed %d", seed))
 		m.calm = true
-		for _, name := range m.dead {
+		for _, name := range m.crashed {
 			for _, r := range m.nodes[:meshControllers] {
 				r.Adopt(m.now(), name)
 			}
@@ -239,7 +241,7 @@
 		for i, r := range m.nodes {
 			if i < meshControllers {
 				must.Eq(t, all, r.Digest(Range{}), must.Sprintf("seed %d, %s", seed, r.Name()))
-			} else { // what a dead controller told only relays isn't pulled upwards: digests bring it
+			} else { // entries that a dead controller sent only to relays aren't pulled upwards: digests transfer them
 				reconcile(m.now(), m.nodes[0], r)
 			}
 		}
@@ -249,15 +251,16 @@
 			must.Eq(t, all, r.Digest(Range{}), must.Sprintf("seed %d, %s", seed, r.Name()))
 			must.True(t, r.Complete())
 		}
-		for _, c := range m.callers {
+		for _, c := range m.searchers {
 			e, ok := m.nodes[meshNodes-1].Get(c.ID)
-			lives, ended := ok && e.State == c.State && !e.Silent, !ok || e.Silent || e.State == Gone
-			must.True(t, lives && !c.ended || ended && c.ended, must.Sprintf("seed %d: %+v, is %+v", seed, e, c))
+			alive, ended := ok && e.State == c.State && !e.Silent, !ok || e.Silent || e.State == Gone
+			must.True(t, alive && !c.ended || ended && c.ended, must.Sprintf("seed %d: %+v, is %+v", seed, e, c))
 		}
 	}
 }
 
-// Each of these faults must show in the run above, or the run proves nothing.
+// TestPlantedFaults: each of these faults must break an invariant in the run of TestMesh, or that run
+// proves nothing.
 func TestPlantedFaults(t *testing.T) {
 	var last Delta
 	faults := map[string]func(to *Registry, d *Delta){
@@ -272,13 +275,13 @@
 		"a gap is passed over":             func(to *Registry, d *Delta) { d.Entries = d.Entries[:len(d.Entries)/2] },
 		"a delta for a former life counts": func(to *Registry, d *Delta) { d.For, d.Start = to.Name(), 0 },
 		"a record changes beside the index": func(to *Registry, d *Delta) {
-			for _, rec := range to.recs {
+			for _, rec := range to.records {
 				rec.Calls++
 			}
 		},
 		"lower calls win": func(to *Registry, d *Delta) {
 			for _, e := range last.Entries {
-				if rec := to.recs[e.ID]; rec != nil && e.Calls < rec.Calls {
+				if rec := to.records[e.ID]; rec != nil && e.Calls < rec.Calls {
 					to.drop(rec)
 					to.join(e)
 				}
--- a/registry/pull.go
+++ b/registry/pull.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// chain is how far the log of one life of a peer is read without a gap.
-type chain struct {
-	cursor uint64
-	used   uint64 // for forgetting the least used
+// peerCursor is the position up to which the log of one incarnation of a peer was read without a gap.
+type peerCursor struct {
+	cursor  uint64
+	lastUse uint64 // this registry's log position at the last use; the least recent is evicted
 }
 
-const maxChains = 64
+const maxCursors = 64
 
-// Want is what to ask a peer for; by is the name it gave in its last delta, or "".
+// Want returns the query to send to a peer; by is the name that the peer gave in its last delta, or "".
 func (r *Registry) Want(by string) Want {
 	w := Want{Name: r.cfg.Name, Have: r.Vector()}
-	if c := r.chains[by]; c != nil {
+	if c := r.cursors[by]; c != nil {
 		w.By, w.Cursor = by, c.cursor
 	}
 	return w
@@ -30,27 +30,27 @@
 	}
 	d.Next = d.Start
 	for _, it := range r.log[sort.Search(len(r.log), func(i int) bool { return r.log[i].seq > d.Start }):] {
-		if it.rec.seq != it.seq || it.rec.No <= w.Have[it.rec.Source] {
+		if it.record.seq != it.seq || it.record.No <= w.Have[it.record.Source] {
 			continue
 		}
 		if len(d.Entries) >= max(limit, 1) {
 			d.More = true
 			return d
 		}
-		d.Entries = append(d.Entries, r.out(it.rec))
+		d.Entries = append(d.Entries, r.wireEntry(it.record))
 		d.Next = it.seq
 	}
-	d.Next, d.Whole = r.seq, r.whole
+	d.Next, d.Whole = r.seq, r.complete
 	for name, s := range r.sources {
-		if s.no <= w.Have[name] {
+		if s.number <= w.Have[name] {
 			continue
 		}
 		if d.Upto == nil {
 			d.Upto = Vector{}
 		}
-		d.Upto[name] = s.no
-		// Without this, two peers would teach each other a dead source again and again.
-		if idle := r.now.Sub(s.moved); s.held == 0 && name != r.cfg.Name && idle > r.cfg.Period {
+		d.Upto[name] = s.number
+		// Without the idle time, two peers would pass a dead source back and forth for ever.
+		if idle := r.now.Sub(s.changedAt); s.entries == 0 && name != r.cfg.Name && idle > r.cfg.Period {
 			if d.Idle == nil {
 				d.Idle = map[string]time.Duration{}
 			}
@@ -60,150 +60,156 @@
 	return d
 }
 
-// out is the entry as it is sent.
-func (r *Registry) out(rec *record) Entry {
+// wireEntry returns the entry as it is sent to peers.
+func (r *Registry) wireEntry(rec *record) Entry {
 	e := rec.Entry
 	if e.Silent || e.State == Gone || e.WarmupLeft > 0 {
-		e.Age = r.now.Sub(rec.at)
+		e.Age = r.now.Sub(rec.publishedAt)
 	}
 	return e
 }
 
-// Merge joins a delta. Entries are taken from any delta, late, doubled or meant for a former
-// life; the vector rises only by one that this life asked for and whose log was read up to its
-// Start, so that nothing lies in a gap. It reports whether the list changed.
+// Merge joins a delta. Entries are taken from any delta, even if it is late, duplicated or intended for
+// a former incarnation. The vector rises only by a delta that this incarnation asked for and whose log
+// was read up to its Start, so that no entry is lost in a gap. Merge reports whether the list changed.
 func (r *Registry) Merge(now time.Time, d Delta) bool {
-	r.step(now)
-	gen := r.gen
-	mine := d.For == r.cfg.Name
-	if mine && r.now.Sub(r.touched) > min(r.cfg.Keep, r.cfg.Expire)/2 {
-		r.doubtAll()
+	r.advanceClock(now)
+	generation := r.generation
+	requested := d.For == r.cfg.Name
+	if requested && r.now.Sub(r.lastFullPull) > min(r.cfg.TombstoneTTL, r.cfg.SilentTTL)/2 {
+		r.suspectAll()
 	}
-	room := true
+	stored := true
 	for _, e := range d.Entries {
-		if !r.takes(&e) {
+		if !r.accepts(&e) {
 			continue
 		}
-		// Covered yet not held: we knew it, saw it end, and forgot it.
-		if r.recs[e.ID] == nil && e.No <= r.no(e.Source) {
+		// Covered by the vector yet not held: the entry was known, ended, and was forgotten.
+		if r.records[e.ID] == nil && e.No <= r.numberOf(e.Source) {
 			continue
 		}
-		room = r.join(e) && room
+		stored = r.join(e) && stored
 	}
-	if mine && room {
-		r.advance(&d)
+	if requested && stored {
+		r.recordProgress(&d)
 	}
-	return r.gen != gen
+	return r.generation != generation
 }
 
-// Restore takes what an earlier life of this process remembered. It was the whole list then and is taken for it now: a
-// stale entry costs a try, while waiting for the beats of all searchers costs the service. It claims nothing of any
-// source's numbers; entries that no controller hears again fall silent once their source is adopted.
+// Restore joins entries that an earlier incarnation of this process saved. The list was complete then and counts as
+// complete now: a stale entry costs an attempt, while waiting for the heartbeats of all searchers costs the service. It
+// doesn't raise the vector; entries that no controller hears of again become silent once their source is adopted.
 func (r *Registry) Restore(now time.Time, entries []Entry) {
-	r.step(now)
+	r.advanceClock(now)
 	for _, e := range entries {
-		if r.takes(&e) {
+		if r.accepts(&e) {
 			r.join(e)
 		}
 	}
-	r.whole = r.whole || len(r.recs) > r.gone
+	r.complete = r.complete || len(r.records) > r.tombstones
 }
 
-func (r *Registry) advance(d *Delta) {
-	c := r.chains[d.By]
+// recordProgress moves the cursor of the peer's log and, at the last delta of a pull, raises the vector.
+func (r *Registry) recordProgress(d *Delta) {
+	c := r.cursors[d.By]
 	if c == nil {
 		if d.Start > 0 {
 			return
 		}
-		if len(r.chains) >= maxChains {
-			r.forgetChain()
+		if len(r.cursors) >= maxCursors {
+			r.evictCursor()
 		}
-		c = &chain{}
-		r.chains[d.By] = c
+		c = &peerCursor{}
+		r.cursors[d.By] = c
 	}
 	if d.Start > c.cursor {
 		return
 	}
-	c.cursor, c.used = max(c.cursor, d.Next), r.seq
+	c.cursor, c.lastUse = max(c.cursor, d.Next), r.seq
 	if d.More {
 		return
 	}
 	for name, no := range d.Upto {
 		if name == r.cfg.Name {
-			continue // nobody knows our own count better
+			continue // this registry's own number is always the most recent
 		}
 		idle := d.Idle[name]
 		s := r.sources[name]
 		if s == nil {
-			if idle >= r.cfg.SourceKeep {
+			if idle >= r.cfg.SourceTTL {
 				continue
 			}
 			s = &source{}
 			r.sources[name] = s
 		}
-		if no > s.no {
-			s.no, s.moved = no, r.now.Add(-idle)
+		if no > s.number {
+			s.number, s.changedAt = no, r.now.Add(-idle)
 		}
 	}
-	r.touched = r.now
-	r.whole = r.whole || d.Whole
+	r.lastFullPull = r.now
+	r.complete = r.complete || d.Whole
 }
 
-func (r *Registry) forgetChain() {
+// evictCursor forgets the least recently used cursor.
+func (r *Registry) evictCursor() {
 	var least string
-	for by, c := range r.chains {
-		if l := r.chains[least]; l == nil || c.used < l.used || c.used == l.used && by < least {
+	for by, c := range r.cursors {
+		if l := r.cursors[least]; l == nil || c.lastUse < l.lastUse || c.lastUse == l.lastUse && by < least {
 			least = by
 		}
 	}
-	delete(r.chains, least)
+	delete(r.cursors, least)
 }
 
-func (r *Registry) doubtAll() {
-	r.touched = r.now // once for each time out of touch
-	for _, rec := range r.recs {
-		rec.doubt = rec.Source != r.cfg.Name
+// suspectAll marks all entries of other sources as suspect.
+func (r *Registry) suspectAll() {
+	r.lastFullPull = r.now // once for each period without contact
+	for _, rec := range r.records {
+		rec.suspect = rec.Source != r.cfg.Name
 	}
 }
 
-// sound keeps out what no registry sends; what comes over a link is judged before it is joined.
-func sound(e *Entry) bool {
+// validEntry rejects entries that no registry sends; whatever a connection delivers is checked before it
+// is joined.
+func validEntry(e *Entry) bool {
 	return e.ID != "" && e.Source != "" && e.No > 0 && e.State <= Gone && e.Capacity >= 0
 }
 
-// takes also keeps out numbers of ours that we never gave: somebody else bears our name.
-func (r *Registry) takes(e *Entry) bool {
-	return sound(e) && (e.Source != r.cfg.Name || !r.cfg.Relay && e.No <= r.no(e.Source))
+// accepts also rejects entries under this registry's name whose number it never gave out: another
+// process uses the same name.
+func (r *Registry) accepts(e *Entry) bool {
+	return validEntry(e) && (e.Source != r.cfg.Name || !r.cfg.Relay && e.No <= r.numberOf(e.Source))
 }
 
-func (r *Registry) no(name string) uint64 {
+// numberOf returns the number up to which the entries of a source are held, 0 for an unknown source.
+func (r *Registry) numberOf(name string) uint64 {
 	if s := r.sources[name]; s != nil {
-		return s.no
+		return s.number
 	}
 	return 0
 }
 
-// Vector is up to where the news of each source is held: every entry of a source up to its number
-// is held here, or one that is greater, or it was forgotten after its time.
+// Vector returns up to which number the entries of each source are held: for every entry of a source up
+// to its number, that entry is held here, or a greater one, or it was forgotten after its time.
 func (r *Registry) Vector() Vector {
 	v := make(Vector, len(r.sources))
 	for name, s := range r.sources {
-		if s.no > 0 {
-			v[name] = s.no
+		if s.number > 0 {
+			v[name] = s.number
 		}
 	}
 	return v
 }
 
-// Holds tells whether everything that v names is held.
+// Holds reports whether everything that v covers is held.
 func (r *Registry) Holds(v Vector) bool {
 	for name, no := range v {
-		if r.no(name) < no {
+		if r.numberOf(name) < no {
 			return false
 		}
 	}
 	return true
 }
 
-// Name is the name of this life.
+// Name returns the name of this incarnation.
 func (r *Registry) Name() string { return r.cfg.Name }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -6,147 +6,148 @@
 	"time"
 )
 
-// Config sets a registry up. Zero durations and bounds take the defaults.
+// Config configures a Registry. Zero durations and bounds take the defaults.
 type Config struct {
-	// Name is unique to this life of the process (it carries a nonce): numbers start anew with it.
+	// Name is unique to this incarnation of the process (it contains a nonce): its numbers start
+	// from the beginning.
 	Name string
-	// Relay: it passes news on and is no source of any.
+	// Relay marks a registry that passes updates on and is not a source of any.
 	Relay  bool
-	Period time.Duration // between two beats of a searcher
+	Period time.Duration // between two heartbeats of a searcher
 	Start  time.Time
 
-	Silence    time.Duration // unheard that long: Silent (2.5 periods)
-	Expire     time.Duration // Silent that long: forgotten (60 s)
-	Keep       time.Duration // tombstones of ids that left (120 s)
-	SourceKeep time.Duration // vector components of sources without entries (10 min)
-	MaxEntries int           // 20,000
-	MaxGone    int           // 5,000
-	MaxSources int           // 256
+	SilenceTimeout time.Duration // without a heartbeat for this long a searcher becomes Silent (2.5 periods)
+	SilentTTL      time.Duration // Silent for this long, an entry is removed (60 s)
+	TombstoneTTL   time.Duration // how long tombstones of ids that left are kept (120 s)
+	SourceTTL      time.Duration // how long vector components of sources without entries are kept (10 min)
+	MaxEntries     int           // 20,000
+	MaxTombstones  int           // 5,000
+	MaxSources     int           // 256
 }
 
 func (c Config) withDefaults() Config {
 	c.Period = cmp.Or(c.Period, time.Second)
-	c.Silence = cmp.Or(c.Silence, c.Period*5/2)
-	c.Expire = cmp.Or(c.Expire, time.Minute)
-	c.Keep = cmp.Or(c.Keep, 2*time.Minute)
-	c.SourceKeep = cmp.Or(c.SourceKeep, 10*time.Minute)
+	c.SilenceTimeout = cmp.Or(c.SilenceTimeout, c.Period*5/2)
+	c.SilentTTL = cmp.Or(c.SilentTTL, time.Minute)
+	c.TombstoneTTL = cmp.Or(c.TombstoneTTL, 2*time.Minute)
+	c.SourceTTL = cmp.Or(c.SourceTTL, 10*time.Minute)
 	c.MaxEntries = cmp.Or(c.MaxEntries, 20_000)
-	c.MaxGone = cmp.Or(c.MaxGone, 5_000)
+	c.MaxTombstones = cmp.Or(c.MaxTombstones, 5_000)
 	c.MaxSources = cmp.Or(c.MaxSources, 256)
 	return c
 }
 
-// record is the entry held for an id and what only this registry knows of it.
+// record is the entry held for an id, and the state of it that is local to this registry.
 type record struct {
 	Entry
-	at    time.Time // when it was told, by Age
-	seq   uint64    // place in the log; 0 once dropped
-	leaf  uint16
-	hash  uint64
-	since time.Time // when this version came in here
-
-	heard time.Time // last first-hand beat here
-	calls uint64    // its count: repeats rise it without news
-	// doubt: we were out of touch so long that the news of its leaving may have been forgotten by
-	// all before we could hear of it.
-	doubt bool
+	publishedAt time.Time // when it was published, derived from Age
+	seq         uint64    // position in the log; 0 once dropped
+	leaf        uint16
+	hash        uint64
+	receivedAt  time.Time // when this version was received here
+
+	lastHeartbeat time.Time // last heartbeat received first-hand
+	lastCalls     uint64    // its call count: repeats raise it without an update
+	// suspect is set when this registry was without contact for so long that every other registry
+	// may have forgotten the searcher's tombstone before it could reach this one.
+	suspect bool
 }
 
 type logItem struct {
-	seq uint64
-	rec *record
+	seq    uint64
+	record *record
 }
 
-// source is one component of the vector.
+// source is the state of one component of the vector.
 type source struct {
-	no    uint64
-	moved time.Time
-	held  int // records with this source
+	number    uint64
+	changedAt time.Time
+	entries   int // records with this source
 }
 
-// Registry holds which searchers exist. It is not safe for concurrent use.
+// Registry holds the searchers that exist. It is not safe for concurrent use.
 type Registry struct {
-	cfg     Config
-	now     time.Time
-	awake   time.Time // since when we have run without a gap
-	lastRun time.Time
-	scanned time.Time
-	whole   bool
-	touched time.Time // when a last part came in
-
-	recs    map[string]*record
-	sources map[string]*source
-	plants  map[string]map[string]*record // listed ones only
-	places  map[string]map[string]*record // by address, listed ones only
-	adopted map[string]time.Time
-	chains  map[string]*chain
-	log     []logItem
-	leaves  [leafCount]leaf
-	seq     uint64
-	gen     uint64
-	gone    int
+	cfg          Config
+	now          time.Time
+	runningSince time.Time // since when the process has run without a gap
+	lastTick     time.Time
+	lastScan     time.Time
+	complete     bool
+	lastFullPull time.Time // when the last delta of a pull was merged
+
+	records    map[string]*record
+	sources    map[string]*source
+	services   map[string]map[string]*record // listed records by service
+	addresses  map[string]map[string]*record // listed records by address
+	adopted    map[string]time.Time
+	cursors    map[string]*peerCursor
+	log        []logItem
+	leaves     [leafCount]leaf
+	seq        uint64
+	generation uint64
+	tombstones int // number of records in state Gone
 }
 
 // New returns an empty registry.
 func New(c Config) *Registry {
 	c = c.withDefaults()
 	r := &Registry{
-		cfg: c, now: c.Start, awake: c.Start, lastRun: c.Start, scanned: c.Start, touched: c.Start,
-		recs: map[string]*record{}, sources: map[string]*source{}, plants: map[string]map[string]*record{},
-		places: map[string]map[string]*record{}, adopted: map[string]time.Time{}, chains: map[string]*chain{},
+		cfg: c, now: c.Start, runningSince: c.Start, lastTick: c.Start, lastScan: c.Start, lastFullPull: c.Start,
+		records: map[string]*record{}, sources: map[string]*source{}, services: map[string]map[string]*record{},
+		addresses: map[string]map[string]*record{}, adopted: map[string]time.Time{}, cursors: map[string]*peerCursor{},
 	}
 	if !c.Relay {
-		r.sources[c.Name] = &source{moved: c.Start}
+		r.sources[c.Name] = &source{changedAt: c.Start}
 	}
 	return r
 }
 
-// step moves the registry's time on; it never goes back.
-func (r *Registry) step(now time.Time) {
+// advanceClock sets the registry's time; it never goes back.
+func (r *Registry) advanceClock(now time.Time) {
 	if now.After(r.now) {
 		r.now = now
 	}
 }
 
-// join takes e in if it is greater than what is held for the id. It reports false only when
-// there is no room.
+// join stores e if it is greater than the entry held for its id. It returns false only when the
+// registry is full.
 func (r *Registry) join(e Entry) bool {
 	at := r.now.Add(-max(e.Age, 0))
 	e.Age = 0
-	rec := r.recs[e.ID]
+	rec := r.records[e.ID]
 	if rec != nil {
 		c := compare(&e, &rec.Entry)
-		if c == 0 && at.Before(rec.at) {
-			rec.at = at // the same news by a longer road
+		if c == 0 && at.Before(rec.publishedAt) {
+			rec.publishedAt = at // the same entry, received by a slower path
 		}
 		if c >= 0 {
-			rec.doubt = false
+			rec.suspect = false
 		}
 		if c <= 0 {
 			return true
 		}
-	} else if len(r.recs) >= r.cfg.MaxEntries && !r.makeRoom() {
+	} else if len(r.records) >= r.cfg.MaxEntries && !r.evict() {
 		return false
 	}
 	if rec == nil {
 		rec = &record{leaf: leafOf(e.ID)}
-		r.recs[e.ID] = rec
+		r.records[e.ID] = rec
 		if e.State != Gone {
-			r.gen++
+			r.generation++
 		}
 	} else {
-		r.unlink(rec)
-		if !alike(&rec.Entry, &e) {
-			r.gen++
+		r.removeFromIndexes(rec)
+		if !sameListing(&rec.Entry, &e) {
+			r.generation++
 		}
 	}
-	rec.Entry, rec.at, rec.since = e, at, r.now
-	r.link(rec)
+	rec.Entry, rec.publishedAt, rec.receivedAt = e, at, r.now
+	r.addToIndexes(rec)
 	return true
 }
 
-// link puts rec into the indexes and at the end of the log.
-func (r *Registry) link(rec *record) {
+// addToIndexes puts rec into the indexes and at the end of the log.
+func (r *Registry) addToIndexes(rec *record) {
 	r.seq++
 	rec.seq, rec.hash = r.seq, rec.sum()
 	r.log = append(r.log, logItem{rec.seq, rec})
@@ -158,64 +159,66 @@
 		s = &source{}
 		r.sources[rec.Source] = s
 	}
-	s.held++
-	s.moved = r.now
+	s.entries++
+	s.changedAt = r.now
 	if rec.State == Gone {
-		r.gone++
+		r.tombstones++
 	} else {
-		index(r.plants, rec.Plant, rec)
-		index(r.places, rec.Address, rec)
+		index(r.services, rec.Plant, rec)
+		index(r.addresses, rec.Address, rec)
 	}
-	// Superseded places in the log are skipped by readers; half of them may be such before it
-	// pays to write it anew.
-	if len(r.log) > 2*len(r.recs)+64 {
-		r.log = slices.DeleteFunc(r.log, func(i logItem) bool { return i.rec.seq != i.seq })
+	// Readers skip superseded log items; the log is compacted once more than half of it is superseded.
+	if len(r.log) > 2*len(r.records)+64 {
+		r.log = slices.DeleteFunc(r.log, func(i logItem) bool { return i.record.seq != i.seq })
 	}
 }
 
-func (r *Registry) unlink(rec *record) {
+// removeFromIndexes takes rec out of the indexes; its log item becomes superseded.
+func (r *Registry) removeFromIndexes(rec *record) {
 	rec.seq = 0
 	l := &r.leaves[rec.leaf]
 	l.sum -= rec.hash
 	l.count--
 	s := r.sources[rec.Source]
-	s.held--
-	s.moved = r.now
+	s.entries--
+	s.changedAt = r.now
 	if rec.State == Gone {
-		r.gone--
+		r.tombstones--
 	} else {
-		unindex(r.plants, rec.Plant, rec)
-		unindex(r.places, rec.Address, rec)
+		unindex(r.services, rec.Plant, rec)
+		unindex(r.addresses, rec.Address, rec)
 	}
 }
 
 // drop forgets an id. The vector still covers its entry, so that a late copy doesn't bring it back.
 func (r *Registry) drop(rec *record) {
 	if rec.State != Gone {
-		r.gen++
+		r.generation++
 	}
-	r.unlink(rec)
-	delete(r.recs, rec.ID)
+	r.removeFromIndexes(rec)
+	delete(r.records, rec.ID)
 }
 
-// makeRoom forgets the oldest of what is least missed, many at once so that a full registry isn't
-// searched at each beat. Entries of searchers that are heard are never forgotten.
-func (r *Registry) makeRoom() bool {
-	var spare []*record
-	for _, rec := range r.recs {
+// evict removes tombstones and silent entries, those that matter least first, and several at once so
+// that a full registry isn't searched at each heartbeat. Entries of responsive searchers are never
+// evicted. It returns false if there was nothing to evict.
+func (r *Registry) evict() bool {
+	var evictable []*record
+	for _, rec := range r.records {
 		if rec.State == Gone || rec.Silent {
-			spare = append(spare, rec)
+			evictable = append(evictable, rec)
 		}
 	}
-	slices.SortFunc(spare, func(a, b *record) int {
-		return cmp.Or(-cmp.Compare(a.State/Gone, b.State/Gone), cmp.Compare(known(a), known(b)), a.at.Compare(b.at), cmp.Compare(a.ID, b.ID))
+	slices.SortFunc(evictable, func(a, b *record) int {
+		return cmp.Or(-cmp.Compare(a.State/Gone, b.State/Gone), cmp.Compare(evictionRank(a), evictionRank(b)), a.publishedAt.Compare(b.publishedAt), cmp.Compare(a.ID, b.ID))
 	})
-	for _, rec := range spare[:min(len(spare), r.cfg.MaxEntries/16+1)] {
+	for _, rec := range evictable[:min(len(evictable), r.cfg.MaxEntries/16+1)] {
 		r.drop(rec)
 	}
-	return len(spare) > 0
+	return len(evictable) > 0
 }
 
+// index adds rec to m under key.
 func index(m map[string]map[string]*record, key string, rec *record) {
 	if m[key] == nil {
 		m[key] = map[string]*record{}
@@ -223,6 +226,7 @@
 	m[key][rec.ID] = rec
 }
 
+// unindex removes rec from m, and key with its last record.
 func unindex(m map[string]map[string]*record, key string, rec *record) {
 	delete(m[key], rec.ID)
 	if len(m[key]) == 0 {
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -22,7 +22,7 @@
 
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * 1e9)) }
 
-// run ticks from one second to another.
+// run ticks r every 0.25 s between two times, given in seconds.
 func run(r *Registry, from, to float64) {
 	for s := from; s <= to; s += 0.25 {
 		r.Tick(at(s))
@@ -38,7 +38,7 @@
 	return fmt.Sprint(ok, e.State, e.Silent)
 }
 
-// reconcile runs the exchange of digests between a and b.
+// reconcile runs the exchange of digests and patches between a and b.
 func reconcile(now time.Time, a, b *Registry) (sent int) {
 	digests, to, from := []Digest{b.Digest(Range{})}, a, b
 	for len(digests) > 0 {
@@ -52,12 +52,12 @@
 	return sent
 }
 
-func TestBeats(t *testing.T) {
+func TestHeartbeats(t *testing.T) {
 	h := controller("h")
 	s := Searcher{ID: "i", Plant: "p", Address: "a", Calls: 4, WarmupLeft: 3 * time.Second}
 	must.Eq(t, Beaten{News: true, Source: "h", No: 1}, h.Beat(at(0), s))
 	s.Calls, s.WarmupLeft = 6, 2*time.Second
-	must.Eq(t, Beaten{Source: "h", No: 1}, h.Beat(at(1), s)) // a repeat, the warm-up ran down
+	must.Eq(t, Beaten{Source: "h", No: 1}, h.Beat(at(1), s)) // a repeat; the warm-up only ran down
 	s.Calls, s.State = 5, Draining
 	must.True(t, h.Beat(at(1), s).Late) // older than the repeat
 	s.Calls = 7
@@ -80,21 +80,21 @@
 	b.Beat(at(1), Searcher{ID: "moves", Calls: 2})
 	pull(at(1), a, b)
 	run(a, 0, 1)
-	run(a, 9, 11.25) // it slept in between, and heard nobody then
+	run(a, 9, 11.25) // a was paused in between and could not receive heartbeats
 	must.Eq(t, "true ready false", state(a, "i"))
 	run(a, 11.5, 12)
 	must.Eq(t, "true ready true", state(a, "i"))
-	must.Eq(t, "true ready false", state(a, "moves")) // b minds it now
+	must.Eq(t, "true ready false", state(a, "moves")) // b monitors it now
 	must.True(t, a.Beat(at(12), Searcher{ID: "i", Calls: 1}).Late)
 	must.True(t, a.Beat(at(12), Searcher{ID: "i", Calls: 2}).News)
 	must.Eq(t, "true ready false", state(a, "i"))
 	run(a, 12, 80)
 	must.Eq(t, "false ready false", state(a, "i")) // expired
-	// b's is adopted once b is dead, unless it is heard elsewhere
+	// b's entry is adopted once b is dead, unless another source receives heartbeats for it
 	a.Adopt(at(80), "b")
 	run(a, 80, 84)
 	must.Eq(t, "true ready true", state(a, "moves"))
-	// b lives and heard it since: it says so before the next beat
+	// b is alive and received a heartbeat since: it clears the mark before the next one
 	b.Beat(at(84), Searcher{ID: "moves", Calls: 5})
 	pull(at(84), b, a)
 	run(b, 84, 84.5)
@@ -102,8 +102,9 @@
 	must.NoError(t, a.Check())
 }
 
-// A source that was out of touch and is back minds its entries again, though they make no news.
-func TestReleased(t *testing.T) {
+// TestReleasedSourceMonitorsItsEntries: a source that was without contact and is back monitors its entries again,
+// though their heartbeats publish no updates.
+func TestReleasedSourceMonitorsItsEntries(t *testing.T) {
 	a, b := controller("a"), controller("b")
 	b.Beat(at(0), Searcher{ID: "i", Calls: 1})
 	pull(at(0), a, b)
@@ -123,13 +124,13 @@
 	h.Beat(at(0), Searcher{ID: "old", Address: "x", Calls: 9})
 	h.Beat(at(1), Searcher{ID: "new", Address: "x", Calls: 1})
 	must.Eq(t, "true ready true", state(h, "old"))
-	must.True(t, h.Beat(at(1), Searcher{ID: "old", Address: "x", Calls: 10}).News) // it lives after all
+	must.True(t, h.Beat(at(1), Searcher{ID: "old", Address: "x", Calls: 10}).News) // it is alive after all
 	h.Beat(at(2), Searcher{ID: "new", Address: "x", Calls: 2})
 	must.Eq(t, "true ready false", state(h, "old"))
 	must.Eq(t, "true ready false", state(h, "new"))
 }
 
-func TestHoldsADrainOnlyOnceItHasIt(t *testing.T) {
+func TestHoldsDrainOnlyAfterFullPull(t *testing.T) {
 	a, b, r := controller("a"), controller("b"), relay("r")
 	for i := range 10 {
 		a.Beat(at(0), Searcher{ID: fmt.Sprint(i), Calls: 1})
@@ -138,27 +139,27 @@
 	drain := a.Beat(at(0), Searcher{ID: "3", Calls: 2, State: Draining}).Vector()
 	a.Beat(at(0), Searcher{ID: "4", Calls: 2, State: Draining})
 	pull(at(0), b, a)
-	b.Beat(at(0), Searcher{ID: "3", Calls: 3, State: Draining}) // b's entry takes the place of a's
+	b.Beat(at(0), Searcher{ID: "3", Calls: 3, State: Draining}) // b's entry replaces a's
 	pull(at(0), a, b)
-	d := a.Since(r.Want("a"), 1) // a part, without 3
+	d := a.Since(r.Want("a"), 1) // a partial delta, without 3
 	must.True(t, d.More)
 	r.Merge(at(0), d)
 	must.False(t, r.Holds(drain))
 	late := a.Since(r.Want("a"), 9)
-	born := relay("r2") // a new life gets what the former one asked for
-	born.Merge(at(0), late)
-	must.False(t, born.Holds(drain))
+	restarted := relay("r2") // a new incarnation receives what the former one asked for
+	restarted.Merge(at(0), late)
+	must.False(t, restarted.Holds(drain))
 	r.Merge(at(0), late)
 	must.True(t, r.Holds(drain))
 	must.Eq(t, "true draining false", state(r, "3"))
 	must.True(t, func() bool { d := a.Since(r.Want("a"), 9); return d.Empty() }())
 }
 
-func TestMovingToAnotherControllerCostsLittle(t *testing.T) {
-	a, b, r := fleet(100), controller("b"), relay("r")
+func TestChangingControllersSendsOnlyMissingEntries(t *testing.T) {
+	a, b, r := populated(100), controller("b"), relay("r")
 	pull(at(0), b, a)
 	pull(at(0), r, a)
-	must.False(t, a.Complete() || r.Complete()) // others may be yet to beat
+	must.False(t, a.Complete() || r.Complete()) // others may not have sent a heartbeat yet
 	run(b, 0, 1.5)
 	b.Beat(at(0), Searcher{ID: "new", Calls: 1})
 	d := b.Since(r.Want("b"), 1000)
@@ -168,14 +169,14 @@
 	must.True(t, b.Complete() && r.Complete())
 }
 
-func TestMend(t *testing.T) {
+func TestRepair(t *testing.T) {
 	a, b, r := controller("a"), controller("b"), relay("r")
 	for i := range 500 {
 		a.Beat(at(0), Searcher{ID: fmt.Sprint("i", i), Calls: 1})
 	}
 	pull(at(0), b, a)
 	pull(at(0), r, a)
-	b.drop(b.recs["i7"]) // a fault: covered by the vector, yet not held
+	b.drop(b.records["i7"]) // a fault: covered by the vector, yet not held
 	a.Beat(at(0), Searcher{ID: "i9", Calls: 2, State: Draining})
 	sent := reconcile(at(1), a, b)
 	must.Eq(t, a.Digest(Range{}), b.Digest(Range{}))
@@ -200,7 +201,7 @@
 }
 
 func TestBounds(t *testing.T) {
-	h := New(Config{Name: "h", Start: epoch, MaxEntries: 20, MaxGone: 8, MaxSources: 4})
+	h := New(Config{Name: "h", Start: epoch, MaxEntries: 20, MaxTombstones: 8, MaxSources: 4})
 	for i := range 20 {
 		must.True(t, h.Beat(at(0), Searcher{ID: fmt.Sprint("i", i), Calls: 1}).News)
 	}
@@ -209,9 +210,9 @@
 		h.Leave(at(1), fmt.Sprint("i", i))
 	}
 	h.Tick(at(2))
-	must.LessEq(t, 8, h.gone)
+	must.LessEq(t, 8, h.tombstones)
 	must.Eq(t, 8, h.Len())
-	for i := range 30 { // the lives of a controller that keeps falling
+	for i := range 30 { // the incarnations of a controller that keeps crashing
 		o := controller(fmt.Sprint("o", i))
 		o.Beat(at(3), Searcher{ID: "roams", Calls: uint64(i + 1)})
 		pull(at(3), h, o)
@@ -221,8 +222,9 @@
 	must.NoError(t, h.Check())
 }
 
-// Whatever the order, the grouping and the copies, the same news makes the same registry.
-func TestJoinIsAJoin(t *testing.T) {
+// TestJoinIsOrderIndependent: whatever the order, the grouping and the duplicates, the same updates produce the same
+// registry.
+func TestJoinIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		no := map[string]uint64{}
 		entries := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
@@ -246,7 +248,8 @@
 	})
 }
 
-func fleet(n int) *Registry {
+// populated returns a controller's registry with n searchers.
+func populated(n int) *Registry {
 	h := controller("controller-3.example:7000/5f3a91c2")
 	for i := range n {
 		h.Beat(at(0), Searcher{
@@ -260,7 +263,7 @@
 func BenchmarkSince(b *testing.B) {
 	for _, n := range []int{3800, 1} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			h, r := fleet(3800), relay("agent-1/77")
+			h, r := populated(3800), relay("agent-1/77")
 			if n == 1 {
 				pull(at(0), r, h)
 				e := slices.Collect(h.All())[9].Searcher
@@ -275,7 +278,7 @@
 			must.Len(b, n, d.Entries)
 			var buf bytes.Buffer
 			enc := gob.NewEncoder(&buf)
-			must.NoError(b, enc.Encode(Delta{})) // the types go over a link once
+			must.NoError(b, enc.Encode(Delta{})) // a connection transfers the types once
 			buf.Reset()
 			must.NoError(b, enc.Encode(d))
 			b.ReportMetric(float64(buf.Len()), "bytes")
@@ -284,7 +287,7 @@
 }
 
 func BenchmarkMerge(b *testing.B) {
-	full := fleet(3800).Since(relay("r").Want(""), 5000)
+	full := populated(3800).Since(relay("r").Want(""), 5000)
 	b.Run("3800", func(b *testing.B) {
 		for b.Loop() {
 			relay("r").Merge(at(0), full)
@@ -301,9 +304,9 @@
 }
 
 func BenchmarkTick(b *testing.B) {
-	h := fleet(3800)
+	h := populated(3800)
 	for s := 0.0; b.Loop(); s += 0.2 {
-		h.awake = at(s) // nobody falls silent: the cost of looking
+		h.runningSince = at(s) // no searcher becomes silent: this measures the scan alone
 		h.Tick(at(s))
 	}
 }
--- a/registry/flood_test.go
+++ b/registry/tombstone_test.go
@@ -7,18 +7,19 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestUnknownIDsPushNoTombstoneOut: a caller that says of ever new ids that they have left takes no place from those that had
-// been there: a late beat of one of these must not bring it back. The code before kept the youngest, whoever they were.
+// TestUnknownIDsPushNoTombstoneOut: a caller that reports ever new unknown ids as having left must not evict the tombstones
+// of searchers that existed, or a late heartbeat of one of these would bring it back. This happened when the bound kept the
+// youngest tombstones regardless of whether their ids had been known.
 func TestUnknownIDsPushNoTombstoneOut(t *testing.T) {
 	h := controller("h")
 	real := Searcher{ID: "real", Plant: "p", Address: "a", Calls: 1}
 	h.Beat(at(0), real)
 	must.True(t, h.Leave(at(1), real.ID).News)
-	for i := range 3 * h.cfg.MaxGone {
+	for i := range 3 * h.cfg.MaxTombstones {
 		h.Leave(at(2), fmt.Sprint("unknown-", i))
 	}
 	h.Tick(at(3))
-	must.LessEq(t, h.cfg.MaxGone, h.gone)
+	must.LessEq(t, h.cfg.MaxTombstones, h.tombstones)
 	real.Calls = 2
 	must.True(t, h.Beat(at(4), real).Gone)
 	must.NoError(t, h.Check())
--- a/registry/types.go
+++ b/registry/types.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// State is what a searcher says of itself.
+// State is the state that a searcher reports of itself.
 type State uint8
 
-// The states rise: at the same call count the higher one holds.
+// The order matters: at the same call count the higher state wins.
 const (
 	Ready State = iota
 	Draining
 	Gone
 )
 
+// String returns the lower-case name of the state.
 func (s State) String() string {
 	return [...]string{"ready", "draining", "gone"}[min(s, Gone)]
 }
 
-// Searcher is what a beat tells.
+// Searcher is the content of a searcher's heartbeat.
 type Searcher struct {
 	ID, Plant, Address, Zone, ConfigVersion string
 
 	Capacity   int
 	State      State
 	WarmupLeft time.Duration
-	// Calls rises with each call of the searcher, so that a late one shows.
+	// Calls rises with each call of the searcher, so that a late heartbeat is recognized.
 	Calls uint64
 }
 
-// Entry is one piece of news: the state of a searcher as one source told it. Source and No name
-// it for good: no source ever tells two entries under one number.
+// Entry is one update: the state of a searcher as one source published it. Source and No identify
+// it for good: no source ever publishes two entries under one number.
 type Entry struct {
 	Searcher
 	Source string
 	No     uint64
-	// Silent says that the source stopped hearing the searcher. It stays listed, to be tried
-	// last: a stale entry costs a try, a missing one costs the service.
+	// Silent says that the source no longer receives heartbeats of the searcher. It stays listed, to
+	// be tried last: a stale entry costs an attempt, a missing one costs the service.
 	Silent bool
-	// Age is how long ago the entry was told, given where it matters (Silent, Gone, warming up),
-	// so that all registries forget it at about the same time without one clock.
+	// Age is how long ago the entry was published. It is set where it matters (Silent, Gone, warming
+	// up), so that all registries forget it at about the same time without a common clock.
 	Age time.Duration
 }
 
-// compare is the merge order of two entries of one id. It is total over entries that were ever
-// told, which makes joining commutative, associative and idempotent.
+// compare is the merge order of two entries of one id. It is total over published entries, which
+// makes joining commutative, associative and idempotent.
 func compare(a, b *Entry) int {
 	if g := (a.State == Gone); g != (b.State == Gone) {
 		if g {
@@ -57,8 +58,8 @@
 	}
 	c := cmp.Or(cmp.Compare(a.Calls, b.Calls), cmp.Compare(a.State, b.State))
 	if c == 0 && a.Silent != b.Silent {
-		// A mark of silence is set on the last call heard, so it must beat the entry of that
-		// very call; any later call beats the mark.
+		// A silence mark is set on the last call received, so it must win over the entry of that
+		// very call; any later call wins over the mark.
 		if a.Silent {
 			return 1
 		}
@@ -67,17 +68,17 @@
 	return cmp.Or(c, strings.Compare(a.Source, b.Source), cmp.Compare(a.No, b.No))
 }
 
-// alike tells whether a reader of the list would see the same in both. Warm-up is left out: it
-// runs down by itself.
-func alike(a, b *Entry) bool {
+// sameListing reports whether a reader of the list would see the same in both. The warm-up is left
+// out: it runs down by itself.
+func sameListing(a, b *Entry) bool {
 	return a.Plant == b.Plant && a.Address == b.Address && a.Zone == b.Zone && a.ConfigVersion == b.ConfigVersion &&
 		a.Capacity == b.Capacity && a.State == b.State && a.Silent == b.Silent
 }
 
-// Vector holds for each source the number up to which its news is held.
+// Vector is a version vector: for each source the number up to which its entries are held.
 type Vector map[string]uint64
 
-// Covers tells whether v is at least o in each component of o.
+// Covers reports whether v is at least o in each component of o.
 func (v Vector) Covers(o Vector) bool {
 	for s, n := range o {
 		if v[s] < n {
@@ -87,50 +88,51 @@
 	return true
 }
 
-// Clone returns a copy.
+// Clone returns a copy of v.
 func (v Vector) Clone() Vector { return maps.Clone(v) }
 
-// Want asks a peer for what the asker lacks.
+// Want asks a peer for the entries that the requester lacks.
 type Want struct {
-	Name string // the asker's name, of this life
+	Name string // the requester's name, of this incarnation
 	Have Vector
-	// By and Cursor say how far the asker read the peer's log: what came before is not sent
-	// again. They hold only within one life of the peer; after that, Have spares what is held.
+	// By and Cursor say how far the requester has read the peer's log: what stands before the cursor
+	// is not sent again. They hold only within one incarnation of the peer; after that, Have keeps
+	// the peer from sending what is already held.
 	By     string
 	Cursor uint64
 }
 
-// Delta answers a Want: a stretch of the sender's log, without what the asker has.
+// Delta answers a Want: a section of the sender's log, without the entries that the requester has.
 //
-// A part (More) claims nothing but its stretch. Only the last part carries Upto: an entry may be
-// missing in a part because another source's entry, which is still to come, took its place.
+// A partial delta (More) makes no claim beyond its section. Only the last one carries Upto: an entry
+// may be missing in a partial one because another source's entry, which is still to come, replaced it.
 type Delta struct {
 	For, By     string
-	Start, Next uint64 // the stretch of By's log
+	Start, Next uint64 // the section of By's log
 	Entries     []Entry
-	Upto        Vector                   // components that rise above Have; last part only
+	Upto        Vector                   // components that rise above Have; only in the last delta
 	Idle        map[string]time.Duration // of sources in Upto that have no entries left
 	More        bool
-	Whole       bool // the sender's list may be taken for the whole
+	Whole       bool // the sender's list is complete
 }
 
-// Empty tells that the delta has nothing to say, so that a long poll may go on waiting.
+// Empty reports whether the delta carries no updates, so that a long poll may go on waiting.
 func (d *Delta) Empty() bool { return len(d.Entries) == 0 && len(d.Upto) == 0 && !d.More }
 
-// Beaten says what a beat came to.
+// Beaten is the result of a heartbeat.
 type Beaten struct {
 	News    bool // it was published under a new number
-	Late    bool // it is older than what is held, or a copy
+	Late    bool // it is older than what is held, or a duplicate
 	Gone    bool // the id has left and never comes back
-	Refused bool // no room, or this registry is no source
+	Refused bool // the registry is full, or is a relay
 	// State is that of the entry now held for the id; Ready after a refusal.
 	State State
-	// Source and No name the entry now held for the id: a peer whose vector covers them has it.
+	// Source and No identify the entry now held for the id: a peer whose vector covers them has it.
 	Source string
 	No     uint64
 }
 
-// Vector is what a peer must hold to know the entry.
+// Vector returns the vector that a peer must cover to know the entry.
 func (b Beaten) Vector() Vector {
 	if b.Source == "" {
 		return nil
