--- a/failuredetector/check.go
+++ b/failuredetector/check.go
@@ -6,82 +6,82 @@
 	"github.com/go-faster/errors"
 )
 
-// Check returns what is wrong with a mixer's part, or nil. It costs as much as Know.
-func (l *Detector) Check() error {
-	me := l.cfg.Me
-	if len(l.peers) >= nodesMost || len(l.to) > Watchers {
-		return errors.Errorf("over a bound: %d peers, %d watchers", len(l.peers), len(l.to))
+// Check verifies the detector's invariants and returns the first violation, or nil. It costs as much as Know.
+func (d *Detector) Check() error {
+	me := d.cfg.Me
+	if len(d.peers) >= maxNodes || len(d.targets) > Watchers {
+		return errors.Errorf("a bound is exceeded: %d peers, %d watchers", len(d.peers), len(d.targets))
 	}
 	list := []Node{me}
 	elsewhere := false
-	for key, p := range l.peers {
+	for key, p := range d.peers {
 		if key != Key(p.Life) || p.Life == me.Life {
-			return errors.Errorf("peer %q under key %x", p.Life, key)
+			return errors.Errorf("peer %q is stored under key %x", p.Life, key)
 		}
-		if p.heard.After(l.now) || p.since.After(l.now) {
-			return errors.Errorf("peer %q: heard in the future", p.Life)
+		if p.lastHeartbeat.After(d.now) || p.changedAt.After(d.now) {
+			return errors.Errorf("peer %q: a timestamp lies in the future", p.Life)
 		}
-		if p.missed && (!p.watched || l.now.Sub(l.heardAt(p)) <= l.patience(p)) {
-			return errors.Errorf("peer %q is missed too soon, or by one who doesn't watch it", p.Life)
+		if p.missed && (!p.watched || d.now.Sub(d.lastContact(p)) <= d.timeout(p)) {
+			return errors.Errorf("peer %q counts as missed too soon, or by a mixer that doesn't watch it", p.Life)
 		}
 		list = append(list, p.Node)
-		elsewhere = elsewhere || p.on() && p.Zone != me.Zone
+		elsewhere = elsewhere || p.onRing() && p.Zone != me.Zone
 	}
 	ring := NewRing(list)
-	if want := min(Watchers, ring.Size()-1); me.Addr.IsValid() && len(l.to) != want {
-		return errors.Errorf("%d watchers of %d", len(l.to), want)
+	if want := min(Watchers, ring.Size()-1); me.Addr.IsValid() && len(d.targets) != want {
+		return errors.Errorf("have %d watchers, want %d", len(d.targets), want)
 	}
 	outside := 0
-	for i, t := range l.to {
-		if t.addr == me.Addr || slices.Contains(l.to[:i], t) {
-			return errors.Errorf("watcher %s is named twice, or is the watched", t.addr)
+	for i, t := range d.targets {
+		if t.addr == me.Addr || slices.Contains(d.targets[:i], t) {
+			return errors.Errorf("watcher %s is assigned twice, or is the watched mixer itself", t.addr)
 		}
-		if t.slow {
+		if t.halfRate {
 			outside++
 		}
 	}
-	if elsewhere && len(l.to) > 0 && outside == 0 {
-		return errors.New("all watchers are in the zone of the watched")
+	if elsewhere && len(d.targets) > 0 && outside == 0 {
+		return errors.New("all watchers are in the zone of the watched mixer")
 	}
-	for _, p := range l.peers {
-		named := p.on() && slices.ContainsFunc(ring.Watchers(&p.Node), func(w Node) bool { return w.Life == me.Life })
-		if named != p.watched {
-			return errors.Errorf("peer %q: watched %v, the ring says %v", p.Life, p.watched, named)
+	for _, p := range d.peers {
+		assigned := p.onRing() && slices.ContainsFunc(ring.Watchers(&p.Node), func(w Node) bool { return w.Life == me.Life })
+		if assigned != p.watched {
+			return errors.Errorf("peer %q: watched is %v, by the ring it should be %v", p.Life, p.watched, assigned)
 		}
 	}
 	return nil
 }
 
-// Check returns what is wrong with a core machine's part, or nil.
-func (j *Judge) Check() error {
-	if len(j.pulls) > nodesMost || len(j.nodes) > nodesMost || len(j.controllers) > controllersMost {
-		return errors.Errorf("over a bound: %d pulls, %d nodes, %d controllers", len(j.pulls), len(j.nodes), len(j.controllers))
+// Check verifies the judge's invariants and returns the first violation, or nil.
+func (a *Judge) Check() error {
+	if len(a.pulls) > maxNodes || len(a.nodes) > maxNodes || len(a.controllers) > maxControllers {
+		return errors.Errorf("a bound is exceeded: %d pulls, %d nodes, %d controllers", len(a.pulls), len(a.nodes), len(a.controllers))
 	}
-	on := 0
-	for life, n := range j.nodes {
-		if n.Life != life {
-			return errors.Errorf("node %q under %q", n.Life, life)
+	onRing := 0
+	for incarnation, n := range a.nodes {
+		if n.Life != incarnation {
+			return errors.Errorf("node %q is stored under %q", n.Life, incarnation)
 		}
-		if n.on() {
-			on++
+		if n.onRing() {
+			onRing++
 		}
 	}
-	if on != j.ring.Size() {
-		return errors.Errorf("the ring has %d of %d", j.ring.Size(), on)
+	if onRing != a.ring.Size() {
+		return errors.Errorf("the ring has %d nodes, want %d", a.ring.Size(), onRing)
 	}
-	for life := range j.unheard {
-		if _, minded := j.vouched[life]; !minded {
-			return errors.Errorf("%q is unheard, but not minded", life)
+	for incarnation := range a.unheard {
+		if _, monitored := a.lastAlive[incarnation]; !monitored {
+			return errors.Errorf("%q is unheard, but not monitored", incarnation)
 		}
 	}
-	for life, p := range j.pulls {
-		if len(p.missed) > toldMost || len(p.seen) > toldMost {
-			return errors.Errorf("%q tells too much", life)
+	for incarnation, p := range a.pulls {
+		if len(p.missed) > maxReported || len(p.seen) > maxReported {
+			return errors.Errorf("the lists of %q exceed their bound", incarnation)
 		}
 	}
-	for name, t := range j.controllers {
-		if len(t.missed) > reportsMost || len(t.seen) > reportsMost || len(t.unheard) > reportsMost {
-			return errors.Errorf("controller %q tells too much", name)
+	for name, t := range a.controllers {
+		if len(t.missed) > maxReports || len(t.seen) > maxReports || len(t.unheard) > maxReports {
+			return errors.Errorf("the report of controller %q exceeds its bounds", name)
 		}
 	}
 	return nil
--- a/failuredetector/detector.go
+++ b/failuredetector/detector.go
@@ -7,160 +7,168 @@
 	"time"
 )
 
-// Bounds of what one mixer keeps and tells.
+// Bounds of what one mixer stores and reports.
 const (
-	nodesMost = 4096
-	toldMost  = 64 // lives in one list of an ask
+	maxNodes    = 4096
+	maxReported = 64 // incarnations in one list of a pull request
 )
 
-// Config sets a mixer's part up. Zero values take the defaults.
+// Config configures a Detector. Zero values take the defaults.
 type Config struct {
 	Me Node
-	// Every is the time between two heartbeats to a watcher of the same zone; others get every second one.
+	// Every is the interval of heartbeats to a watcher of the same zone; other watchers get every second one.
 	Every time.Duration
-	// Patience is how many heartbeats in a row are missed before the mixer is. A new watcher waits twice as long for the
-	// first, as the mixer may have to learn of it yet.
+	// Patience is how many heartbeats in a row must fail to arrive before a mixer counts as missed. A new watcher waits twice
+	// as long for the first one, as the mixer may not know of it yet.
 	Patience float64
 }
 
-// Detector is one mixer's part. It is not safe for concurrent use.
+// Detector decides in one mixer which heartbeats to send and which other mixers are missed. It is not safe for concurrent
+// use.
 type Detector struct {
-	cfg   Config
-	now   time.Time
-	awake time.Time // since when we have run without a gap
-	last  time.Time // tick
-	no    uint64
-	to    []target
-	peers map[uint64]*peer
+	cfg          Config
+	now          time.Time
+	runningSince time.Time // since when the process has run without a gap
+	lastTick     time.Time
+	number       uint64 // of the last heartbeat sent
+	targets      []target
+	peers        map[uint64]*peer
 }
 
 type target struct {
-	addr netip.AddrPort
-	slow bool
+	addr     netip.AddrPort
+	halfRate bool
 }
 
 type peer struct {
 	Node
-	no      uint64    // of the last heartbeat
-	heard   time.Time // and when it came
-	watched bool
-	since   time.Time // when it was first watched, or taken off the ring
-	slow    bool
-	missed  bool
+	number        uint64    // of the last heartbeat received
+	lastHeartbeat time.Time // when that arrived
+	watched       bool
+	changedAt     time.Time // when it was first watched, or taken off the ring
+	halfRate      bool      // it sends only every second heartbeat to this mixer
+	missed        bool
 }
 
-// New makes the part of a mixer that knows of no other.
+// New returns the detector of a mixer that knows no other yet.
 func New(c Config, now time.Time) *Detector {
 	c.Every = cmp.Or(c.Every, 500*time.Millisecond)
 	c.Patience = cmp.Or(c.Patience, 3.5)
 	c.Me.Silent, c.Me.Leaving = false, false
-	return &Detector{cfg: c, now: now, awake: now, last: now, peers: map[uint64]*peer{}}
+	return &Detector{cfg: c, now: now, runningSince: now, lastTick: now, peers: map[uint64]*peer{}}
 }
 
-func (l *Detector) step(now time.Time) {
-	if now.After(l.now) {
-		l.now = now
+// advanceClock sets the detector's time; it never goes back.
+func (d *Detector) advanceClock(now time.Time) {
+	if now.After(d.now) {
+		d.now = now
 	}
 }
 
-// Know takes the list of mixers, the silent ones too. What is known of those that stay is kept.
-func (l *Detector) Know(now time.Time, nodes []Node) {
-	l.step(now)
-	me := l.cfg.Me
-	// Whatever the others think of us, we live.
+// Know sets the list of mixers, including the silent ones. The state of those that stay is kept.
+func (d *Detector) Know(now time.Time, nodes []Node) {
+	d.advanceClock(now)
+	me := d.cfg.Me
+	// This mixer is alive, whatever the list says of it.
 	list := append(make([]Node, 0, len(nodes)+1), me)
 	for _, n := range nodes {
-		if n.Life != me.Life && len(list) < nodesMost {
+		if n.Life != me.Life && len(list) < maxNodes {
 			list = append(list, n)
 		}
 	}
 	ring := NewRing(list)
-	l.to = l.to[:0]
+	d.targets = d.targets[:0]
 	for _, w := range ring.Watchers(&me) {
-		l.to = append(l.to, target{w.Addr, me.far(&w) > 0})
+		d.targets = append(d.targets, target{w.Addr, me.distance(&w) > 0})
 	}
 	peers := make(map[uint64]*peer, len(list))
 	for i := range list[1:] {
 		n := &list[i+1]
-		p := l.peers[Key(n.Life)]
+		p := d.peers[Key(n.Life)]
 		if p == nil || p.Life != n.Life {
-			p = &peer{since: l.now}
+			p = &peer{changedAt: d.now}
 		}
-		watched := n.on() && slices.ContainsFunc(ring.Watchers(n), func(w Node) bool { return w.Life == me.Life })
-		if watched != p.watched || n.on() != p.on() {
-			p.watched, p.since, p.missed = watched, l.now, false
+		watched := n.onRing() && slices.ContainsFunc(ring.Watchers(n), func(w Node) bool { return w.Life == me.Life })
+		if watched != p.watched || n.onRing() != p.onRing() {
+			p.watched, p.changedAt, p.missed = watched, d.now, false
 		}
-		p.Node, p.slow = *n, n.far(&me) > 0
+		p.Node, p.halfRate = *n, n.distance(&me) > 0
 		peers[Key(n.Life)] = p
 	}
-	l.peers = peers
+	d.peers = peers
 }
 
-// Tick is to be called each Every; it gives the number and the addresses of the heartbeats to be sent now.
-func (l *Detector) Tick(now time.Time) (no uint64, to []netip.AddrPort) {
-	l.step(now)
-	if l.now.Sub(l.last) > 2*l.cfg.Every {
-		l.awake = l.now // we didn't run: that we heard nobody says nothing of them
+// Tick must be called once per Every. It returns the number and the destinations of the heartbeats to be sent now.
+func (d *Detector) Tick(now time.Time) (number uint64, destinations []netip.AddrPort) {
+	d.advanceClock(now)
+	if d.now.Sub(d.lastTick) > 2*d.cfg.Every {
+		d.runningSince = d.now // this process was paused: missing heartbeats say nothing about the peers
 	}
-	l.last = l.now
-	l.no++
-	for _, t := range l.to {
-		if !t.slow || l.no%2 == 0 {
-			to = append(to, t.addr)
+	d.lastTick = d.now
+	d.number++
+	for _, t := range d.targets {
+		if !t.halfRate || d.number%2 == 0 {
+			destinations = append(destinations, t.addr)
 		}
 	}
-	for _, p := range l.peers {
-		p.missed = p.watched && l.now.Sub(l.heardAt(p)) > l.patience(p)
+	for _, p := range d.peers {
+		p.missed = p.watched && d.now.Sub(d.lastContact(p)) > d.timeout(p)
 	}
-	return l.no, to
+	return d.number, destinations
 }
 
-func (l *Detector) heardAt(p *peer) time.Time { return latest(p.heard, p.since, l.awake) }
+// lastContact returns the time from which the peer's timeout runs.
+func (d *Detector) lastContact(p *peer) time.Time {
+	return latest(p.lastHeartbeat, p.changedAt, d.runningSince)
+}
 
-func (l *Detector) patience(p *peer) time.Duration {
-	d := time.Duration(l.cfg.Patience * float64(l.cfg.Every))
-	if p.slow {
-		d *= 2
+// timeout returns how long after its last contact a peer counts as missed.
+func (d *Detector) timeout(p *peer) time.Duration {
+	limit := time.Duration(d.cfg.Patience * float64(d.cfg.Every))
+	if p.halfRate {
+		limit *= 2
 	}
-	if p.heard.Before(p.since) {
-		d *= 2
+	if p.lastHeartbeat.Before(p.changedAt) {
+		limit *= 2
 	}
-	return d
+	return limit
 }
 
-// Heard takes a heartbeat in. It tells whether it counts: one that is late, doubled, of nobody known or from another
-// address than its own doesn't.
-func (l *Detector) Heard(now time.Time, key, no uint64, from netip.AddrPort) bool {
-	l.step(now)
-	p := l.peers[key]
-	if p == nil || p.Addr != from || no <= p.no {
+// Heard processes a heartbeat and reports whether it counts: it doesn't if it is late, duplicated, of an unknown mixer, or
+// from another address than the mixer's.
+func (d *Detector) Heard(now time.Time, key, number uint64, from netip.AddrPort) bool {
+	d.advanceClock(now)
+	p := d.peers[key]
+	if p == nil || p.Addr != from || number <= p.number {
 		return false
 	}
-	p.no, p.heard, p.missed = no, l.now, false
+	p.number, p.lastHeartbeat, p.missed = number, d.now, false
 	return true
 }
 
-// Missed lists the lives that should have been heard and weren't.
-func (l *Detector) Missed() []string { return l.list(func(p *peer) bool { return p.missed }) }
+// Missed lists the incarnations whose heartbeats should have arrived and didn't.
+func (d *Detector) Missed() []string { return d.incarnations(func(p *peer) bool { return p.missed }) }
 
-// Seen lists the lives that were heard lately though the list calls them silent.
-func (l *Detector) Seen() []string {
-	return l.list(func(p *peer) bool {
-		return p.Silent && p.heard.After(p.since) && l.now.Sub(p.heard) <= l.patience(p)
+// Seen lists the incarnations whose heartbeats arrived recently though the list marks them silent.
+func (d *Detector) Seen() []string {
+	return d.incarnations(func(p *peer) bool {
+		return p.Silent && p.lastHeartbeat.After(p.changedAt) && d.now.Sub(p.lastHeartbeat) <= d.timeout(p)
 	})
 }
 
-func (l *Detector) list(is func(*peer) bool) []string {
-	var lives []string
-	for _, p := range l.peers {
-		if is(p) {
-			lives = append(lives, p.Life)
+// incarnations returns the incarnations of the matching peers, sorted and bounded.
+func (d *Detector) incarnations(match func(*peer) bool) []string {
+	var matching []string
+	for _, p := range d.peers {
+		if match(p) {
+			matching = append(matching, p.Life)
 		}
 	}
-	slices.Sort(lives)
-	return lives[:min(len(lives), toldMost)]
+	slices.Sort(matching)
+	return matching[:min(len(matching), maxReported)]
 }
 
+// latest returns the latest of the given times.
 func latest(t time.Time, more ...time.Time) time.Time {
 	for _, m := range more {
 		if m.After(t) {
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -102,10 +102,10 @@
 	for i, spoil := range []func(l *Detector, p *peer){
 		func(l *Detector, p *peer) { p.watched = !p.watched },
 		func(l *Detector, p *peer) { p.missed = true },
-		func(l *Detector, p *peer) { l.to = l.to[:2] },
-		func(l *Detector, p *peer) { l.to[1] = l.to[0] },
-		func(l *Detector, p *peer) { l.to[0].slow = false },
-		func(l *Detector, p *peer) { p.heard = l.now.Add(1) },
+		func(l *Detector, p *peer) { l.targets = l.targets[:2] },
+		func(l *Detector, p *peer) { l.targets[1] = l.targets[0] },
+		func(l *Detector, p *peer) { l.targets[0].halfRate = false },
+		func(l *Detector, p *peer) { p.lastHeartbeat = l.now.Add(1) },
 	} {
 		l := New(Config{Me: list[0]}, begin)
 		l.Know(begin, list)
@@ -127,24 +127,24 @@
 	for i := range lives {
 		lives[i] = fmt.Sprint(i)
 	}
-	for i := range nodesMost + 9 {
-		j.Pulled(begin, fmt.Sprint(i), lives[:1500*((nodesMost+9-i)/nodesMost)], nil) // the first few tell much
+	for i := range maxNodes + 9 {
+		j.Pulled(begin, fmt.Sprint(i), lives[:1500*((maxNodes+9-i)/maxNodes)], nil) // the first few tell much
 	}
 	var w Word
 	for _, l := range lives {
 		w.Missed, w.Unheard = append(w.Missed, Report{l, l}), append(w.Unheard, l)
 	}
-	for i := range controllersMost + 9 {
+	for i := range maxControllers + 9 {
 		j.Told(begin, fmt.Sprint(i), w)
 	}
 	must.NoError(t, j.Check())
-	must.LessEq(t, reportsMost, len(j.Word(begin).Missed))
+	must.LessEq(t, maxReports, len(j.Word(begin).Missed))
 	j.Tick(begin.Add(time.Minute), nil)
 	must.MapEmpty(t, j.pulls)
 	must.MapEmpty(t, j.controllers)
 	l := New(Config{Me: some(1, 1)[0]}, begin)
-	l.Know(begin, some(nodesMost+9, 3))
-	must.Eq(t, nodesMost-1, len(l.peers))
+	l.Know(begin, some(maxNodes+9, 3))
+	must.Eq(t, maxNodes-1, len(l.peers))
 }
 
 // Who has just come to a core machine may yet pull there; until then no word is given in its name.
--- a/failuredetector/doc.go
+++ b/failuredetector/doc.go
@@ -1,11 +1,13 @@
-// Package failuredetector decides which mixers run, by heartbeats to a few watchers that a mixer's place on a ring names.
+// Package failuredetector decides which mixers are alive, from heartbeats that each mixer sends to a few watchers. A hash
+// ring assigns the watchers.
 //
-// What for: a mixer that pulls news is known to live, but one that doesn't may be dead or only out of touch with the
-// core, and how many mixers share the budgets of the system must not be guessed too low. So each mixer tells a few
-// others that it lives; they tell the core machines whom they miss, and those call a mixer silent only when neither its
-// pulls nor its heartbeats are heard. Ring names the watchers. Detector is a mixer's part: whom to send to, whom to miss.
-// Judge is a core machine's: who is to be taken for alive on the word of the watchers.
-// Who calls it: agent (Detector, over UDP) and controller (Judge, with what distribution brings), each under its own lock.
-// What it never does: read a clock, open a socket, start a goroutine, keep a list of its own of which mixers there are
-// (that is registry's), or call a mixer gone.
+// A mixer that pulls updates is known to be alive. One that doesn't may be dead or just without contact to the core, and the
+// number of mixers that share the budgets of the system must not be estimated too low. So each mixer sends heartbeats to a few
+// others; these report to the controllers which mixers they miss, and a controller marks a mixer silent only when neither its
+// pulls nor its heartbeats arrive. Ring assigns the watchers. Detector runs in a mixer: it decides where to send heartbeats
+// and which ones are missed. Judge runs in a controller: it decides which mixers count as alive by their watchers' reports.
+//
+// The callers are agent (Detector, over UDP) and controller (Judge, with the reports that distribution transfers), each under
+// its own lock. The package doesn't read a clock, open a socket or start a goroutine, it keeps no list of mixers of its own
+// (that is registry's), and it never marks a mixer as gone.
 package failuredetector
--- a/failuredetector/judge.go
+++ b/failuredetector/judge.go
@@ -8,238 +8,250 @@
 )
 
 const (
-	reportsMost     = 1024 // of each kind in a Word
-	controllersMost = 64
+	maxReports     = 1024 // of each kind in a Word
+	maxControllers = 64
 )
 
-// Report is what one watcher says of one mixer.
+// Report is what one watcher (By) reports of one mixer (Life).
 type Report struct{ By, Life string }
 
-// Word is what a core machine tells the others of the mixers that pull from it: a suspicion reaches the one that heard
-// the suspected last, whichever the watcher pulls from. It is empty while all are heard.
+// Word is what a controller sends the other controllers about the mixers that pull from it. This way a suspicion reaches the
+// controller that last received the suspected mixer's pull, whichever controller the watcher pulls from. It is empty while
+// all mixers are heard.
 type Word struct {
 	Missed, Seen []Report
-	Unheard      []string // lives that fall to this machine and that it doesn't hear
+	Unheard      []string // incarnations that this controller monitors and that don't pull from it
 }
 
-// Minded is a mixer that falls to this core machine: it heard it last, or who did is dead.
+// Minded is a mixer that a controller is responsible for: the mixer last pulled from it, or from one that is dead.
 type Minded struct {
 	Life            string
 	Silent, Leaving bool
 }
 
-// JudgeConfig sets a Judge up. Zero values take the defaults.
+// JudgeConfig configures a Judge. Zero values take the defaults.
 type JudgeConfig struct {
-	Period time.Duration // of the registry: it calls silent who isn't heard for 2.5 of them
-	// Lately is for how long after its pull a mixer counts as heard, and its word as fresh.
+	Period time.Duration // heartbeat period of the registry, which marks a mixer silent after 2.5 periods
+	// Lately is how long after its pull a mixer counts as in contact, and its reports as fresh.
 	Lately time.Duration
 	// Needed is how many different watchers must miss a mixer, if it has that many.
 	Needed int
 }
 
-// Judge tells for a core machine which mixers live that don't pull. It is not safe for concurrent use.
+// Judge decides in a controller which mixers are alive that don't pull from it. It is not safe for concurrent use.
 type Judge struct {
 	cfg         JudgeConfig
 	ring        *Ring
 	nodes       map[string]Node
-	pulls       map[string]*pull // by life
-	controllers map[string]*told // by name
-	vouched     map[string]time.Time
-	unheard     map[string]bool
+	pulls       map[string]*pullRecord       // by life
+	controllers map[string]*controllerReport // by name
+	lastAlive   map[string]time.Time         // of the monitored mixers: last pull or confirmation, by incarnation
+	unheard     map[string]bool              // monitored mixers without a recent pull
 }
 
-type pull struct {
-	at           time.Time
+// pullRecord is a mixer's last pull and what it reported as a watcher.
+type pullRecord struct {
+	receivedAt   time.Time
 	missed, seen []string
 }
 
-type told struct {
-	at           time.Time
+// controllerReport is the last Word of another controller, as sets.
+type controllerReport struct {
+	receivedAt   time.Time
 	missed, seen map[Report]bool
 	unheard      map[string]bool
 }
 
-// NewJudge makes the part of a core machine that knows of no mixer.
+// NewJudge returns the judge of a controller that knows no mixer yet.
 func NewJudge(c JudgeConfig) *Judge {
 	c.Period = cmp.Or(c.Period, time.Second)
 	c.Lately = cmp.Or(c.Lately, 2*time.Second)
 	c.Needed = cmp.Or(c.Needed, 2)
-	return &Judge{cfg: c, ring: NewRing(nil), nodes: map[string]Node{}, pulls: map[string]*pull{}, controllers: map[string]*told{},
-		vouched: map[string]time.Time{}, unheard: map[string]bool{}}
+	return &Judge{cfg: c, ring: NewRing(nil), nodes: map[string]Node{}, pulls: map[string]*pullRecord{},
+		controllers: map[string]*controllerReport{}, lastAlive: map[string]time.Time{}, unheard: map[string]bool{}}
 }
 
-// Know takes the list of mixers.
-func (j *Judge) Know(nodes []Node) {
-	nodes = nodes[:min(len(nodes), nodesMost)]
-	j.ring = NewRing(nodes)
-	clear(j.nodes)
+// Know sets the list of mixers.
+func (a *Judge) Know(nodes []Node) {
+	nodes = nodes[:min(len(nodes), maxNodes)]
+	a.ring = NewRing(nodes)
+	clear(a.nodes)
 	for _, n := range nodes {
-		j.nodes[n.Life] = n
+		a.nodes[n.Life] = n
 	}
 }
 
-// Pulled takes in a mixer's pull, and what it says as a watcher.
-func (j *Judge) Pulled(now time.Time, life string, missed, seen []string) {
-	p := j.pulls[life]
+// Pulled records a mixer's pull and what the mixer reports as a watcher.
+func (a *Judge) Pulled(now time.Time, incarnation string, missed, seen []string) {
+	p := a.pulls[incarnation]
 	if p == nil {
-		if len(j.pulls) >= nodesMost {
+		if len(a.pulls) >= maxNodes {
 			return
 		}
-		p = &pull{}
-		j.pulls[life] = p
+		p = &pullRecord{}
+		a.pulls[incarnation] = p
 	}
-	p.at = latest(p.at, now)
-	p.missed, p.seen = missed[:min(len(missed), toldMost)], seen[:min(len(seen), toldMost)]
+	p.receivedAt = latest(p.receivedAt, now)
+	p.missed, p.seen = missed[:min(len(missed), maxReported)], seen[:min(len(seen), maxReported)]
 }
 
-// Told takes in another core machine's word.
-func (j *Judge) Told(now time.Time, controller string, w Word) {
-	if j.controllers[controller] == nil && len(j.controllers) >= controllersMost {
+// Told stores another controller's report, in place of its earlier one.
+func (a *Judge) Told(now time.Time, controller string, w Word) {
+	if a.controllers[controller] == nil && len(a.controllers) >= maxControllers {
 		return
 	}
-	t := &told{at: now, missed: map[Report]bool{}, seen: map[Report]bool{}, unheard: map[string]bool{}}
-	for _, r := range w.Missed[:min(len(w.Missed), reportsMost)] {
+	t := &controllerReport{receivedAt: now, missed: map[Report]bool{}, seen: map[Report]bool{}, unheard: map[string]bool{}}
+	for _, r := range w.Missed[:min(len(w.Missed), maxReports)] {
 		t.missed[r] = true
 	}
-	for _, r := range w.Seen[:min(len(w.Seen), reportsMost)] {
+	for _, r := range w.Seen[:min(len(w.Seen), maxReports)] {
 		t.seen[r] = true
 	}
-	for _, life := range w.Unheard[:min(len(w.Unheard), reportsMost)] {
-		t.unheard[life] = true
+	for _, incarnation := range w.Unheard[:min(len(w.Unheard), maxReports)] {
+		t.unheard[incarnation] = true
 	}
-	j.controllers[controller] = t
+	a.controllers[controller] = t
 }
 
-// Word is what to tell the other core machines.
-func (j *Judge) Word(now time.Time) Word {
+// Word returns the report to send to the other controllers.
+func (a *Judge) Word(now time.Time) Word {
 	var w Word
-	for life, p := range j.pulls {
-		if now.Sub(p.at) > j.cfg.Lately {
+	for incarnation, p := range a.pulls {
+		if now.Sub(p.receivedAt) > a.cfg.Lately {
 			continue
 		}
 		for _, m := range p.missed {
-			w.Missed = append(w.Missed, Report{life, m})
+			w.Missed = append(w.Missed, Report{incarnation, m})
 		}
 		for _, m := range p.seen {
-			w.Seen = append(w.Seen, Report{life, m})
+			w.Seen = append(w.Seen, Report{incarnation, m})
 		}
 	}
-	for life := range j.unheard {
-		w.Unheard = append(w.Unheard, life)
+	for incarnation := range a.unheard {
+		w.Unheard = append(w.Unheard, incarnation)
 	}
 	for _, list := range []*[]Report{&w.Missed, &w.Seen} {
-		slices.SortFunc(*list, func(a, b Report) int { return cmp.Or(strings.Compare(a.Life, b.Life), strings.Compare(a.By, b.By)) })
-		*list = (*list)[:min(len(*list), reportsMost)]
+		slices.SortFunc(*list, func(x, y Report) int { return cmp.Or(strings.Compare(x.Life, y.Life), strings.Compare(x.By, y.By)) })
+		*list = (*list)[:min(len(*list), maxReports)]
 	}
 	slices.Sort(w.Unheard)
-	w.Unheard = w.Unheard[:min(len(w.Unheard), reportsMost)]
+	w.Unheard = w.Unheard[:min(len(w.Unheard), maxReports)]
 	return w
 }
 
-// Tick is to be called several times in a Period with those that fall to this machine. It gives the lives to be taken
-// for alive though they weren't heard here: that counts as a beat of theirs. The others fall silent as registry says.
-func (j *Judge) Tick(now time.Time, minded []Minded) (alive []string) {
-	j.forget(now)
-	clear(j.unheard)
-	last := make(map[string]time.Time, len(minded))
-	for _, m := range minded {
-		at, ok := j.vouched[m.Life]
+// Tick must be called several times in a Period with the mixers that this controller monitors. It returns the incarnations
+// that count as alive though they didn't pull here; the caller records a heartbeat for each. The registry marks the others
+// silent in due course.
+func (a *Judge) Tick(now time.Time, monitored []Minded) (alive []string) {
+	a.expire(now)
+	clear(a.unheard)
+	lastAlive := make(map[string]time.Time, len(monitored))
+	for _, m := range monitored {
+		at, ok := a.lastAlive[m.Life]
 		if !ok {
-			at = now // it has just come to us: who lives may yet pull here
+			at = now // newly monitored: if it is alive, it may still pull here
 		}
-		if p := j.pulls[m.Life]; p != nil {
-			at = latest(at, p.at)
+		if p := a.pulls[m.Life]; p != nil {
+			at = latest(at, p.receivedAt)
 		}
-		last[m.Life] = at
-		if !m.Silent && !j.pulledLately(now, m.Life) {
-			j.unheard[m.Life] = true
+		lastAlive[m.Life] = at
+		if !m.Silent && !a.pulledRecently(now, m.Life) {
+			a.unheard[m.Life] = true
 		}
 	}
-	j.vouched = last
-	for _, m := range minded {
+	a.lastAlive = lastAlive
+	for _, m := range monitored {
 		if m.Silent {
-			if !m.Leaving && j.revived(now, m.Life) {
+			if !m.Leaving && a.seenAgain(now, m.Life) {
 				alive = append(alive, m.Life)
-				last[m.Life] = now
+				lastAlive[m.Life] = now
 			}
 			continue
 		}
-		// As late as may be: a word given too soon holds up the call on one that is dead.
-		if now.Sub(last[m.Life]) >= j.cfg.Period*21/10 && (j.pulledLately(now, m.Life) || !m.Leaving && j.vouch(now, m.Life)) {
+		// As late as possible: confirming a mixer too early delays the detection of a dead one.
+		if now.Sub(lastAlive[m.Life]) >= a.cfg.Period*21/10 &&
+			(a.pulledRecently(now, m.Life) || !m.Leaving && a.confirmedAlive(now, m.Life)) {
 			alive = append(alive, m.Life)
-			last[m.Life] = now
+			lastAlive[m.Life] = now
 		}
 	}
 	slices.Sort(alive)
 	return alive
 }
 
-// vouch tells whether enough of a mixer's watchers don't miss it. Only watchers that are heard themselves count, else
-// two dead ones would vouch for each other.
-func (j *Judge) vouch(now time.Time, life string) bool {
-	n, missed := j.ask(now, life, func(p *pull) []string { return p.missed }, func(t *told) map[Report]bool { return t.missed })
-	return n > 0 && missed < min(j.cfg.Needed, n)
+// confirmedAlive reports whether enough of a mixer's watchers don't miss it. Only watchers that are themselves in contact
+// count, otherwise two dead ones would confirm each other.
+func (a *Judge) confirmedAlive(now time.Time, incarnation string) bool {
+	n, missed := a.countWatchers(now, incarnation, func(p *pullRecord) []string { return p.missed },
+		func(t *controllerReport) map[Report]bool { return t.missed })
+	return n > 0 && missed < min(a.cfg.Needed, n)
 }
 
-// revived tells whether so many watchers hear a silent one that those who don't couldn't have it called silent.
-func (j *Judge) revived(now time.Time, life string) bool {
-	n, seen := j.ask(now, life, func(p *pull) []string { return p.seen }, func(t *told) map[Report]bool { return t.seen })
-	return n > 0 && n-seen < min(j.cfg.Needed, n)
+// seenAgain reports whether so many watchers receive a silent mixer's heartbeats that the others alone couldn't have it
+// marked silent.
+func (a *Judge) seenAgain(now time.Time, incarnation string) bool {
+	n, seen := a.countWatchers(now, incarnation, func(p *pullRecord) []string { return p.seen },
+		func(t *controllerReport) map[Report]bool { return t.seen })
+	return n > 0 && n-seen < min(a.cfg.Needed, n)
 }
 
-// ask counts a mixer's watchers that are heard, and those of them that say a thing of it.
-func (j *Judge) ask(now time.Time, life string, here func(*pull) []string, there func(*told) map[Report]bool) (n, say int) {
-	node, ok := j.nodes[life]
+// countWatchers counts a mixer's watchers that are in contact, and those of them that report the mixer in a given list:
+// local selects the list in a pull received here, remote the one in another controller's report.
+func (a *Judge) countWatchers(now time.Time, incarnation string, local func(*pullRecord) []string,
+	remote func(*controllerReport) map[Report]bool) (n, reporting int) {
+	node, ok := a.nodes[incarnation]
 	if !ok || !node.Addr.IsValid() {
 		return 0, 0
 	}
-	for _, w := range j.ring.Watchers(&node) {
+	for _, w := range a.ring.Watchers(&node) {
 		switch {
-		case j.pulledLately(now, w.Life):
+		case a.pulledRecently(now, w.Life):
 			n++
-			if slices.Contains(here(j.pulls[w.Life]), life) {
-				say++
+			if slices.Contains(local(a.pulls[w.Life]), incarnation) {
+				reporting++
 			}
-		case !j.isUnheard(now, w.Life):
+		case !a.isUnheard(now, w.Life):
 			n++
-			for _, t := range j.controllers {
-				if now.Sub(t.at) <= j.cfg.Lately && there(t)[Report{w.Life, life}] {
-					say++
+			for _, t := range a.controllers {
+				if now.Sub(t.receivedAt) <= a.cfg.Lately && remote(t)[Report{w.Life, incarnation}] {
+					reporting++
 					break
 				}
 			}
 		}
 	}
-	return n, say
+	return n, reporting
 }
 
-func (j *Judge) pulledLately(now time.Time, life string) bool {
-	p := j.pulls[life]
-	return p != nil && now.Sub(p.at) <= j.cfg.Lately
+// pulledRecently reports whether a mixer's last pull here is still fresh.
+func (a *Judge) pulledRecently(now time.Time, incarnation string) bool {
+	p := a.pulls[incarnation]
+	return p != nil && now.Sub(p.receivedAt) <= a.cfg.Lately
 }
 
-func (j *Judge) isUnheard(now time.Time, life string) bool {
-	if j.unheard[life] {
+// isUnheard reports whether this controller, or another one by its fresh report, monitors a mixer and receives no pulls of it.
+func (a *Judge) isUnheard(now time.Time, incarnation string) bool {
+	if a.unheard[incarnation] {
 		return true
 	}
-	for _, t := range j.controllers {
-		if now.Sub(t.at) <= j.cfg.Lately && t.unheard[life] {
+	for _, t := range a.controllers {
+		if now.Sub(t.receivedAt) <= a.cfg.Lately && t.unheard[incarnation] {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops what is no longer fresh.
-func (j *Judge) forget(now time.Time) {
-	for life, p := range j.pulls {
-		if now.Sub(p.at) > j.cfg.Lately {
-			delete(j.pulls, life)
+// expire drops pulls and reports that are no longer fresh.
+func (a *Judge) expire(now time.Time) {
+	for incarnation, p := range a.pulls {
+		if now.Sub(p.receivedAt) > a.cfg.Lately {
+			delete(a.pulls, incarnation)
 		}
 	}
-	for name, t := range j.controllers {
-		if now.Sub(t.at) > j.cfg.Lately {
-			delete(j.controllers, name)
+	for name, t := range a.controllers {
+		if now.Sub(t.receivedAt) > a.cfg.Lately {
+			delete(a.controllers, name)
 		}
 	}
 }
--- a/failuredetector/ring.go
+++ b/failuredetector/ring.go
@@ -9,25 +9,25 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Watchers is how many others watch a mixer, where there are that many.
+// Watchers is the number of watchers of a mixer, if there are that many other mixers.
 const Watchers = 3
 
-// Node is one life of a mixer, as the list of mixers tells it.
+// Node is one incarnation of a mixer, as the list of mixers describes it.
 type Node struct {
 	Life         string
-	Addr         netip.AddrPort // where it takes heartbeats; a mixer without one is not on the ring
+	Addr         netip.AddrPort // where it receives heartbeats; a mixer without one is not on the ring
 	Zone, Region string
-	// Silent and Leaving ones are known, but not on the ring.
+	// Silent and Leaving nodes are known, but not on the ring.
 	Silent, Leaving bool
 }
 
-// Key is the place of a life on the ring.
+// Key returns the position of an incarnation on the ring.
 func Key(life string) uint64 { return xxh3.HashString(life) }
 
-func (n *Node) on() bool { return !n.Silent && !n.Leaving && n.Addr.IsValid() }
+func (n *Node) onRing() bool { return !n.Silent && !n.Leaving && n.Addr.IsValid() }
 
-// far is 0 for a watcher in the mixer's zone, 1 in its region, 2 elsewhere.
-func (n *Node) far(w *Node) int {
+// distance is 0 for a watcher in the mixer's zone, 1 in its region, 2 elsewhere.
+func (n *Node) distance(w *Node) int {
 	switch {
 	case n.Zone == w.Zone:
 		return 0
@@ -37,71 +37,71 @@
 	return 2
 }
 
-type place struct {
+type position struct {
 	key uint64
 	Node
 }
 
-// Ring names the watchers of each mixer. All who hold the same list name the same ones.
+// Ring assigns watchers to each mixer. All processes that hold the same list assign the same ones.
 type Ring struct {
-	zones [][]place // each by key
+	zones [][]position // each sorted by key
 	size  int
 }
 
-// NewRing makes the ring of those nodes that are on it.
+// NewRing returns the ring of those nodes that belong on it.
 func NewRing(nodes []Node) *Ring {
 	r := &Ring{}
-	of := map[string][]place{}
+	byZone := map[string][]position{}
 	for i := range nodes {
-		if n := &nodes[i]; n.on() {
-			of[n.Zone] = append(of[n.Zone], place{Key(n.Life), *n})
+		if n := &nodes[i]; n.onRing() {
+			byZone[n.Zone] = append(byZone[n.Zone], position{Key(n.Life), *n})
 			r.size++
 		}
 	}
-	names := make([]string, 0, len(of))
-	for z := range of {
-		names = append(names, z)
+	zones := make([]string, 0, len(byZone))
+	for z := range byZone {
+		zones = append(zones, z)
 	}
-	slices.Sort(names)
-	for _, z := range names {
-		slices.SortFunc(of[z], func(a, b place) int { return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.Life, b.Life)) })
-		r.zones = append(r.zones, of[z])
+	slices.Sort(zones)
+	for _, z := range zones {
+		slices.SortFunc(byZone[z], func(a, b position) int { return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.Life, b.Life)) })
+		r.zones = append(r.zones, byZone[z])
 	}
 	return r
 }
 
-// Size is how many mixers are on the ring.
+// Size returns the number of mixers on the ring.
 func (r *Ring) Size() int { return r.size }
 
 type candidate struct {
-	*place
-	far  int
-	dist uint64
+	*position
+	distance int
+	offset   uint64
 }
 
-// Watchers names those of a mixer, which need not be on the ring itself: the first is one of another zone, as near as
-// there is, so that a zone that is cut off is missed by somebody outside; the others are as near as there are, since
-// heartbeats between zones and regions have a price. Among equals those next on the ring are taken, so that a mixer
-// that comes or goes moves few.
+// Watchers returns the watchers of a mixer, which need not be on the ring itself. The first is in another zone, as near as
+// possible, so that an outside watcher misses a zone that is cut off; the others are as near as possible, since heartbeats
+// between zones and regions cost money. Among equally near ones the next on the ring are taken, so that a mixer that joins or
+// leaves changes the watchers of few others.
 func (r *Ring) Watchers(n *Node) []Node {
 	key := Key(n.Life)
 	var buf [8 * Watchers]candidate
 	all := buf[:0]
 	for _, zone := range r.zones {
-		far := n.far(&zone[0].Node)
+		distance := n.distance(&zone[0].Node)
 		from := sort.Search(len(zone), func(i int) bool { return zone[i].key > key })
 		taken := 0
 		for i := 0; i < len(zone) && taken < Watchers; i++ {
 			if p := &zone[(from+i)%len(zone)]; p.Life != n.Life {
-				all = append(all, candidate{p, far, p.key - key})
+				all = append(all, candidate{p, distance, p.key - key})
 				taken++
 			}
 		}
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.far, b.far), cmp.Compare(a.dist, b.dist), cmp.Compare(a.Life, b.Life))
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.offset, b.offset), cmp.Compare(a.Life, b.Life))
 	})
-	if i := slices.IndexFunc(all, func(c candidate) bool { return c.far > 0 }); i > 0 {
+	if i := slices.IndexFunc(all, func(c candidate) bool { return c.distance > 0 }); i > 0 {
 		other := all[i]
 		copy(all[1:i+1], all[:i])
 		all[0] = other
--- a/failuredetector/wire.go
+++ b/failuredetector/wire.go
@@ -4,29 +4,29 @@
 	"encoding/binary"
 )
 
-// A heartbeat is one datagram: its kind, the sender's key and its number. It names no list and no receiver, so that it
-// stays small; whose it is, the list of mixers says, with the address it must come from.
+// A heartbeat is one datagram: its kind, the sender's key and its sequence number. It names neither a list nor a receiver, so
+// that it stays small; the list of mixers identifies the sender and the address that it must come from.
 const (
-	kind = 0xB7
-	// DatagramMost bounds a heartbeat; anything longer is none.
-	DatagramMost  = 1 + 8 + binary.MaxVarintLen64
-	datagramLeast = 1 + 8 + 1
+	heartbeatKind = 0xB7
+	// DatagramMost is the greatest length of a heartbeat; anything longer is not one.
+	DatagramMost = 1 + 8 + binary.MaxVarintLen64
+	minDatagram  = 1 + 8 + 1
 )
 
-// AppendHeartbeat writes a heartbeat.
-func AppendHeartbeat(to []byte, key, no uint64) []byte {
-	to = binary.BigEndian.AppendUint64(append(to, kind), key)
-	return binary.AppendUvarint(to, no)
+// AppendHeartbeat appends an encoded heartbeat to a buffer.
+func AppendHeartbeat(buffer []byte, key, number uint64) []byte {
+	buffer = binary.BigEndian.AppendUint64(append(buffer, heartbeatKind), key)
+	return binary.AppendUvarint(buffer, number)
 }
 
-// ReadHeartbeat reads one; false for anything that AppendHeartbeat doesn't write.
-func ReadHeartbeat(b []byte) (key, no uint64, ok bool) {
-	if len(b) < datagramLeast || len(b) > DatagramMost || b[0] != kind {
+// ReadHeartbeat decodes a heartbeat. It returns false for anything that AppendHeartbeat doesn't produce.
+func ReadHeartbeat(b []byte) (key, number uint64, ok bool) {
+	if len(b) < minDatagram || len(b) > DatagramMost || b[0] != heartbeatKind {
 		return 0, 0, false
 	}
-	no, n := binary.Uvarint(b[9:])
+	number, n := binary.Uvarint(b[9:])
 	if n != len(b)-9 || n > 1 && b[len(b)-1] == 0 {
 		return 0, 0, false
 	}
-	return binary.BigEndian.Uint64(b[1:]), no, true
+	return binary.BigEndian.Uint64(b[1:]), number, true
 }
--- a/registry/check.go
+++ b/registry/check.go
@@ -55,7 +55,8 @@
 		return fmt.Errorf("records of unknown sources: %v", entries)
 	}
 	if len(r.records) > r.cfg.MaxEntries || len(r.cursors) > maxCursors || len(r.adopted) > r.cfg.MaxSources {
-		return fmt.Errorf("a bound is exceeded: %d records, %d cursors, %d adopted sources", len(r.records), len(r.cursors), len(r.adopted))
+		return fmt.Errorf("a bound is exceeded: %d records, %d cursors, %d adopted sources",
+			len(r.records), len(r.cursors), len(r.adopted))
 	}
 	return nil
 }
--- a/registry/heartbeat.go
+++ b/registry/heartbeat.go
@@ -151,7 +151,8 @@
 	var expired, unresponsive, alive []*record
 	for _, rec := range r.records {
 		switch {
-		case rec.State == Gone && r.now.Sub(rec.publishedAt) >= r.cfg.TombstoneTTL, rec.Silent && r.now.Sub(rec.publishedAt) >= r.cfg.SilentTTL:
+		case rec.State == Gone && r.now.Sub(rec.publishedAt) >= r.cfg.TombstoneTTL,
+			rec.Silent && r.now.Sub(rec.publishedAt) >= r.cfg.SilentTTL:
 			expired = append(expired, rec)
 		case rec.State != Gone && !rec.Silent && r.shouldMarkSilent(rec):
 			unresponsive = append(unresponsive, rec)
--- a/registry/mesh_test.go
+++ b/registry/mesh_test.go
@@ -64,7 +64,8 @@
 
 func (m *mesh) start(i int) {
 	m.incarnations++
-	m.nodes[i] = New(Config{Name: fmt.Sprintf("n%d/%d", i, m.incarnations), Relay: i >= meshControllers, Period: beatPeriod, Start: m.now()})
+	m.nodes[i] = New(Config{Name: fmt.Sprintf("n%d/%d", i, m.incarnations),
+		Relay: i >= meshControllers, Period: beatPeriod, Start: m.now()})
 	m.peerNames[i], m.logSeen[i], m.drainSeen[i] = make([]string, meshNodes), 0, map[string]bool{}
 }
 
@@ -79,7 +80,8 @@
 		return
 	}
 	for range copies {
-		m.deliveries = append(m.deliveries, delivery{m.t + time.Duration(m.rng.IntN(maxDelay)*m.rng.IntN(maxDelay))*4*time.Millisecond, do})
+		m.deliveries = append(m.deliveries,
+			delivery{m.t + time.Duration(m.rng.IntN(maxDelay)*m.rng.IntN(maxDelay))*4*time.Millisecond, do})
 	}
 }
 
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -210,7 +210,8 @@
 		}
 	}
 	slices.SortFunc(evictable, func(a, b *record) int {
-		return cmp.Or(-cmp.Compare(a.State/Gone, b.State/Gone), cmp.Compare(evictionRank(a), evictionRank(b)), a.publishedAt.Compare(b.publishedAt), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(-cmp.Compare(a.State/Gone, b.State/Gone), cmp.Compare(evictionRank(a), evictionRank(b)),
+			a.publishedAt.Compare(b.publishedAt), cmp.Compare(a.ID, b.ID))
 	})
 	for _, rec := range evictable[:min(len(evictable), r.cfg.MaxEntries/16+1)] {
 		r.drop(rec)
