--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -9,12 +9,13 @@
 	"github.com/shoenig/test/must"
 )
 
-var begin = time.Unix(1e9, 0)
+var startTime = time.Unix(1e9, 0)
 
-func some(n, zones int) (list []Node) {
+// makeNodes returns n nodes, spread evenly over zones; two zones make a region.
+func makeNodes(n, zones int) (list []Node) {
 	for i := range n {
-		list = append(list, Node{Life: fmt.Sprintf("agent/m%d/%x", i, i*i), Zone: fmt.Sprint("z", i%zones), Region: fmt.Sprint("r", i%zones/2),
-			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7084)})
+		list = append(list, Node{Life: fmt.Sprintf("agent/m%d/%x", i, i*i), Zone: fmt.Sprint("z", i%zones),
+			Region: fmt.Sprint("r", i%zones/2), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7084)})
 	}
 	return list
 }
@@ -31,9 +32,9 @@
 	}
 }
 
-// A mixer that comes or goes moves the watch of few others.
-func TestRingMovesFew(t *testing.T) {
-	list := some(60, 4)
+// A mixer that joins or leaves changes the watchers of few others.
+func TestRingChangesFewWatchers(t *testing.T) {
+	list := makeNodes(60, 4)
 	ring, less := NewRing(list), NewRing(list[1:])
 	moved := 0
 	for i := range list[1:] {
@@ -51,16 +52,17 @@
 	must.SliceEmpty(t, NewRing(list[:1]).Watchers(&list[0]))
 }
 
-// What one mixer's heartbeats take, with 28 bytes of headers each: within a region, and from one that is alone in its own.
-func TestHeartbeatsAreCheap(t *testing.T) {
+// Bounds the bytes per second of one mixer's heartbeats, with 28 bytes of headers each: within a region, and across regions
+// from a mixer that is alone in its own.
+func TestHeartbeatBandwidth(t *testing.T) {
 	for _, c := range []struct{ mixers, zones, inRegion, across int }{{60, 4, 240, 0}, {9, 9, 240, 130}, {2, 4, 130, 0}} {
-		list := some(c.mixers, c.zones)
+		list := makeNodes(c.mixers, c.zones)
 		for _, me := range list {
-			l := New(Config{Me: me}, begin)
-			l.Know(begin, list)
+			d := New(Config{Me: me}, startTime)
+			d.Know(startTime, list)
 			near, far := 0, 0
 			for i := range 120 {
-				no, to := l.Tick(begin.Add(time.Duration(i) * 500 * time.Millisecond))
+				no, to := d.Tick(startTime.Add(time.Duration(i) * 500 * time.Millisecond))
 				for _, addr := range to {
 					size := len(AppendHeartbeat(nil, Key(me.Life), no+1<<20)) + 28
 					for _, o := range list {
@@ -79,103 +81,103 @@
 	}
 }
 
-func TestHeardOnlyWhatCounts(t *testing.T) {
-	list := some(3, 1)
-	l := New(Config{Me: list[0]}, begin)
-	l.Know(begin, list)
+func TestReceiveHeartbeatRejectsInvalid(t *testing.T) {
+	list := makeNodes(3, 1)
+	d := New(Config{Me: list[0]}, startTime)
+	d.Know(startTime, list)
 	from, key := list[1].Addr, Key(list[1].Life)
-	must.False(t, l.Heard(begin, 99, 5, from), must.Sprint("unknown"))
-	must.False(t, l.Heard(begin, key, 5, list[2].Addr), must.Sprint("another's address"))
-	must.True(t, l.Heard(begin, key, 5, from))
-	must.False(t, l.Heard(begin, key, 5, from), must.Sprint("doubled"))
-	must.False(t, l.Heard(begin, key, 4, from), must.Sprint("late"))
+	must.False(t, d.Heard(startTime, 99, 5, from), must.Sprint("unknown"))
+	must.False(t, d.Heard(startTime, key, 5, list[2].Addr), must.Sprint("address of another mixer"))
+	must.True(t, d.Heard(startTime, key, 5, from))
+	must.False(t, d.Heard(startTime, key, 5, from), must.Sprint("duplicate"))
+	must.False(t, d.Heard(startTime, key, 4, from), must.Sprint("late"))
 	for i := range 8 {
-		l.Tick(begin.Add(time.Duration(i) * 500 * time.Millisecond))
+		d.Tick(startTime.Add(time.Duration(i) * 500 * time.Millisecond))
 	}
-	must.Eq(t, []string{list[1].Life}, l.Missed(), must.Sprint("the other is new, and has twice the time"))
-	must.True(t, l.Heard(l.now, key, 6, from))
-	must.SliceEmpty(t, l.Missed())
+	must.Eq(t, []string{list[1].Life}, d.Missed(), must.Sprint("the other peer is new and has twice the timeout"))
+	must.True(t, d.Heard(d.now, key, 6, from))
+	must.SliceEmpty(t, d.Missed())
 }
 
-func TestCheckSeesWhatIsWrong(t *testing.T) {
-	list := some(12, 4)
-	for i, spoil := range []func(l *Detector, p *peer){
-		func(l *Detector, p *peer) { p.watched = !p.watched },
-		func(l *Detector, p *peer) { p.missed = true },
-		func(l *Detector, p *peer) { l.targets = l.targets[:2] },
-		func(l *Detector, p *peer) { l.targets[1] = l.targets[0] },
-		func(l *Detector, p *peer) { l.targets[0].halfRate = false },
-		func(l *Detector, p *peer) { p.lastHeartbeat = l.now.Add(1) },
+func TestCheckDetectsViolations(t *testing.T) {
+	list := makeNodes(12, 4)
+	for i, corrupt := range []func(d *Detector, p *peer){
+		func(d *Detector, p *peer) { p.watched = !p.watched },
+		func(d *Detector, p *peer) { p.missed = true },
+		func(d *Detector, p *peer) { d.targets = d.targets[:2] },
+		func(d *Detector, p *peer) { d.targets[1] = d.targets[0] },
+		func(d *Detector, p *peer) { d.targets[0].halfRate = false },
+		func(d *Detector, p *peer) { p.lastHeartbeat = d.now.Add(1) },
 	} {
-		l := New(Config{Me: list[0]}, begin)
-		l.Know(begin, list)
-		must.NoError(t, l.Check())
-		spoil(l, l.peers[Key(list[3].Life)])
-		must.Error(t, l.Check(), must.Sprint(i))
+		d := New(Config{Me: list[0]}, startTime)
+		d.Know(startTime, list)
+		must.NoError(t, d.Check())
+		corrupt(d, d.peers[Key(list[3].Life)])
+		must.Error(t, d.Check(), must.Sprint(i))
 	}
-	j := NewJudge(JudgeConfig{})
-	j.Know(list)
-	must.NoError(t, j.Check())
-	j.unheard["x"] = true
-	must.Error(t, j.Check())
+	a := NewJudge(JudgeConfig{})
+	a.Know(list)
+	must.NoError(t, a.Check())
+	a.unheard["x"] = true
+	must.Error(t, a.Check())
 }
 
-// What others send can't make the state grow.
+// Messages from others can't make the state grow without bound.
 func TestStateIsBounded(t *testing.T) {
-	j := NewJudge(JudgeConfig{})
-	lives := make([]string, 1500)
-	for i := range lives {
-		lives[i] = fmt.Sprint(i)
+	a := NewJudge(JudgeConfig{})
+	incarnations := make([]string, 1500)
+	for i := range incarnations {
+		incarnations[i] = fmt.Sprint(i)
 	}
 	for i := range maxNodes + 9 {
-		j.Pulled(begin, fmt.Sprint(i), lives[:1500*((maxNodes+9-i)/maxNodes)], nil) // the first few tell much
+		a.Pulled(startTime, fmt.Sprint(i), incarnations[:1500*((maxNodes+9-i)/maxNodes)], nil) // the first few report long lists
 	}
 	var w Word
-	for _, l := range lives {
-		w.Missed, w.Unheard = append(w.Missed, Report{l, l}), append(w.Unheard, l)
+	for _, life := range incarnations {
+		w.Missed, w.Unheard = append(w.Missed, Report{life, life}), append(w.Unheard, life)
 	}
 	for i := range maxControllers + 9 {
-		j.Told(begin, fmt.Sprint(i), w)
+		a.Told(startTime, fmt.Sprint(i), w)
 	}
-	must.NoError(t, j.Check())
-	must.LessEq(t, maxReports, len(j.Word(begin).Missed))
-	j.Tick(begin.Add(time.Minute), nil)
-	must.MapEmpty(t, j.pulls)
-	must.MapEmpty(t, j.controllers)
-	l := New(Config{Me: some(1, 1)[0]}, begin)
-	l.Know(begin, some(maxNodes+9, 3))
-	must.Eq(t, maxNodes-1, len(l.peers))
+	must.NoError(t, a.Check())
+	must.LessEq(t, maxReports, len(a.Word(startTime).Missed))
+	a.Tick(startTime.Add(time.Minute), nil)
+	must.MapEmpty(t, a.pulls)
+	must.MapEmpty(t, a.controllers)
+	d := New(Config{Me: makeNodes(1, 1)[0]}, startTime)
+	d.Know(startTime, makeNodes(maxNodes+9, 3))
+	must.Eq(t, maxNodes-1, len(d.peers))
 }
 
-// Who has just come to a core machine may yet pull there; until then no word is given in its name.
-func TestWhoHasJustComeIsWaitedFor(t *testing.T) {
-	list := some(5, 2)
-	j := NewJudge(JudgeConfig{Period: time.Second})
-	j.Know(list)
-	minded := []Minded{{Life: list[0].Life}}
-	must.SliceEmpty(t, j.Tick(begin, minded))
-	must.Eq(t, []string{list[0].Life}, j.Word(begin).Unheard)
-	must.SliceEmpty(t, j.Tick(begin.Add(2*time.Second), minded))
-	must.Eq(t, []string{list[0].Life}, j.Tick(begin.Add(2100*time.Millisecond), minded))
-	must.SliceEmpty(t, j.Tick(begin.Add(2300*time.Millisecond), minded))
+// A mixer that a controller has just begun to monitor may still pull there; until then it is not confirmed alive.
+func TestNewlyMonitoredMixerIsGivenTime(t *testing.T) {
+	list := makeNodes(5, 2)
+	a := NewJudge(JudgeConfig{Period: time.Second})
+	a.Know(list)
+	monitored := []Minded{{Life: list[0].Life}}
+	must.SliceEmpty(t, a.Tick(startTime, monitored))
+	must.Eq(t, []string{list[0].Life}, a.Word(startTime).Unheard)
+	must.SliceEmpty(t, a.Tick(startTime.Add(2*time.Second), monitored))
+	must.Eq(t, []string{list[0].Life}, a.Tick(startTime.Add(2100*time.Millisecond), monitored))
+	must.SliceEmpty(t, a.Tick(startTime.Add(2300*time.Millisecond), monitored))
 }
 
 func BenchmarkTick60(b *testing.B) {
-	list := some(60, 4)
-	l := New(Config{Me: list[0]}, begin)
-	l.Know(begin, list)
+	list := makeNodes(60, 4)
+	d := New(Config{Me: list[0]}, startTime)
+	d.Know(startTime, list)
 	for i := 0; b.Loop(); i++ {
-		l.Tick(begin.Add(time.Duration(i) * 500 * time.Millisecond))
+		d.Tick(startTime.Add(time.Duration(i) * 500 * time.Millisecond))
 	}
 }
 
 func BenchmarkKnow(b *testing.B) {
 	for _, n := range []int{60, 830} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := some(n, 4)
-			l := New(Config{Me: list[0]}, begin)
+			list := makeNodes(n, 4)
+			d := New(Config{Me: list[0]}, startTime)
 			for b.Loop() {
-				l.Know(begin, list)
+				d.Know(startTime, list)
 			}
 		})
 	}
