--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -135,7 +135,7 @@
 
 func (b *berth) beat(id string) {
 	b.With(func(r *registry.Registry) bool {
-		r.Beat(time.Now(), registry.Searcher{ID: id, Plant: "s", Address: "127.0.0.1:9", Calls: 1})
+		r.Heartbeat(time.Now(), registry.Searcher{ID: id, Plant: "s", Address: "127.0.0.1:9", Calls: 1})
 		return true
 	})
 }
@@ -266,7 +266,7 @@
 	s := newShore(t)
 	h := s.controller(0, "h0")
 	h.With(func(r *registry.Registry) bool {
-		r.Beat(time.Now(), (&distribution.Mixer{Life: "agent/front/1", Calls: 1}).Searcher())
+		r.Heartbeat(time.Now(), (&distribution.Mixer{Life: "agent/front/1", Calls: 1}).Searcher())
 		return true
 	})
 	h.Put(s.config(1))
--- a/agent/heartbeat_test.go
+++ b/agent/heartbeat_test.go
@@ -43,7 +43,7 @@
 	me.board.With(func(r *registry.Registry) bool {
 		for n, life := range []string{me.life, "agent/b/2"} {
 			m := distribution.Mixer{Life: life, Zone: "z", Addr: at(n + 1), Calls: 1}
-			r.Beat(time.Now(), m.Searcher())
+			r.Heartbeat(time.Now(), m.Searcher())
 		}
 		return true
 	})
--- a/controlplane/doors.go
+++ b/controlplane/doors.go
@@ -95,12 +95,12 @@
 	if why != "" {
 		return fault(http.StatusBadRequest, why)
 	}
-	var b registry.Beaten
+	var b registry.HeartbeatResult
 	c.board.With(func(r *registry.Registry) bool {
-		b = r.Beat(time.Now(), s)
-		return b.News
+		b = r.Heartbeat(time.Now(), s)
+		return b.Published
 	})
-	if b.News {
+	if b.Published {
 		c.log.Debug().Str("event", "searcher").Str("id", s.ID).Str("service", s.Plant).Str("state", s.State.String()).Msg("")
 	}
 	if b.Refused {
@@ -139,13 +139,13 @@
 }
 
 func (c *Controller) leave(ctx context.Context, r *http.Request, _ []byte) reply {
-	var b registry.Beaten
+	var b registry.HeartbeatResult
 	if distribution.Reserved(r.PathValue("id")) {
 		return fault(http.StatusBadRequest, "id: not a searcher's")
 	}
 	c.board.With(func(ro *registry.Registry) bool {
 		b = ro.Leave(time.Now(), r.PathValue("id"))
-		return b.News
+		return b.Published
 	})
 	if refusal, refused := c.refuseLeaving(ctx, r.PathValue("id"), registry.Gone, b); refused {
 		return refusal
@@ -155,7 +155,7 @@
 
 // refuseLeaving tells why it can't be acknowledged that a searcher leaves; false if it can: the list has it so, and a
 // majority of the members holds that on disk.
-func (c *Controller) refuseLeaving(ctx context.Context, id string, leaves registry.State, b registry.Beaten) (reply, bool) {
+func (c *Controller) refuseLeaving(ctx context.Context, id string, leaves registry.State, b registry.HeartbeatResult) (reply, bool) {
 	if b.Refused || b.State < leaves {
 		// No room for it, or a late call: the searcher is known to be ready since.
 		return fault(http.StatusServiceUnavailable, "not recorded"), true
--- a/controlplane/drains_test.go
+++ b/controlplane/drains_test.go
@@ -89,13 +89,13 @@
 			if i == 0 {
 				s.State = registry.Draining
 			}
-			if b := r.Beat(time.Now(), s); i == 0 {
+			if b := r.Heartbeat(time.Now(), s); i == 0 {
 				news = b.Vector()
 			}
 		}
 		return true
 	})
-	m := memory{want: registry.Want{Name: "disk"}}
+	m := memory{want: registry.PullQuery{Name: "disk"}}
 	for range 4 {
 		must.False(t, h.onDisks(news))
 		must.True(t, h.keep(ctx, &m))
--- a/controlplane/leave_test.go
+++ b/controlplane/leave_test.go
@@ -48,7 +48,7 @@
 		h.board.With(func(r *registry.Registry) bool {
 			for i := 0; ; i++ {
 				s := registry.Searcher{ID: fmt.Sprint("s", i), Plant: "p", Address: fmt.Sprint("10.8.0.2:", i), Calls: 1}
-				if r.Beat(time.Now(), s).Refused {
+				if r.Heartbeat(time.Now(), s).Refused {
 					return true
 				}
 			}
--- a/controlplane/memory.go
+++ b/controlplane/memory.go
@@ -66,7 +66,7 @@
 // memory is how far the disk has followed the list and the configuration. The disk is one more reader of the list, with
 // a cursor of its own.
 type memory struct {
-	want    registry.Want
+	want    registry.PullQuery
 	version uint64
 	last    time.Time // when the list was last written
 	gone    tombstones
@@ -77,7 +77,7 @@
 func (c *Controller) remember(ctx context.Context) {
 	t := time.NewTicker(keepEvery)
 	defer t.Stop()
-	m := memory{want: registry.Want{Name: "disk"}}
+	m := memory{want: registry.PullQuery{Name: "disk"}}
 	for {
 		changed := c.board.Changed()
 		if !c.keep(ctx, &m) {
--- a/controlplane/mixers.go
+++ b/controlplane/mixers.go
@@ -43,12 +43,12 @@
 	}
 	f.at, f.version, f.calls = now, a.Version, max(f.calls, m.Calls)
 	c.mu.Unlock()
-	var b registry.Beaten
+	var b registry.HeartbeatResult
 	c.board.With(func(r *registry.Registry) bool {
-		b = r.Beat(now, m.Searcher())
-		return b.News
+		b = r.Heartbeat(now, m.Searcher())
+		return b.Published
 	})
-	if b.News {
+	if b.Published {
 		c.log.Debug().Str("event", "mixer").Str("life", a.Life).Bool("leaving", m.Leaving).Msg("")
 	}
 }
@@ -95,9 +95,9 @@
 		if f != nil {
 			f.calls = m.Calls
 		}
-		b := r.Beat(now, m.Searcher())
-		news = news || b.News
-		if m.Silent && b.News {
+		b := r.Heartbeat(now, m.Searcher())
+		news = news || b.Published
+		if m.Silent && b.Published {
 			c.log.Info().Str("event", "mixer-lives").Str("life", life).Msg("")
 		}
 	}
--- a/controlplane/simulation/check.go
+++ b/controlplane/simulation/check.go
@@ -89,7 +89,7 @@
 	var listed map[string]registry.State
 	f.proxy.board.With(func(r *registry.Registry) bool {
 		listed = map[string]registry.State{}
-		for e := range r.Plant("p") {
+		for e := range r.Service("p") {
 			listed[e.ID] = e.State
 		}
 		return false
--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -72,7 +72,7 @@
 
 func (h *holder) beat(id string, calls uint64, st registry.State) {
 	h.With(func(r *registry.Registry) bool {
-		r.Beat(time.Now(), registry.Searcher{ID: id, Plant: "s", Address: "127.0.0.1:9", Calls: calls, State: st})
+		r.Heartbeat(time.Now(), registry.Searcher{ID: id, Plant: "s", Address: "127.0.0.1:9", Calls: calls, State: st})
 		return true
 	})
 }
@@ -296,13 +296,13 @@
 	must.NoError(t, c.SetDeadline(time.Now().Add(patience)))
 	out, in := gob.NewEncoder(c), gob.NewDecoder(c)
 	for range 2 {
-		must.NoError(t, out.Encode(distribution.Ask{Life: "l", Kind: "proxy", Want: registry.Want{Name: "l"}}))
+		must.NoError(t, out.Encode(distribution.Ask{Life: "l", Kind: "proxy", Want: registry.PullQuery{Name: "l"}}))
 		var cargo distribution.Cargo
 		must.NoError(t, in.Decode(&cargo))
 		must.SliceEmpty(t, cargo.News.Entries)
 		must.Eq(t, 0, cargo.Version)
 	}
-	must.NoError(t, out.Encode(distribution.Ask{Life: "m", Kind: "proxy", Want: registry.Want{Name: "l"}}))
+	must.NoError(t, out.Encode(distribution.Ask{Life: "m", Kind: "proxy", Want: registry.PullQuery{Name: "l"}}))
 	c.Close()
 	must.Eq(t, "m", <-left)
 }
--- a/distribution/mend.go
+++ b/distribution/mend.go
@@ -21,7 +21,7 @@
 
 // compare takes a peer's step and gives the next one; nil when there is nothing left to say. The lock is held.
 func (b *Board) compare(m *Mend, now time.Time) *Mend {
-	if m.Patch != nil && b.registry.Mend(now, *m.Patch) {
+	if m.Patch != nil && b.registry.Repair(now, *m.Patch) {
 		b.tell()
 	}
 	finer, differ := b.registry.Compare(m.Digests)
--- a/distribution/mend_test.go
+++ b/distribution/mend_test.go
@@ -17,7 +17,7 @@
 	above := NewBoard(registry.New(registry.Config{Name: "above", Start: now}))
 	below := NewBoard(registry.New(registry.Config{Name: "below", Relay: true, Start: now}))
 	above.With(func(r *registry.Registry) bool {
-		return r.Beat(now, registry.Searcher{ID: "known", Plant: "p", Address: "a:1", Calls: 1}).News
+		return r.Heartbeat(now, registry.Searcher{ID: "known", Plant: "p", Address: "a:1", Calls: 1}).Published
 	})
 	left := registry.Entry{Searcher: registry.Searcher{ID: "left", Plant: "p", Address: "a:2", Calls: 3, State: registry.Draining}, Source: "dead", No: 7}
 	below.With(func(r *registry.Registry) bool { return r.Merge(now, registry.Delta{Entries: []registry.Entry{left}}) })
--- a/distribution/mixers.go
+++ b/distribution/mixers.go
@@ -73,7 +73,7 @@
 // Mixers yields those that are listed, by life.
 func Mixers(r *registry.Registry) iter.Seq[Mixer] {
 	return func(yield func(Mixer) bool) {
-		for e := range r.Plant(MixerService) {
+		for e := range r.Service(MixerService) {
 			if !yield(MixerOf(&e)) {
 				return
 			}
--- a/distribution/mixers_test.go
+++ b/distribution/mixers_test.go
@@ -27,7 +27,7 @@
 		calls++
 		m := distribution.Mixer{Life: fmt.Sprintf("agent/m%d/%d", machine, life), Zone: "z", Calls: calls, Leaving: leaving,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(machine)}), 7084)}
-		must.True(t, r.Beat(now, m.Searcher()).News)
+		must.True(t, r.Heartbeat(now, m.Searcher()).Published)
 		got, ok := distribution.GetMixer(r, m.Life)
 		must.True(t, ok)
 		must.Eq(t, distribution.Mixer{Life: m.Life, Zone: "z", Addr: m.Addr, Calls: calls, Leaving: leaving, Source: "h"}, got)
@@ -43,7 +43,7 @@
 		r.Tick(now)
 	}
 	beat(2, 1, false)
-	r.Beat(now, registry.Searcher{ID: "i", Plant: "s", Address: "a", Calls: 1})
+	r.Heartbeat(now, registry.Searcher{ID: "i", Plant: "s", Address: "a", Calls: 1})
 	count(2)
 	beat(1, 2, false) // a restart: the life before is silent at once
 	count(2)
@@ -79,7 +79,7 @@
 	out, in := gob.NewEncoder(c), gob.NewDecoder(c)
 	for i, addr := range []string{"1.2.3.4:5", "", ""} {
 		began := time.Now()
-		must.NoError(t, out.Encode(distribution.Ask{Life: "l", Kind: "agent", Mixers: 7, Want: registry.Want{Name: "l"}, Mixer: &distribution.Pulse{Addr: addr}}))
+		must.NoError(t, out.Encode(distribution.Ask{Life: "l", Kind: "agent", Mixers: 7, Want: registry.PullQuery{Name: "l"}, Mixer: &distribution.Pulse{Addr: addr}}))
 		var cargo distribution.Cargo
 		must.NoError(t, in.Decode(&cargo))
 		must.GreaterEq(t, 400*time.Millisecond, time.Since(began), must.Sprint(i))
--- a/distribution/pull.go
+++ b/distribution/pull.go
@@ -38,7 +38,7 @@
 	Life    string // and life
 	IP      string // a controller's
 	Kind    string // "agent", "proxy" or "controller"
-	Want    registry.Want
+	Want    registry.PullQuery
 	Version uint64 // of the configuration held
 	Whole   bool   // a difference did not fit: the whole is wanted
 	Core    uint64 // digest of the list of core machines held
@@ -321,7 +321,7 @@
 	}
 	p.Board.mu.Lock()
 	defer p.Board.mu.Unlock()
-	a.Want, a.Core, a.Mixers = p.Board.registry.Want(by), p.Board.coreSum, p.Board.mixers
+	a.Want, a.Core, a.Mixers = p.Board.registry.PullQuery(by), p.Board.coreSum, p.Board.mixers
 	a.SlackSpent = p.Kind == "proxy" && p.Board.slackSpent
 	if p.Board.doc != nil {
 		a.Version = p.Board.doc.Version
--- a/failuredetector/simulation_test.go
+++ b/failuredetector/simulation_test.go
@@ -192,14 +192,14 @@
 		Calls: uint64(w.now.Sub(m.since)/time.Microsecond) + 1}
 	h.arbiter.Pulled(w.now, m.incarnation, m.detector.Missed(), m.detector.Seen())
 	h.lastCalls[m.incarnation] = max(h.lastCalls[m.incarnation], x.Calls)
-	h.list.Beat(w.now, x.Searcher())
-	d := h.list.Since(m.list.Want(m.peerName), 500)
+	h.list.Heartbeat(w.now, x.Searcher())
+	d := h.list.Since(m.list.PullQuery(m.peerName), 500)
 	m.peerName = d.By
 	m.list.Merge(w.now, d)
 	if w.now.Sub(m.lastRepair) >= 15*time.Second { // anti-entropy in one step
 		m.lastRepair = w.now
-		h.list.Mend(w.now, m.list.Patch([]registry.Range{{}}, 500))
-		m.list.Mend(w.now, h.list.Patch([]registry.Range{{}}, 500))
+		h.list.Repair(w.now, m.list.Patch([]registry.Range{{}}, 500))
+		m.list.Repair(w.now, h.list.Patch([]registry.Range{{}}, 500))
 	}
 }
 
@@ -237,7 +237,7 @@
 			m, _ := distribution.GetMixer(h.list, life)
 			m.Calls = max(m.Calls, h.lastCalls[life]) + 1
 			h.lastCalls[life] = m.Calls
-			h.list.Beat(w.now, m.Searcher())
+			h.list.Heartbeat(w.now, m.Searcher())
 		}
 		h.list.Tick(w.now)
 	}
@@ -250,7 +250,7 @@
 			o.arbiter.Told(w.now, fmt.Sprint("c", i), h.arbiter.Word(w.now))
 			o.lastContact[h.name] = w.now
 		}
-		d := o.list.Since(h.list.Want(h.peerName[o.name]), 500)
+		d := o.list.Since(h.list.PullQuery(h.peerName[o.name]), 500)
 		h.peerName[o.name] = d.By
 		h.list.Merge(w.now, d)
 	}
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -269,7 +269,7 @@
 	calls := r.calls
 	r.mu.Unlock()
 	r.board.With(func(x *registry.Registry) bool {
-		x.Beat(time.Now(), registry.Searcher{ID: id, Plant: service, Address: addr, Zone: "z", Capacity: 8, State: st, Calls: calls})
+		x.Heartbeat(time.Now(), registry.Searcher{ID: id, Plant: service, Address: addr, Zone: "z", Capacity: 8, State: st, Calls: calls})
 		return true
 	})
 }
--- a/lab/scale/agents.go
+++ b/lab/scale/agents.go
@@ -101,7 +101,7 @@
 					return false // it may not be taken for the whole
 				}
 				n = r.Len()
-				for range r.Plant(distribution.MixerService) { // which are fewer to walk than the searchers
+				for range r.Service(distribution.MixerService) { // which are fewer to walk than the searchers
 					n--
 				}
 				return false
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -41,7 +41,7 @@
 		}
 		defer s.Close()
 		board.With(func(r *registry.Registry) bool {
-			return r.Beat(now, registry.Searcher{ID: fmt.Sprint("i", i), Plant: fmt.Sprint("s", i), Address: s.Addr(), Calls: 1}).News
+			return r.Heartbeat(now, registry.Searcher{ID: fmt.Sprint("i", i), Plant: fmt.Sprint("s", i), Address: s.Addr(), Calls: 1}).Published
 		})
 	}
 	board.With(func(r *registry.Registry) bool {
--- a/registry/digest.go
+++ b/registry/digest.go
@@ -84,7 +84,7 @@
 
 // Compare goes one level down. Of the ranges in which this registry differs from a peer's digests,
 // it returns its own digests of the subranges of large ones, to be compared by the peer in turn, and
-// the small ones themselves, whose entries are to be exchanged by Patch and Mend.
+// the small ones themselves, whose entries are to be exchanged by Patch and Repair.
 func (r *Registry) Compare(theirs []Digest) (finer []Digest, differ []Range) {
 	for _, d := range theirs {
 		if !d.valid() {
@@ -142,14 +142,14 @@
 	return p
 }
 
-// Mend joins a peer's patch and reports whether the list changed.
+// Repair joins a peer's patch and reports whether the list changed.
 //
 // When one side lacks an id that its vector covers, either it knew the id and forgot it after its
 // end, or a fault made a pull miss it. A missing searcher costs more than a stale one, so the entry
 // is taken unless the peer's vector is behind or the entry is silent or a tombstone anyway. An entry
 // held here that the peer forgot is dropped only if it is suspect: this registry was without contact
 // and may have missed its end.
-func (r *Registry) Mend(now time.Time, p Patch) bool {
+func (r *Registry) Repair(now time.Time, p Patch) bool {
 	r.advanceClock(now)
 	generation := r.generation
 	ahead := p.Vector.Covers(r.Vector())
--- a/registry/heartbeat.go
+++ b/registry/heartbeat.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Beat processes a heartbeat received first-hand. A mere repeat publishes nothing and takes no
+// Heartbeat processes a heartbeat received first-hand. A mere repeat publishes nothing and takes no
 // number: it only shows that the searcher is alive.
-func (r *Registry) Beat(now time.Time, s Searcher) Beaten {
+func (r *Registry) Heartbeat(now time.Time, s Searcher) HeartbeatResult {
 	r.advanceClock(now)
 	if s.State >= Gone {
 		return r.Leave(now, s.ID)
 	}
 	if r.cfg.Relay {
-		return Beaten{Refused: true}
+		return HeartbeatResult{Refused: true}
 	}
 	rec := r.records[s.ID]
 	first := rec == nil || rec.lastHeartbeat.IsZero() || rec.Address != s.Address
 	if rec != nil {
 		if rec.State == Gone {
-			return Beaten{Gone: true, State: rec.State, Source: rec.Source, No: rec.No}
+			return HeartbeatResult{Gone: true, State: rec.State, Source: rec.Source, No: rec.No}
 		}
 		// Repeats raise calls without an update, so the entry alone doesn't show that a heartbeat is late.
 		lastKnown := max(rec.Calls, rec.lastCalls)
 		if s.Calls < lastKnown || s.Calls == lastKnown && s.State <= rec.State {
-			return Beaten{Late: true, State: rec.State, Source: rec.Source, No: rec.No}
+			return HeartbeatResult{Late: true, State: rec.State, Source: rec.Source, No: rec.No}
 		}
 	}
 	e := Entry{Searcher: s, Source: r.cfg.Name}
 	if rec == nil || rec.Source != r.cfg.Name || !sameListing(&e, &rec.Entry) || r.warmupDrifted(rec, s.WarmupLeft) {
 		if !r.publish(e) {
-			return Beaten{Refused: true}
+			return HeartbeatResult{Refused: true}
 		}
 		rec = r.records[s.ID]
 		rec.lastHeartbeat, rec.lastCalls, rec.suspect = r.now, s.Calls, false
 		if first {
 			r.silenceOthersAt(rec)
 		}
-		return Beaten{News: true, State: rec.State, Source: rec.Source, No: rec.No}
+		return HeartbeatResult{Published: true, State: rec.State, Source: rec.Source, No: rec.No}
 	}
 	rec.lastHeartbeat, rec.lastCalls, rec.suspect = r.now, s.Calls, false
-	return Beaten{State: rec.State, Source: rec.Source, No: rec.No}
+	return HeartbeatResult{State: rec.State, Source: rec.Source, No: rec.No}
 }
 
 // warmupDrifted reports whether the reported time left differs from what the published one has run
@@ -71,23 +71,23 @@
 
 // Leave records that a searcher has ended. It is final, also for an id that wasn't known: its entry
 // may still be on its way from another source.
-func (r *Registry) Leave(now time.Time, id string) Beaten {
+func (r *Registry) Leave(now time.Time, id string) HeartbeatResult {
 	r.advanceClock(now)
 	if r.cfg.Relay {
-		return Beaten{Refused: true}
+		return HeartbeatResult{Refused: true}
 	}
 	e := Entry{Searcher: Searcher{ID: id, State: Gone}, Source: r.cfg.Name}
 	if rec := r.records[id]; rec != nil {
 		if rec.State == Gone {
-			return Beaten{Gone: true, State: rec.State, Source: rec.Source, No: rec.No}
+			return HeartbeatResult{Gone: true, State: rec.State, Source: rec.Source, No: rec.No}
 		}
 		e.Calls, e.Plant = max(rec.Calls, rec.lastCalls), rec.Plant
 	}
 	if !r.publish(e) {
-		return Beaten{Refused: true}
+		return HeartbeatResult{Refused: true}
 	}
 	rec := r.records[id]
-	return Beaten{News: true, Gone: true, State: rec.State, Source: rec.Source, No: rec.No}
+	return HeartbeatResult{Published: true, Gone: true, State: rec.State, Source: rec.Source, No: rec.No}
 }
 
 // publish joins e under this registry's next number.
--- a/registry/list.go
+++ b/registry/list.go
@@ -20,11 +20,11 @@
 // All yields the listed searchers, including the silent ones, ordered by id.
 func (r *Registry) All() iter.Seq[Entry] { return r.list(r.records) }
 
-// Plant yields the listed searchers of one service, ordered by id.
-func (r *Registry) Plant(name string) iter.Seq[Entry] { return r.list(r.services[name]) }
+// Service yields the listed searchers of one service, ordered by id.
+func (r *Registry) Service(name string) iter.Seq[Entry] { return r.list(r.services[name]) }
 
-// Plants returns the names of the services that have a listed searcher, sorted.
-func (r *Registry) Plants() []string { return slices.Sorted(maps.Keys(r.services)) }
+// Services returns the names of the services that have a listed searcher, sorted.
+func (r *Registry) Services() []string { return slices.Sorted(maps.Keys(r.services)) }
 
 // Get returns the entry held for an id, also when the searcher has left.
 func (r *Registry) Get(id string) (Entry, bool) {
--- a/registry/mesh_test.go
+++ b/registry/mesh_test.go
@@ -86,7 +86,7 @@
 }
 
 func (m *mesh) pull(i, from int) {
-	w, limit := m.nodes[i].Want(m.peerNames[i][from]), 1+m.rng.IntN(40)
+	w, limit := m.nodes[i].PullQuery(m.peerNames[i][from]), 1+m.rng.IntN(40)
 	m.send(i, from, func() {
 		d := m.nodes[from].Since(w, limit)
 		m.send(from, i, func() {
@@ -117,7 +117,7 @@
 	}
 	c.Calls++
 	s, home := c.Searcher, c.home
-	m.send(home, home, func() { m.nodes[home].Beat(m.now(), s); m.recordPublished(home) })
+	m.send(home, home, func() { m.nodes[home].Heartbeat(m.now(), s); m.recordPublished(home) })
 }
 
 func (m *mesh) step() {
--- a/registry/pull.go
+++ b/registry/pull.go
@@ -13,24 +13,24 @@
 
 const maxCursors = 64
 
-// Want returns the query to send to a peer; by is the name that the peer gave in its last delta, or "".
-func (r *Registry) Want(by string) Want {
-	w := Want{Name: r.cfg.Name, Have: r.Vector()}
-	if c := r.cursors[by]; c != nil {
-		w.By, w.Cursor = by, c.cursor
+// PullQuery returns the query to send to a peer; peer is the name that the peer gave in its last delta, or "".
+func (r *Registry) PullQuery(peer string) PullQuery {
+	query := PullQuery{Name: r.cfg.Name, Have: r.Vector()}
+	if c := r.cursors[peer]; c != nil {
+		query.By, query.Cursor = peer, c.cursor
 	}
-	return w
+	return query
 }
 
-// Since answers a peer's Want with at most limit entries.
-func (r *Registry) Since(w Want, limit int) Delta {
-	d := Delta{For: w.Name, By: r.cfg.Name}
-	if w.By == r.cfg.Name && w.Cursor <= r.seq {
-		d.Start = w.Cursor
+// Since answers a peer's PullQuery with at most limit entries.
+func (r *Registry) Since(query PullQuery, limit int) Delta {
+	d := Delta{For: query.Name, By: r.cfg.Name}
+	if query.By == r.cfg.Name && query.Cursor <= r.seq {
+		d.Start = query.Cursor
 	}
 	d.Next = d.Start
 	for _, it := range r.log[sort.Search(len(r.log), func(i int) bool { return r.log[i].seq > d.Start }):] {
-		if it.record.seq != it.seq || it.record.No <= w.Have[it.record.Source] {
+		if it.record.seq != it.seq || it.record.No <= query.Have[it.record.Source] {
 			continue
 		}
 		if len(d.Entries) >= max(limit, 1) {
@@ -42,7 +42,7 @@
 	}
 	d.Next, d.Whole = r.seq, r.complete
 	for name, s := range r.sources {
-		if s.number <= w.Have[name] {
+		if s.number <= query.Have[name] {
 			continue
 		}
 		if d.Upto == nil {
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -30,7 +30,7 @@
 }
 
 func pull(now time.Time, to, from *Registry) bool {
-	return to.Merge(now, from.Since(to.Want(from.Name()), 5000))
+	return to.Merge(now, from.Since(to.PullQuery(from.Name()), 5000))
 }
 
 func state(r *Registry, id string) string {
@@ -45,8 +45,8 @@
 		finer, differ := to.Compare(digests)
 		pa, pb := a.Patch(differ, 1000), b.Patch(differ, 1000)
 		sent += len(pa.Entries) + len(pb.Entries)
-		a.Mend(now, pb)
-		b.Mend(now, pa)
+		a.Repair(now, pb)
+		b.Repair(now, pa)
 		digests, to, from = finer, from, to
 	}
 	return sent
@@ -55,29 +55,29 @@
 func TestHeartbeats(t *testing.T) {
 	h := controller("h")
 	s := Searcher{ID: "i", Plant: "p", Address: "a", Calls: 4, WarmupLeft: 3 * time.Second}
-	must.Eq(t, Beaten{News: true, Source: "h", No: 1}, h.Beat(at(0), s))
+	must.Eq(t, HeartbeatResult{Published: true, Source: "h", No: 1}, h.Heartbeat(at(0), s))
 	s.Calls, s.WarmupLeft = 6, 2*time.Second
-	must.Eq(t, Beaten{Source: "h", No: 1}, h.Beat(at(1), s)) // a repeat; the warm-up only ran down
+	must.Eq(t, HeartbeatResult{Source: "h", No: 1}, h.Heartbeat(at(1), s)) // a repeat; the warm-up only ran down
 	s.Calls, s.State = 5, Draining
-	must.True(t, h.Beat(at(1), s).Late) // older than the repeat
+	must.True(t, h.Heartbeat(at(1), s).Late) // older than the repeat
 	s.Calls = 7
-	must.Eq(t, Vector{"h": 2}, h.Beat(at(1), s).Vector())
+	must.Eq(t, Vector{"h": 2}, h.Heartbeat(at(1), s).Vector())
 	s.State = Ready
-	must.True(t, h.Beat(at(1), s).Late)
+	must.True(t, h.Heartbeat(at(1), s).Late)
 	must.Eq(t, "true draining false", state(h, "i"))
-	must.True(t, h.Leave(at(2), "i").News)
+	must.True(t, h.Leave(at(2), "i").Published)
 	s.Calls = 99
-	must.Eq(t, Beaten{Gone: true, State: Gone, Source: "h", No: 3}, h.Beat(at(2), s))
+	must.Eq(t, HeartbeatResult{Gone: true, State: Gone, Source: "h", No: 3}, h.Heartbeat(at(2), s))
 	must.Eq(t, 0, h.Len())
-	must.True(t, relay("r").Beat(at(2), s).Refused)
+	must.True(t, relay("r").Heartbeat(at(2), s).Refused)
 	must.NoError(t, h.Check())
 }
 
 func TestSilence(t *testing.T) {
 	a, b := controller("a"), controller("b")
-	a.Beat(at(0), Searcher{ID: "i", Calls: 1})
-	a.Beat(at(0), Searcher{ID: "moves", Calls: 1})
-	b.Beat(at(1), Searcher{ID: "moves", Calls: 2})
+	a.Heartbeat(at(0), Searcher{ID: "i", Calls: 1})
+	a.Heartbeat(at(0), Searcher{ID: "moves", Calls: 1})
+	b.Heartbeat(at(1), Searcher{ID: "moves", Calls: 2})
 	pull(at(1), a, b)
 	run(a, 0, 1)
 	run(a, 9, 11.25) // a was paused in between and could not receive heartbeats
@@ -85,8 +85,8 @@
 	run(a, 11.5, 12)
 	must.Eq(t, "true ready true", state(a, "i"))
 	must.Eq(t, "true ready false", state(a, "moves")) // b monitors it now
-	must.True(t, a.Beat(at(12), Searcher{ID: "i", Calls: 1}).Late)
-	must.True(t, a.Beat(at(12), Searcher{ID: "i", Calls: 2}).News)
+	must.True(t, a.Heartbeat(at(12), Searcher{ID: "i", Calls: 1}).Late)
+	must.True(t, a.Heartbeat(at(12), Searcher{ID: "i", Calls: 2}).Published)
 	must.Eq(t, "true ready false", state(a, "i"))
 	run(a, 12, 80)
 	must.Eq(t, "false ready false", state(a, "i")) // expired
@@ -95,7 +95,7 @@
 	run(a, 80, 84)
 	must.Eq(t, "true ready true", state(a, "moves"))
 	// b is alive and received a heartbeat since: it clears the mark before the next one
-	b.Beat(at(84), Searcher{ID: "moves", Calls: 5})
+	b.Heartbeat(at(84), Searcher{ID: "moves", Calls: 5})
 	pull(at(84), b, a)
 	run(b, 84, 84.5)
 	must.Eq(t, "true ready false", state(b, "moves"))
@@ -106,7 +106,7 @@
 // though their heartbeats publish no updates.
 func TestReleasedSourceMonitorsItsEntries(t *testing.T) {
 	a, b := controller("a"), controller("b")
-	b.Beat(at(0), Searcher{ID: "i", Calls: 1})
+	b.Heartbeat(at(0), Searcher{ID: "i", Calls: 1})
 	pull(at(0), a, b)
 	must.Eq(t, "true ready false", state(a, "i"))
 	a.Adopt(at(10), "b")
@@ -121,11 +121,11 @@
 
 func TestAddressTakenOver(t *testing.T) {
 	h := controller("h")
-	h.Beat(at(0), Searcher{ID: "old", Address: "x", Calls: 9})
-	h.Beat(at(1), Searcher{ID: "new", Address: "x", Calls: 1})
+	h.Heartbeat(at(0), Searcher{ID: "old", Address: "x", Calls: 9})
+	h.Heartbeat(at(1), Searcher{ID: "new", Address: "x", Calls: 1})
 	must.Eq(t, "true ready true", state(h, "old"))
-	must.True(t, h.Beat(at(1), Searcher{ID: "old", Address: "x", Calls: 10}).News) // it is alive after all
-	h.Beat(at(2), Searcher{ID: "new", Address: "x", Calls: 2})
+	must.True(t, h.Heartbeat(at(1), Searcher{ID: "old", Address: "x", Calls: 10}).Published) // it is alive after all
+	h.Heartbeat(at(2), Searcher{ID: "new", Address: "x", Calls: 2})
 	must.Eq(t, "true ready false", state(h, "old"))
 	must.Eq(t, "true ready false", state(h, "new"))
 }
@@ -133,26 +133,26 @@
 func TestHoldsDrainOnlyAfterFullPull(t *testing.T) {
 	a, b, r := controller("a"), controller("b"), relay("r")
 	for i := range 10 {
-		a.Beat(at(0), Searcher{ID: fmt.Sprint(i), Calls: 1})
+		a.Heartbeat(at(0), Searcher{ID: fmt.Sprint(i), Calls: 1})
 	}
 	pull(at(0), r, a)
-	drain := a.Beat(at(0), Searcher{ID: "3", Calls: 2, State: Draining}).Vector()
-	a.Beat(at(0), Searcher{ID: "4", Calls: 2, State: Draining})
+	drain := a.Heartbeat(at(0), Searcher{ID: "3", Calls: 2, State: Draining}).Vector()
+	a.Heartbeat(at(0), Searcher{ID: "4", Calls: 2, State: Draining})
 	pull(at(0), b, a)
-	b.Beat(at(0), Searcher{ID: "3", Calls: 3, State: Draining}) // b's entry replaces a's
+	b.Heartbeat(at(0), Searcher{ID: "3", Calls: 3, State: Draining}) // b's entry replaces a's
 	pull(at(0), a, b)
-	d := a.Since(r.Want("a"), 1) // a partial delta, without 3
+	d := a.Since(r.PullQuery("a"), 1) // a partial delta, without 3
 	must.True(t, d.More)
 	r.Merge(at(0), d)
 	must.False(t, r.Holds(drain))
-	late := a.Since(r.Want("a"), 9)
+	late := a.Since(r.PullQuery("a"), 9)
 	restarted := relay("r2") // a new incarnation receives what the former one asked for
 	restarted.Merge(at(0), late)
 	must.False(t, restarted.Holds(drain))
 	r.Merge(at(0), late)
 	must.True(t, r.Holds(drain))
 	must.Eq(t, "true draining false", state(r, "3"))
-	must.True(t, func() bool { d := a.Since(r.Want("a"), 9); return d.Empty() }())
+	must.True(t, func() bool { d := a.Since(r.PullQuery("a"), 9); return d.Empty() }())
 }
 
 func TestChangingControllersSendsOnlyMissingEntries(t *testing.T) {
@@ -161,8 +161,8 @@
 	pull(at(0), r, a)
 	must.False(t, a.Complete() || r.Complete()) // others may not have sent a heartbeat yet
 	run(b, 0, 1.5)
-	b.Beat(at(0), Searcher{ID: "new", Calls: 1})
-	d := b.Since(r.Want("b"), 1000)
+	b.Heartbeat(at(0), Searcher{ID: "new", Calls: 1})
+	d := b.Since(r.PullQuery("b"), 1000)
 	must.Len(t, 1, d.Entries)
 	must.True(t, r.Merge(at(0), d))
 	must.False(t, r.Merge(at(0), d))
@@ -172,12 +172,12 @@
 func TestRepair(t *testing.T) {
 	a, b, r := controller("a"), controller("b"), relay("r")
 	for i := range 500 {
-		a.Beat(at(0), Searcher{ID: fmt.Sprint("i", i), Calls: 1})
+		a.Heartbeat(at(0), Searcher{ID: fmt.Sprint("i", i), Calls: 1})
 	}
 	pull(at(0), b, a)
 	pull(at(0), r, a)
 	b.drop(b.records["i7"]) // a fault: covered by the vector, yet not held
-	a.Beat(at(0), Searcher{ID: "i9", Calls: 2, State: Draining})
+	a.Heartbeat(at(0), Searcher{ID: "i9", Calls: 2, State: Draining})
 	sent := reconcile(at(1), a, b)
 	must.Eq(t, a.Digest(Range{}), b.Digest(Range{}))
 	must.Less(t, 150, sent)
@@ -187,7 +187,7 @@
 	a.Leave(at(1), "i5")
 	for s := 1.0; s < 130; s++ {
 		for i := range 500 - 6 {
-			a.Beat(at(s), Searcher{ID: fmt.Sprint("i", i+6), Calls: uint64(s) + 10})
+			a.Heartbeat(at(s), Searcher{ID: fmt.Sprint("i", i+6), Calls: uint64(s) + 10})
 		}
 		run(a, s, s+0.9)
 	}
@@ -203,9 +203,9 @@
 func TestBounds(t *testing.T) {
 	h := New(Config{Name: "h", Start: epoch, MaxEntries: 20, MaxTombstones: 8, MaxSources: 4})
 	for i := range 20 {
-		must.True(t, h.Beat(at(0), Searcher{ID: fmt.Sprint("i", i), Calls: 1}).News)
+		must.True(t, h.Heartbeat(at(0), Searcher{ID: fmt.Sprint("i", i), Calls: 1}).Published)
 	}
-	must.True(t, h.Beat(at(0), Searcher{ID: "one more", Calls: 1}).Refused)
+	must.True(t, h.Heartbeat(at(0), Searcher{ID: "one more", Calls: 1}).Refused)
 	for i := range 12 {
 		h.Leave(at(1), fmt.Sprint("i", i))
 	}
@@ -214,7 +214,7 @@
 	must.Eq(t, 8, h.Len())
 	for i := range 30 { // the incarnations of a controller that keeps crashing
 		o := controller(fmt.Sprint("o", i))
-		o.Beat(at(3), Searcher{ID: "roams", Calls: uint64(i + 1)})
+		o.Heartbeat(at(3), Searcher{ID: "roams", Calls: uint64(i + 1)})
 		pull(at(3), h, o)
 	}
 	h.Tick(at(4))
@@ -252,7 +252,7 @@
 func populated(n int) *Registry {
 	h := controller("controller-3.example:7000/5f3a91c2")
 	for i := range n {
-		h.Beat(at(0), Searcher{
+		h.Heartbeat(at(0), Searcher{
 			ID: fmt.Sprintf("i-%08x", i*2654435761), Plant: fmt.Sprintf("huvo%02da", i%40), Zone: "klg-hall-a",
 			Address: fmt.Sprintf("10.128.%d.%d:8080", i/250, i%250), ConfigVersion: "v1", Capacity: 3, Calls: 1,
 		})
@@ -268,9 +268,9 @@
 				pull(at(0), r, h)
 				e := slices.Collect(h.All())[9].Searcher
 				e.Calls, e.State = 2, Draining
-				h.Beat(at(0), e)
+				h.Heartbeat(at(0), e)
 			}
-			w := r.Want(h.Name())
+			w := r.PullQuery(h.Name())
 			var d Delta
 			for b.Loop() {
 				d = h.Since(w, 5000)
@@ -287,7 +287,7 @@
 }
 
 func BenchmarkMerge(b *testing.B) {
-	full := populated(3800).Since(relay("r").Want(""), 5000)
+	full := populated(3800).Since(relay("r").PullQuery(""), 5000)
 	b.Run("3800", func(b *testing.B) {
 		for b.Loop() {
 			relay("r").Merge(at(0), full)
--- a/registry/tombstone_test.go
+++ b/registry/tombstone_test.go
@@ -13,14 +13,14 @@
 func TestUnknownIDsPushNoTombstoneOut(t *testing.T) {
 	h := controller("h")
 	real := Searcher{ID: "real", Plant: "p", Address: "a", Calls: 1}
-	h.Beat(at(0), real)
-	must.True(t, h.Leave(at(1), real.ID).News)
+	h.Heartbeat(at(0), real)
+	must.True(t, h.Leave(at(1), real.ID).Published)
 	for i := range 3 * h.cfg.MaxTombstones {
 		h.Leave(at(2), fmt.Sprint("unknown-", i))
 	}
 	h.Tick(at(3))
 	must.LessEq(t, h.cfg.MaxTombstones, h.tombstones)
 	real.Calls = 2
-	must.True(t, h.Beat(at(4), real).Gone)
+	must.True(t, h.Heartbeat(at(4), real).Gone)
 	must.NoError(t, h.Check())
 }
--- a/registry/types.go
+++ b/registry/types.go
@@ -91,8 +91,8 @@
 // Clone returns a copy of v.
 func (v Vector) Clone() Vector { return maps.Clone(v) }
 
-// Want asks a peer for the entries that the requester lacks.
-type Want struct {
+// PullQuery asks a peer for the entries that the requester lacks.
+type PullQuery struct {
 	Name string // the requester's name, of this incarnation
 	Have Vector
 	// By and Cursor say how far the requester has read the peer's log: what stands before the cursor
@@ -102,7 +102,7 @@
 	Cursor uint64
 }
 
-// Delta answers a Want: a section of the sender's log, without the entries that the requester has.
+// Delta answers a PullQuery: a section of the sender's log, without the entries that the requester has.
 //
 // A partial delta (More) makes no claim beyond its section. Only the last one carries Upto: an entry
 // may be missing in a partial one because another source's entry, which is still to come, replaced it.
@@ -119,12 +119,12 @@
 // Empty reports whether the delta carries no updates, so that a long poll may go on waiting.
 func (d *Delta) Empty() bool { return len(d.Entries) == 0 && len(d.Upto) == 0 && !d.More }
 
-// Beaten is the result of a heartbeat.
-type Beaten struct {
-	News    bool // it was published under a new number
-	Late    bool // it is older than what is held, or a duplicate
-	Gone    bool // the id has left and never comes back
-	Refused bool // the registry is full, or is a relay
+// HeartbeatResult is the result of a heartbeat.
+type HeartbeatResult struct {
+	Published bool // it was published under a new number
+	Late      bool // it is older than what is held, or a duplicate
+	Gone      bool // the id has left and never comes back
+	Refused   bool // the registry is full, or is a relay
 	// State is that of the entry now held for the id; Ready after a refusal.
 	State State
 	// Source and No identify the entry now held for the id: a peer whose vector covers them has it.
@@ -133,7 +133,7 @@
 }
 
 // Vector returns the vector that a peer must cover to know the entry.
-func (b Beaten) Vector() Vector {
+func (b HeartbeatResult) Vector() Vector {
 	if b.Source == "" {
 		return nil
 	}
