--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -39,7 +39,7 @@
 
 // newHeart listens; without a socket it beats not, and the mixer is known by its pulls alone.
 func newHeart(a *Agent, every time.Duration) (*heart, error) {
-	h := &heart{agent: a, start: time.Now(), every: every, me: failuredetector.Node{Life: a.life, Zone: a.set.Zone, Region: a.set.Region}}
+	h := &heart{agent: a, start: time.Now(), every: every, me: failuredetector.Node{Incarnation: a.life, Zone: a.set.Zone, Region: a.set.Region}}
 	ip, err := netip.ParseAddr(a.set.IP)
 	if err == nil {
 		h.me.Addr = netip.AddrPortFrom(ip, uint16(a.set.PortFirst+portHeartbeat))
@@ -49,7 +49,7 @@
 		err = errors.Wrapf(err, "listen, heartbeats at %s", h.me.Addr)
 		h.me.Addr = netip.AddrPort{}
 	}
-	h.look = failuredetector.New(failuredetector.Config{Me: h.me, Every: every}, h.start)
+	h.look = failuredetector.New(failuredetector.Config{Self: h.me, Interval: every}, h.start)
 	return h, err
 }
 
@@ -62,7 +62,7 @@
 	go h.listen()
 	k := time.NewTicker(h.every)
 	defer k.Stop()
-	var buf [failuredetector.DatagramMost]byte
+	var buf [failuredetector.MaxDatagram]byte
 	for {
 		select {
 		case <-ctx.Done():
@@ -82,7 +82,7 @@
 
 // listen takes heartbeats until the socket is closed.
 func (h *heart) listen() {
-	var buf [failuredetector.DatagramMost + 1]byte // one more than any heartbeat has shows those that are too long
+	var buf [failuredetector.MaxDatagram + 1]byte // one more than any heartbeat has shows those that are too long
 	for {
 		n, from, err := h.conn.ReadFromUDPAddrPort(buf[:])
 		if err != nil {
@@ -94,7 +94,7 @@
 		}
 		if key, no, ok := failuredetector.ReadHeartbeat(buf[:n]); ok {
 			h.mu.Lock()
-			h.look.Heard(time.Now(), key, no, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+			h.look.ReceiveHeartbeat(time.Now(), key, no, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 			h.mu.Unlock()
 		}
 	}
@@ -111,7 +111,7 @@
 		}
 		h.gen = gen
 		for m := range distribution.Mixers(r) {
-			nodes = append(nodes, failuredetector.Node{Life: m.Life, Addr: m.Addr, Zone: m.Zone, Region: h.agent.set.Zones[m.Zone],
+			nodes = append(nodes, failuredetector.Node{Incarnation: m.Life, Addr: m.Addr, Zone: m.Zone, Region: h.agent.set.Zones[m.Zone],
 				Silent: m.Silent, Leaving: m.Leaving})
 		}
 		return false
@@ -122,7 +122,7 @@
 	}
 	h.nodes = nodes
 	h.mu.Lock()
-	h.look.Know(time.Now(), nodes)
+	h.look.SetNodes(time.Now(), nodes)
 	h.mu.Unlock()
 }
 
--- a/agent/heartbeat_test.go
+++ b/agent/heartbeat_test.go
@@ -87,6 +87,6 @@
 	})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	must.True(t, h.look.Heard(time.Now(), key, 999, at(2)), must.Sprint("the stranger's number was taken"))
+	must.True(t, h.look.ReceiveHeartbeat(time.Now(), key, 999, at(2)), must.Sprint("the stranger's number was taken"))
 	must.NoError(t, h.look.Check())
 }
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -50,7 +50,7 @@
 
 	mu       sync.Mutex
 	fronts   map[string]*front          // agents that pull here, or did, by life
-	judge    *failuredetector.Judge     // of the mixers that don't
+	judge    *failuredetector.Arbiter   // of the mixers that don't
 	nodes    []failuredetector.Node     // the list as the judge knows it
 	nodesAt  uint64                     // and its generation
 	peers    map[string]peer            // by node
@@ -122,7 +122,7 @@
 		pulls: map[string]pull{}, answered: map[string]time.Time{}, kept: map[string]registry.Vector{}, told: make(chan struct{}), orders: make(chan struct{}, ordersMost),
 		network: on.Network, plant: on.Plant,
 		sight: sight{lines: logbound.Limiter{PerSecond: refusalLines}, strangers: logbound.Limiter{PerSecond: strangerLines}, calls: map[answered]uint64{}}}
-	c.judge = failuredetector.NewJudge(failuredetector.JudgeConfig{Period: s.BeatPeriod})
+	c.judge = failuredetector.NewArbiter(failuredetector.ArbiterConfig{Period: s.BeatPeriod})
 	c.board = distribution.NewBoard(registry.New(registry.Config{Name: life, Period: s.BeatPeriod, Start: now}))
 	c.board.SetAlone(true) // until a majority is met
 	store, saved, lost, err := storage.OpenOn(on.Files, s.DataDir)
@@ -334,9 +334,9 @@
 		c.peers[a.Node] = peer{a.Life, a.IP, time.Now()}
 		c.pulls[c.newsAddr(a.IP)].heard()
 		if a.Word != nil {
-			c.judge.Told(time.Now(), a.Node, *a.Word)
+			c.judge.ReceiveReport(time.Now(), a.Node, *a.Word)
 		} else {
-			c.judge.Told(time.Now(), a.Node, failuredetector.Word{})
+			c.judge.ReceiveReport(time.Now(), a.Node, failuredetector.WatchReport{})
 		}
 	}
 }
--- a/controlplane/mixers.go
+++ b/controlplane/mixers.go
@@ -35,7 +35,7 @@
 	m := distribution.Mixer{Life: a.Life, Zone: a.Mixer.Zone, Leaving: a.Mixer.Leaving, Calls: a.Mixer.Calls}
 	m.Addr, _ = netip.ParseAddrPort(a.Mixer.Addr)
 	c.mu.Lock()
-	c.judge.Pulled(now, a.Life, a.Mixer.Missed, a.Mixer.Seen)
+	c.judge.ReceivePull(now, a.Life, a.Mixer.Missed, a.Mixer.Seen)
 	f := c.fronts[a.Life]
 	if f == nil {
 		f = &front{node: a.Node}
@@ -57,7 +57,7 @@
 func (c *Controller) say(a *distribution.Ask, _ bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.judge.Word(time.Now()); len(w.Missed)+len(w.Seen)+len(w.Unheard) > 0 {
+	if w := c.judge.WatchReport(time.Now()); len(w.Missed)+len(w.Seen)+len(w.Unheard) > 0 {
 		a.Word = &w
 	}
 }
@@ -73,13 +73,13 @@
 		c.nodesAt = gen
 		c.know(r, c.listed(r))
 	}
-	var minded []failuredetector.Minded
+	var minded []failuredetector.Monitored
 	for i := range c.nodes {
 		// Whose it is may change without the list's doing so.
-		if m, ok := distribution.GetMixer(r, c.nodes[i].Life); !ok {
+		if m, ok := distribution.GetMixer(r, c.nodes[i].Incarnation); !ok {
 			continue
 		} else if m.Source == c.life || !alone && !live[m.Source] {
-			minded = append(minded, failuredetector.Minded{Life: m.Life, Silent: m.Silent, Leaving: m.Leaving})
+			minded = append(minded, failuredetector.Monitored{Incarnation: m.Life, Silent: m.Silent, Leaving: m.Leaving})
 		}
 	}
 	for _, life := range c.judge.Tick(now, minded) {
@@ -115,26 +115,26 @@
 func (c *Controller) know(r *registry.Registry, nodes []failuredetector.Node) {
 	was := map[string]bool{}
 	for i := range c.nodes {
-		was[c.nodes[i].Life] = c.nodes[i].Silent
+		was[c.nodes[i].Incarnation] = c.nodes[i].Silent
 	}
 	for i := range nodes {
 		n := &nodes[i]
-		if !n.Silent || n.Leaving || was[n.Life] {
+		if !n.Silent || n.Leaving || was[n.Incarnation] {
 			continue
 		}
-		if m, _ := distribution.GetMixer(r, n.Life); m.Source == c.life { // the others say what they were told
-			c.log.Info().Str("event", "mixer-silent").Str("life", n.Life).Msg("")
+		if m, _ := distribution.GetMixer(r, n.Incarnation); m.Source == c.life { // the others say what they were told
+			c.log.Info().Str("event", "mixer-silent").Str("life", n.Incarnation).Msg("")
 		}
 	}
 	c.nodes = nodes
-	c.judge.Know(nodes)
+	c.judge.SetNodes(nodes)
 }
 
 // listed is the list of mixers as failuredetector takes it.
 func (c *Controller) listed(r *registry.Registry) []failuredetector.Node {
 	var nodes []failuredetector.Node
 	for m := range distribution.Mixers(r) {
-		nodes = append(nodes, failuredetector.Node{Life: m.Life, Addr: m.Addr, Zone: m.Zone, Region: c.set.Zones[m.Zone],
+		nodes = append(nodes, failuredetector.Node{Incarnation: m.Life, Addr: m.Addr, Zone: m.Zone, Region: c.set.Zones[m.Zone],
 			Silent: m.Silent, Leaving: m.Leaving})
 	}
 	return nodes
--- a/distribution/pull.go
+++ b/distribution/pull.go
@@ -48,9 +48,9 @@
 	Alone      bool
 	Peer       bool // the asker is a controller: it knows of core machines itself
 	Mend       *Mend
-	Kept       uint64                // a controller's: what it knows of the answerer's disk, by the number told last on this link
-	Mixer      *Pulse                // an agent's
-	Word       *failuredetector.Word // a controller's, of the mixers that pull from it
+	Kept       uint64                       // a controller's: what it knows of the answerer's disk, by the number told last on this link
+	Mixer      *Pulse                       // an agent's
+	Word       *failuredetector.WatchReport // a controller's, of the mixers that pull from it
 }
 
 // Pulse is what an agent tells of itself, and of the mixers that it watches.
--- a/failuredetector/check.go
+++ b/failuredetector/check.go
@@ -6,29 +6,29 @@
 	"github.com/go-faster/errors"
 )
 
-// Check verifies the detector's invariants and returns the first violation, or nil. It costs as much as Know.
+// Check verifies the detector's invariants and returns the first violation, or nil. It costs as much as SetNodes.
 func (d *Detector) Check() error {
-	me := d.cfg.Me
-	if len(d.peers) >= maxNodes || len(d.targets) > Watchers {
+	me := d.cfg.Self
+	if len(d.peers) >= maxNodes || len(d.targets) > WatchersPerNode {
 		return errors.Errorf("a bound is exceeded: %d peers, %d watchers", len(d.peers), len(d.targets))
 	}
 	list := []Node{me}
 	elsewhere := false
 	for key, p := range d.peers {
-		if key != Key(p.Life) || p.Life == me.Life {
-			return errors.Errorf("peer %q is stored under key %x", p.Life, key)
+		if key != Key(p.Incarnation) || p.Incarnation == me.Incarnation {
+			return errors.Errorf("peer %q is stored under key %x", p.Incarnation, key)
 		}
 		if p.lastHeartbeat.After(d.now) || p.changedAt.After(d.now) {
-			return errors.Errorf("peer %q: a timestamp lies in the future", p.Life)
+			return errors.Errorf("peer %q: a timestamp lies in the future", p.Incarnation)
 		}
 		if p.missed && (!p.watched || d.now.Sub(d.lastContact(p)) <= d.timeout(p)) {
-			return errors.Errorf("peer %q counts as missed too soon, or by a mixer that doesn't watch it", p.Life)
+			return errors.Errorf("peer %q counts as missed too soon, or by a mixer that doesn't watch it", p.Incarnation)
 		}
 		list = append(list, p.Node)
 		elsewhere = elsewhere || p.onRing() && p.Zone != me.Zone
 	}
 	ring := NewRing(list)
-	if want := min(Watchers, ring.Size()-1); me.Addr.IsValid() && len(d.targets) != want {
+	if want := min(WatchersPerNode, ring.Size()-1); me.Addr.IsValid() && len(d.targets) != want {
 		return errors.Errorf("have %d watchers, want %d", len(d.targets), want)
 	}
 	outside := 0
@@ -44,23 +44,25 @@
 		return errors.New("all watchers are in the zone of the watched mixer")
 	}
 	for _, p := range d.peers {
-		assigned := p.onRing() && slices.ContainsFunc(ring.Watchers(&p.Node), func(w Node) bool { return w.Life == me.Life })
+		assigned := p.onRing() && slices.ContainsFunc(ring.Watchers(&p.Node), func(w Node) bool {
+			return w.Incarnation == me.Incarnation
+		})
 		if assigned != p.watched {
-			return errors.Errorf("peer %q: watched is %v, by the ring it should be %v", p.Life, p.watched, assigned)
+			return errors.Errorf("peer %q: watched is %v, by the ring it should be %v", p.Incarnation, p.watched, assigned)
 		}
 	}
 	return nil
 }
 
-// Check verifies the judge's invariants and returns the first violation, or nil.
-func (a *Judge) Check() error {
+// Check verifies the arbiter's invariants and returns the first violation, or nil.
+func (a *Arbiter) Check() error {
 	if len(a.pulls) > maxNodes || len(a.nodes) > maxNodes || len(a.controllers) > maxControllers {
 		return errors.Errorf("a bound is exceeded: %d pulls, %d nodes, %d controllers", len(a.pulls), len(a.nodes), len(a.controllers))
 	}
 	onRing := 0
 	for incarnation, n := range a.nodes {
-		if n.Life != incarnation {
-			return errors.Errorf("node %q is stored under %q", n.Life, incarnation)
+		if n.Incarnation != incarnation {
+			return errors.Errorf("node %q is stored under %q", n.Incarnation, incarnation)
 		}
 		if n.onRing() {
 			onRing++
--- a/failuredetector/detector.go
+++ b/failuredetector/detector.go
@@ -15,12 +15,13 @@
 
 // Config configures a Detector. Zero values take the defaults.
 type Config struct {
-	Me Node
-	// Every is the interval of heartbeats to a watcher of the same zone; other watchers get every second one.
-	Every time.Duration
-	// Patience is how many heartbeats in a row must fail to arrive before a mixer counts as missed. A new watcher waits twice
-	// as long for the first one, as the mixer may not know of it yet.
-	Patience float64
+	// Self is the mixer's own node.
+	Self Node
+	// Interval is the interval of heartbeats to a watcher of the same zone; other watchers get every second one.
+	Interval time.Duration
+	// MissThreshold is how many heartbeats in a row must fail to arrive before a mixer counts as missed. A new watcher
+	// waits twice as long for the first one, as the mixer may not know of it yet.
+	MissThreshold float64
 }
 
 // Detector decides in one mixer which heartbeats to send and which other mixers are missed. It is not safe for concurrent
@@ -35,26 +36,28 @@
 	peers        map[uint64]*peer
 }
 
+// target is a watcher that heartbeats are sent to.
 type target struct {
 	addr     netip.AddrPort
-	halfRate bool
+	halfRate bool // it receives only every second heartbeat
 }
 
+// peer is another mixer and what this one has received from it.
 type peer struct {
 	Node
 	number        uint64    // of the last heartbeat received
 	lastHeartbeat time.Time // when that arrived
 	watched       bool
-	changedAt     time.Time // when it was first watched, or taken off the ring
+	changedAt     time.Time // when it began to be watched, or joined or left the ring
 	halfRate      bool      // it sends only every second heartbeat to this mixer
 	missed        bool
 }
 
 // New returns the detector of a mixer that knows no other yet.
 func New(c Config, now time.Time) *Detector {
-	c.Every = cmp.Or(c.Every, 500*time.Millisecond)
-	c.Patience = cmp.Or(c.Patience, 3.5)
-	c.Me.Silent, c.Me.Leaving = false, false
+	c.Interval = cmp.Or(c.Interval, 500*time.Millisecond)
+	c.MissThreshold = cmp.Or(c.MissThreshold, 3.5)
+	c.Self.Silent, c.Self.Leaving = false, false
 	return &Detector{cfg: c, now: now, runningSince: now, lastTick: now, peers: map[uint64]*peer{}}
 }
 
@@ -65,14 +68,14 @@
 	}
 }
 
-// Know sets the list of mixers, including the silent ones. The state of those that stay is kept.
-func (d *Detector) Know(now time.Time, nodes []Node) {
+// SetNodes sets the list of mixers, including the silent ones. The state of those that stay is kept.
+func (d *Detector) SetNodes(now time.Time, nodes []Node) {
 	d.advanceClock(now)
-	me := d.cfg.Me
+	me := d.cfg.Self
 	// This mixer is alive, whatever the list says of it.
 	list := append(make([]Node, 0, len(nodes)+1), me)
 	for _, n := range nodes {
-		if n.Life != me.Life && len(list) < maxNodes {
+		if n.Incarnation != me.Incarnation && len(list) < maxNodes {
 			list = append(list, n)
 		}
 	}
@@ -84,24 +87,24 @@
 	peers := make(map[uint64]*peer, len(list))
 	for i := range list[1:] {
 		n := &list[i+1]
-		p := d.peers[Key(n.Life)]
-		if p == nil || p.Life != n.Life {
+		p := d.peers[Key(n.Incarnation)]
+		if p == nil || p.Incarnation != n.Incarnation {
 			p = &peer{changedAt: d.now}
 		}
-		watched := n.onRing() && slices.ContainsFunc(ring.Watchers(n), func(w Node) bool { return w.Life == me.Life })
+		watched := n.onRing() && slices.ContainsFunc(ring.Watchers(n), func(w Node) bool { return w.Incarnation == me.Incarnation })
 		if watched != p.watched || n.onRing() != p.onRing() {
 			p.watched, p.changedAt, p.missed = watched, d.now, false
 		}
 		p.Node, p.halfRate = *n, n.distance(&me) > 0
-		peers[Key(n.Life)] = p
+		peers[Key(n.Incarnation)] = p
 	}
 	d.peers = peers
 }
 
-// Tick must be called once per Every. It returns the number and the destinations of the heartbeats to be sent now.
+// Tick must be called once per Interval. It returns the number and the destinations of the heartbeats to be sent now.
 func (d *Detector) Tick(now time.Time) (number uint64, destinations []netip.AddrPort) {
 	d.advanceClock(now)
-	if d.now.Sub(d.lastTick) > 2*d.cfg.Every {
+	if d.now.Sub(d.lastTick) > 2*d.cfg.Interval {
 		d.runningSince = d.now // this process was paused: missing heartbeats say nothing about the peers
 	}
 	d.lastTick = d.now
@@ -124,7 +127,7 @@
 
 // timeout returns how long after its last contact a peer counts as missed.
 func (d *Detector) timeout(p *peer) time.Duration {
-	limit := time.Duration(d.cfg.Patience * float64(d.cfg.Every))
+	limit := time.Duration(d.cfg.MissThreshold * float64(d.cfg.Interval))
 	if p.halfRate {
 		limit *= 2
 	}
@@ -134,9 +137,9 @@
 	return limit
 }
 
-// Heard processes a heartbeat and reports whether it counts: it doesn't if it is late, duplicated, of an unknown mixer, or
-// from another address than the mixer's.
-func (d *Detector) Heard(now time.Time, key, number uint64, from netip.AddrPort) bool {
+// ReceiveHeartbeat processes a heartbeat and reports whether it counts: it doesn't if it is late, duplicated, of an unknown
+// mixer, or from another address than the mixer's.
+func (d *Detector) ReceiveHeartbeat(now time.Time, key, number uint64, from netip.AddrPort) bool {
 	d.advanceClock(now)
 	p := d.peers[key]
 	if p == nil || p.Addr != from || number <= p.number {
@@ -161,7 +164,7 @@
 	var matching []string
 	for _, p := range d.peers {
 		if match(p) {
-			matching = append(matching, p.Life)
+			matching = append(matching, p.Incarnation)
 		}
 	}
 	slices.Sort(matching)
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -14,7 +14,7 @@
 // makeNodes returns n nodes, spread evenly over zones; two zones make a region.
 func makeNodes(n, zones int) (list []Node) {
 	for i := range n {
-		list = append(list, Node{Life: fmt.Sprintf("agent/m%d/%x", i, i*i), Zone: fmt.Sprint("z", i%zones),
+		list = append(list, Node{Incarnation: fmt.Sprintf("agent/m%d/%x", i, i*i), Zone: fmt.Sprint("z", i%zones),
 			Region: fmt.Sprint("r", i%zones/2), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7084)})
 	}
 	return list
@@ -24,7 +24,7 @@
 	for _, no := range []uint64{0, 1, 127, 128, 1 << 40, 1<<64 - 1} {
 		b := AppendHeartbeat(nil, 42, no)
 		key, got, ok := ReadHeartbeat(b)
-		must.True(t, ok && key == 42 && got == no && len(b) <= DatagramMost)
+		must.True(t, ok && key == 42 && got == no && len(b) <= MaxDatagram)
 		for _, bad := range [][]byte{nil, b[:len(b)-1], append(b[:len(b):len(b)], 0), append([]byte{1}, b[1:]...), make([]byte, 2000)} {
 			_, _, ok := ReadHeartbeat(bad)
 			must.False(t, ok, must.Sprintf("%x", bad))
@@ -39,7 +39,7 @@
 	moved := 0
 	for i := range list[1:] {
 		a, b := ring.Watchers(&list[i+1]), less.Watchers(&list[i+1])
-		must.Len(t, Watchers, a)
+		must.Len(t, WatchersPerNode, a)
 		must.True(t, a[0].Zone != list[i+1].Zone && a[0].Region == list[i+1].Region && a[1].Zone == list[i+1].Zone)
 		for k := range a {
 			if a[k] != b[k] {
@@ -58,13 +58,13 @@
 	for _, c := range []struct{ mixers, zones, inRegion, across int }{{60, 4, 240, 0}, {9, 9, 240, 130}, {2, 4, 130, 0}} {
 		list := makeNodes(c.mixers, c.zones)
 		for _, me := range list {
-			d := New(Config{Me: me}, startTime)
-			d.Know(startTime, list)
+			d := New(Config{Self: me}, startTime)
+			d.SetNodes(startTime, list)
 			near, far := 0, 0
 			for i := range 120 {
 				no, to := d.Tick(startTime.Add(time.Duration(i) * 500 * time.Millisecond))
 				for _, addr := range to {
-					size := len(AppendHeartbeat(nil, Key(me.Life), no+1<<20)) + 28
+					size := len(AppendHeartbeat(nil, Key(me.Incarnation), no+1<<20)) + 28
 					for _, o := range list {
 						if o.Addr == addr && o.Region == me.Region {
 							near += size
@@ -83,19 +83,19 @@
 
 func TestReceiveHeartbeatRejectsInvalid(t *testing.T) {
 	list := makeNodes(3, 1)
-	d := New(Config{Me: list[0]}, startTime)
-	d.Know(startTime, list)
-	from, key := list[1].Addr, Key(list[1].Life)
-	must.False(t, d.Heard(startTime, 99, 5, from), must.Sprint("unknown"))
-	must.False(t, d.Heard(startTime, key, 5, list[2].Addr), must.Sprint("address of another mixer"))
-	must.True(t, d.Heard(startTime, key, 5, from))
-	must.False(t, d.Heard(startTime, key, 5, from), must.Sprint("duplicate"))
-	must.False(t, d.Heard(startTime, key, 4, from), must.Sprint("late"))
+	d := New(Config{Self: list[0]}, startTime)
+	d.SetNodes(startTime, list)
+	from, key := list[1].Addr, Key(list[1].Incarnation)
+	must.False(t, d.ReceiveHeartbeat(startTime, 99, 5, from), must.Sprint("unknown"))
+	must.False(t, d.ReceiveHeartbeat(startTime, key, 5, list[2].Addr), must.Sprint("address of another mixer"))
+	must.True(t, d.ReceiveHeartbeat(startTime, key, 5, from))
+	must.False(t, d.ReceiveHeartbeat(startTime, key, 5, from), must.Sprint("duplicate"))
+	must.False(t, d.ReceiveHeartbeat(startTime, key, 4, from), must.Sprint("late"))
 	for i := range 8 {
 		d.Tick(startTime.Add(time.Duration(i) * 500 * time.Millisecond))
 	}
-	must.Eq(t, []string{list[1].Life}, d.Missed(), must.Sprint("the other peer is new and has twice the timeout"))
-	must.True(t, d.Heard(d.now, key, 6, from))
+	must.Eq(t, []string{list[1].Incarnation}, d.Missed(), must.Sprint("the other peer is new and has twice the timeout"))
+	must.True(t, d.ReceiveHeartbeat(d.now, key, 6, from))
 	must.SliceEmpty(t, d.Missed())
 }
 
@@ -109,14 +109,14 @@
 		func(d *Detector, p *peer) { d.targets[0].halfRate = false },
 		func(d *Detector, p *peer) { p.lastHeartbeat = d.now.Add(1) },
 	} {
-		d := New(Config{Me: list[0]}, startTime)
-		d.Know(startTime, list)
+		d := New(Config{Self: list[0]}, startTime)
+		d.SetNodes(startTime, list)
 		must.NoError(t, d.Check())
-		corrupt(d, d.peers[Key(list[3].Life)])
+		corrupt(d, d.peers[Key(list[3].Incarnation)])
 		must.Error(t, d.Check(), must.Sprint(i))
 	}
-	a := NewJudge(JudgeConfig{})
-	a.Know(list)
+	a := NewArbiter(ArbiterConfig{})
+	a.SetNodes(list)
 	must.NoError(t, a.Check())
 	a.unheard["x"] = true
 	must.Error(t, a.Check())
@@ -124,60 +124,60 @@
 
 // Messages from others can't make the state grow without bound.
 func TestStateIsBounded(t *testing.T) {
-	a := NewJudge(JudgeConfig{})
+	a := NewArbiter(ArbiterConfig{})
 	incarnations := make([]string, 1500)
 	for i := range incarnations {
 		incarnations[i] = fmt.Sprint(i)
 	}
 	for i := range maxNodes + 9 {
-		a.Pulled(startTime, fmt.Sprint(i), incarnations[:1500*((maxNodes+9-i)/maxNodes)], nil) // the first few report long lists
+		a.ReceivePull(startTime, fmt.Sprint(i), incarnations[:1500*((maxNodes+9-i)/maxNodes)], nil) // the first few report long lists
 	}
-	var w Word
+	var w WatchReport
 	for _, life := range incarnations {
 		w.Missed, w.Unheard = append(w.Missed, Report{life, life}), append(w.Unheard, life)
 	}
 	for i := range maxControllers + 9 {
-		a.Told(startTime, fmt.Sprint(i), w)
+		a.ReceiveReport(startTime, fmt.Sprint(i), w)
 	}
 	must.NoError(t, a.Check())
-	must.LessEq(t, maxReports, len(a.Word(startTime).Missed))
+	must.LessEq(t, maxReports, len(a.WatchReport(startTime).Missed))
 	a.Tick(startTime.Add(time.Minute), nil)
 	must.MapEmpty(t, a.pulls)
 	must.MapEmpty(t, a.controllers)
-	d := New(Config{Me: makeNodes(1, 1)[0]}, startTime)
-	d.Know(startTime, makeNodes(maxNodes+9, 3))
+	d := New(Config{Self: makeNodes(1, 1)[0]}, startTime)
+	d.SetNodes(startTime, makeNodes(maxNodes+9, 3))
 	must.Eq(t, maxNodes-1, len(d.peers))
 }
 
 // A mixer that a controller has just begun to monitor may still pull there; until then it is not confirmed alive.
 func TestNewlyMonitoredMixerIsGivenTime(t *testing.T) {
 	list := makeNodes(5, 2)
-	a := NewJudge(JudgeConfig{Period: time.Second})
-	a.Know(list)
-	monitored := []Minded{{Life: list[0].Life}}
+	a := NewArbiter(ArbiterConfig{Period: time.Second})
+	a.SetNodes(list)
+	monitored := []Monitored{{Incarnation: list[0].Incarnation}}
 	must.SliceEmpty(t, a.Tick(startTime, monitored))
-	must.Eq(t, []string{list[0].Life}, a.Word(startTime).Unheard)
+	must.Eq(t, []string{list[0].Incarnation}, a.WatchReport(startTime).Unheard)
 	must.SliceEmpty(t, a.Tick(startTime.Add(2*time.Second), monitored))
-	must.Eq(t, []string{list[0].Life}, a.Tick(startTime.Add(2100*time.Millisecond), monitored))
+	must.Eq(t, []string{list[0].Incarnation}, a.Tick(startTime.Add(2100*time.Millisecond), monitored))
 	must.SliceEmpty(t, a.Tick(startTime.Add(2300*time.Millisecond), monitored))
 }
 
 func BenchmarkTick60(b *testing.B) {
 	list := makeNodes(60, 4)
-	d := New(Config{Me: list[0]}, startTime)
-	d.Know(startTime, list)
+	d := New(Config{Self: list[0]}, startTime)
+	d.SetNodes(startTime, list)
 	for i := 0; b.Loop(); i++ {
 		d.Tick(startTime.Add(time.Duration(i) * 500 * time.Millisecond))
 	}
 }
 
-func BenchmarkKnow(b *testing.B) {
+func BenchmarkSetNodes(b *testing.B) {
 	for _, n := range []int{60, 830} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list := makeNodes(n, 4)
-			d := New(Config{Me: list[0]}, startTime)
+			d := New(Config{Self: list[0]}, startTime)
 			for b.Loop() {
-				d.Know(startTime, list)
+				d.SetNodes(startTime, list)
 			}
 		})
 	}
--- a/failuredetector/ring.go
+++ b/failuredetector/ring.go
@@ -9,12 +9,12 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Watchers is the number of watchers of a mixer, if there are that many other mixers.
-const Watchers = 3
+// WatchersPerNode is the number of watchers of a mixer, if there are that many other mixers.
+const WatchersPerNode = 3
 
 // Node is one incarnation of a mixer, as the list of mixers describes it.
 type Node struct {
-	Life         string
+	Incarnation  string
 	Addr         netip.AddrPort // where it receives heartbeats; a mixer without one is not on the ring
 	Zone, Region string
 	// Silent and Leaving nodes are known, but not on the ring.
@@ -54,7 +54,7 @@
 	byZone := map[string][]position{}
 	for i := range nodes {
 		if n := &nodes[i]; n.onRing() {
-			byZone[n.Zone] = append(byZone[n.Zone], position{Key(n.Life), *n})
+			byZone[n.Zone] = append(byZone[n.Zone], position{Key(n.Incarnation), *n})
 			r.size++
 		}
 	}
@@ -64,7 +64,9 @@
 	}
 	slices.Sort(zones)
 	for _, z := range zones {
-		slices.SortFunc(byZone[z], func(a, b position) int { return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.Life, b.Life)) })
+		slices.SortFunc(byZone[z], func(a, b position) int {
+			return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.Incarnation, b.Incarnation))
+		})
 		r.zones = append(r.zones, byZone[z])
 	}
 	return r
@@ -84,30 +86,30 @@
 // between zones and regions cost money. Among equally near ones the next on the ring are taken, so that a mixer that joins or
 // leaves changes the watchers of few others.
 func (r *Ring) Watchers(n *Node) []Node {
-	key := Key(n.Life)
-	var buf [8 * Watchers]candidate
+	key := Key(n.Incarnation)
+	var buf [8 * WatchersPerNode]candidate
 	all := buf[:0]
 	for _, zone := range r.zones {
 		distance := n.distance(&zone[0].Node)
 		from := sort.Search(len(zone), func(i int) bool { return zone[i].key > key })
 		taken := 0
-		for i := 0; i < len(zone) && taken < Watchers; i++ {
-			if p := &zone[(from+i)%len(zone)]; p.Life != n.Life {
+		for i := 0; i < len(zone) && taken < WatchersPerNode; i++ {
+			if p := &zone[(from+i)%len(zone)]; p.Incarnation != n.Incarnation {
 				all = append(all, candidate{p, distance, p.key - key})
 				taken++
 			}
 		}
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.offset, b.offset), cmp.Compare(a.Life, b.Life))
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.offset, b.offset), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	if i := slices.IndexFunc(all, func(c candidate) bool { return c.distance > 0 }); i > 0 {
 		other := all[i]
 		copy(all[1:i+1], all[:i])
 		all[0] = other
 	}
-	list := make([]Node, 0, Watchers)
-	for _, c := range all[:min(len(all), Watchers)] {
+	list := make([]Node, 0, WatchersPerNode)
+	for _, c := range all[:min(len(all), WatchersPerNode)] {
 		list = append(list, c.Node)
 	}
 	return list
--- a/failuredetector/scenarios_test.go
+++ b/failuredetector/scenarios_test.go
@@ -66,7 +66,7 @@
 			m := live[x.Life]
 			if m == nil {
 				at, ok := h.deadSince[x.Life]
-				n := Node{Life: x.Life, Addr: x.Addr, Zone: x.Zone, Region: region(int(x.Zone[1] - '0'))}
+				n := Node{Incarnation: x.Life, Addr: x.Addr, Zone: x.Zone, Region: region(int(x.Zone[1] - '0'))}
 				if by := fmt.Sprint(NewRing(nodes(h.list)).Watchers(&n)); !ok || h.watchers[x.Life] != by {
 					h.deadSince[x.Life], h.watchers[x.Life] = w.now, by
 				} else if !healthy[x.Source] { // no controller monitors it until its source is adopted
@@ -129,7 +129,7 @@
 				n++
 			}
 		}
-		if word := h.arbiter.Word(w.now); n != running || len(word.Missed)+len(word.Seen)+len(word.Unheard) > 0 {
+		if word := h.arbiter.WatchReport(w.now); n != running || len(word.Missed)+len(word.Seen)+len(word.Unheard) > 0 {
 			return errors.Errorf("%s: %d of %d are alive, %+v", h.name, n, running, word)
 		}
 	}
@@ -201,7 +201,7 @@
 }
 
 // runWithoutCore runs a scenario in which a mixer loses all controllers but not its watchers, one of whom is cut off or dead.
-func runWithoutCore(seed uint64, config Config, arbiterConfig JudgeConfig) error {
+func runWithoutCore(seed uint64, config Config, arbiterConfig ArbiterConfig) error {
 	w := newWorld(seed, 8, 3)
 	w.config, w.arbiterConfig, w.lossRate = config, arbiterConfig, 0.05
 	for i := range w.controllers {
@@ -217,9 +217,9 @@
 	}
 	w.cutOff(out)
 	list := nodes(out.list)
-	me := Node{Life: out.incarnation, Addr: out.addr, Zone: zone(out.zone), Region: region(out.zone)}
+	me := Node{Incarnation: out.incarnation, Addr: out.addr, Zone: zone(out.zone), Region: region(out.zone)}
 	for _, m := range w.mixers {
-		if m.incarnation == NewRing(list).Watchers(&me)[seed%3].Life {
+		if m.incarnation == NewRing(list).Watchers(&me)[seed%3].Incarnation {
 			w.partitions[[2]string{out.machine, m.machine}] = true
 			m.up = seed%2 == 0
 		}
@@ -241,13 +241,13 @@
 // A mixer without contact to the controllers must not be marked silent while its watchers receive its heartbeats.
 func TestMixerSeenByWatchersIsNotMarkedSilent(t *testing.T) {
 	for seed := range uint64(8) {
-		must.NoError(t, runWithoutCore(seed, Config{}, JudgeConfig{Period: period}), must.Sprint(seed))
+		must.NoError(t, runWithoutCore(seed, Config{}, ArbiterConfig{Period: period}), must.Sprint(seed))
 	}
 }
 
 // Faults injected into the rules must break an invariant.
 func TestInjectedFaultsAreDetected(t *testing.T) {
-	caught := func(c Config, j JudgeConfig) (n int) {
+	caught := func(c Config, j ArbiterConfig) (n int) {
 		j.Period = period
 		for seed := range uint64(4) {
 			if runWithoutCore(seed, c, j) != nil {
@@ -256,9 +256,10 @@
 		}
 		return n
 	}
-	must.Eq(t, 4, caught(Config{Patience: 1e6}, JudgeConfig{}), must.Sprint("no mixer is ever missed"))
-	must.Positive(t, caught(Config{}, JudgeConfig{Needed: 1}), must.Sprint("one watcher's report suffices"))
-	must.Positive(t, caught(Config{Patience: 0.5}, JudgeConfig{}), must.Sprint("the timeout is shorter than the heartbeat interval"))
+	must.Eq(t, 4, caught(Config{MissThreshold: 1e6}, ArbiterConfig{}), must.Sprint("no mixer is ever missed"))
+	must.Positive(t, caught(Config{}, ArbiterConfig{RequiredReports: 1}), must.Sprint("one watcher's report suffices"))
+	must.Positive(t, caught(Config{MissThreshold: 0.5}, ArbiterConfig{}),
+		must.Sprint("the timeout is shorter than the heartbeat interval"))
 }
 
 // A mixer that all of its watchers considered dead, and that still can't pull, counts as alive again once they receive its
--- a/failuredetector/simulation_test.go
+++ b/failuredetector/simulation_test.go
@@ -17,7 +17,7 @@
 	step   = 50 * time.Millisecond
 )
 
-// world is a system in simulated time: mixers with their detectors, controllers with their judges and registries.
+// world is a system in simulated time: mixers with their detectors, controllers with their arbiters and registries.
 type world struct {
 	rng           *rand.Rand
 	now           time.Time
@@ -27,8 +27,8 @@
 	lossRate      float64
 	partitions    map[[2]string]bool // from, to: machines
 	incarnations  int
-	config        Config      // injected faults are set here
-	arbiterConfig JudgeConfig // and here
+	config        Config        // injected faults are set here
+	arbiterConfig ArbiterConfig // and here
 	heartbeats    int
 	bytes         int
 }
@@ -56,7 +56,7 @@
 	isolated      bool
 	since         time.Time
 	list          *registry.Registry
-	arbiter       *Judge
+	arbiter       *Arbiter
 	lastContact   map[string]time.Time // last contact, by controller's incarnation
 	peerName      map[string]string
 	lastCalls     map[string]uint64
@@ -77,7 +77,7 @@
 
 func newWorld(seed uint64, mixers, controllers int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), now: time.Unix(1e9, 0), partitions: map[[2]string]bool{},
-		arbiterConfig: JudgeConfig{Period: period}}
+		arbiterConfig: ArbiterConfig{Period: period}}
 	for i := range controllers {
 		h := &controller{}
 		w.controllers = append(w.controllers, h)
@@ -95,9 +95,9 @@
 func (w *world) startController(i int) {
 	w.incarnations++
 	name := fmt.Sprintf("controller/c%d/%d", i, w.incarnations)
-	*w.controllers[i] = controller{name: name, up: true, since: w.now, arbiter: NewJudge(w.arbiterConfig),
-		lastContact: map[string]time.Time{}, peerName: map[string]string{}, lastCalls: map[string]uint64{}, deadSince: map[string]time.Time{},
-		watchers: map[string]string{}, silentSince: map[string]time.Time{},
+	*w.controllers[i] = controller{name: name, up: true, since: w.now, arbiter: NewArbiter(w.arbiterConfig),
+		lastContact: map[string]time.Time{}, peerName: map[string]string{}, lastCalls: map[string]uint64{},
+		deadSince: map[string]time.Time{}, watchers: map[string]string{}, silentSince: map[string]time.Time{},
 		list: registry.New(registry.Config{Name: name, Period: period, Start: w.now})}
 }
 
@@ -106,7 +106,7 @@
 	m.incarnation, m.up, m.since, m.frozen, m.peerName, m.generation =
 		fmt.Sprintf("agent/%s/%d", m.machine, w.incarnations), true, w.now, w.now, "", 0
 	c := w.config
-	c.Me = Node{Life: m.incarnation, Addr: m.addr, Zone: zone(m.zone), Region: region(m.zone)}
+	c.Self = Node{Incarnation: m.incarnation, Addr: m.addr, Zone: zone(m.zone), Region: region(m.zone)}
 	m.detector = New(c, w.now)
 	m.list = registry.New(registry.Config{Name: m.incarnation, Relay: true, Period: period, Start: w.now})
 	m.nextHeartbeat, m.nextPull = w.now.Add(time.Duration(w.rng.IntN(500))*time.Millisecond), w.now
@@ -119,7 +119,8 @@
 	for m := range distribution.Mixers(r) {
 		var z int
 		fmt.Sscanf(m.Zone, "z%d", &z)
-		list = append(list, Node{Life: m.Life, Addr: m.Addr, Zone: m.Zone, Region: region(z), Silent: m.Silent, Leaving: m.Leaving})
+		list = append(list, Node{Incarnation: m.Life, Addr: m.Addr, Zone: m.Zone, Region: region(z),
+			Silent: m.Silent, Leaving: m.Leaving})
 	}
 	return list
 }
@@ -136,7 +137,7 @@
 		} else if f.to.up && f.to.frozen.After(w.now) {
 			kept = append(kept, f) // in the socket's buffer
 		} else if key, no, ok := ReadHeartbeat(f.data); ok && f.to.up && !w.cut(f.from.machine, f.to.machine) {
-			f.to.detector.Heard(w.now, key, no, f.from.addr)
+			f.to.detector.ReceiveHeartbeat(w.now, key, no, f.from.addr)
 		}
 	}
 	w.datagrams = kept
@@ -157,7 +158,7 @@
 		m.nextHeartbeat = w.now.Add(500 * time.Millisecond)
 		if generation := m.list.Generation(); generation != m.generation {
 			m.generation = generation
-			m.detector.Know(w.now, nodes(m.list))
+			m.detector.SetNodes(w.now, nodes(m.list))
 		}
 		no, to := m.detector.Tick(w.now)
 		for _, addr := range to {
@@ -190,7 +191,7 @@
 	m.lastPull, m.nextPull = w.now, w.now.Add(800*time.Millisecond)
 	x := distribution.Mixer{Life: m.incarnation, Addr: m.addr, Zone: zone(m.zone),
 		Calls: uint64(w.now.Sub(m.since)/time.Microsecond) + 1}
-	h.arbiter.Pulled(w.now, m.incarnation, m.detector.Missed(), m.detector.Seen())
+	h.arbiter.ReceivePull(w.now, m.incarnation, m.detector.Missed(), m.detector.Seen())
 	h.lastCalls[m.incarnation] = max(h.lastCalls[m.incarnation], x.Calls)
 	h.list.Heartbeat(w.now, x.Searcher())
 	d := h.list.Since(m.list.PullQuery(m.peerName), 500)
@@ -225,12 +226,12 @@
 		}
 		if generation := h.list.Generation(); generation != h.generation {
 			h.generation = generation
-			h.arbiter.Know(nodes(h.list))
+			h.arbiter.SetNodes(nodes(h.list))
 		}
-		var lastMonitored []Minded
+		var lastMonitored []Monitored
 		for m := range distribution.Mixers(h.list) {
 			if m.Source == h.name || !h.isolated && !live[m.Source] {
-				lastMonitored = append(lastMonitored, Minded{Life: m.Life, Silent: m.Silent, Leaving: m.Leaving})
+				lastMonitored = append(lastMonitored, Monitored{Incarnation: m.Life, Silent: m.Silent, Leaving: m.Leaving})
 			}
 		}
 		for _, life := range h.arbiter.Tick(w.now, lastMonitored) {
@@ -247,7 +248,7 @@
 			continue
 		}
 		if w.now.Sub(h.lastReport) >= 800*time.Millisecond {
-			o.arbiter.Told(w.now, fmt.Sprint("c", i), h.arbiter.Word(w.now))
+			o.arbiter.ReceiveReport(w.now, fmt.Sprint("c", i), h.arbiter.WatchReport(w.now))
 			o.lastContact[h.name] = w.now
 		}
 		d := o.list.Since(h.list.PullQuery(h.peerName[o.name]), 500)
--- a/failuredetector/wire.go
+++ b/failuredetector/wire.go
@@ -8,9 +8,9 @@
 // that it stays small; the list of mixers identifies the sender and the address that it must come from.
 const (
 	heartbeatKind = 0xB7
-	// DatagramMost is the greatest length of a heartbeat; anything longer is not one.
-	DatagramMost = 1 + 8 + binary.MaxVarintLen64
-	minDatagram  = 1 + 8 + 1
+	// MaxDatagram is the greatest length of a heartbeat; anything longer is not one.
+	MaxDatagram = 1 + 8 + binary.MaxVarintLen64
+	minDatagram = 1 + 8 + 1
 )
 
 // AppendHeartbeat appends an encoded heartbeat to a buffer.
@@ -21,7 +21,7 @@
 
 // ReadHeartbeat decodes a heartbeat. It returns false for anything that AppendHeartbeat doesn't produce.
 func ReadHeartbeat(b []byte) (key, number uint64, ok bool) {
-	if len(b) < minDatagram || len(b) > DatagramMost || b[0] != heartbeatKind {
+	if len(b) < minDatagram || len(b) > MaxDatagram || b[0] != heartbeatKind {
 		return 0, 0, false
 	}
 	number, n := binary.Uvarint(b[9:])
