--- a/failuredetector/scenarios_test.go
+++ b/failuredetector/scenarios_test.go
@@ -129,8 +129,8 @@
 				n++
 			}
 		}
-		if word := h.arbiter.WatchReport(w.now); n != running || len(word.Missed)+len(word.Seen)+len(word.Unheard) > 0 {
-			return errors.Errorf("%s: %d of %d are alive, %+v", h.name, n, running, word)
+		if report := h.arbiter.WatchReport(w.now); n != running || len(report.Missed)+len(report.Seen)+len(report.Unheard) > 0 {
+			return errors.Errorf("%s: %d of %d are alive, %+v", h.name, n, running, report)
 		}
 	}
 	return nil
--- a/registry/heartbeat.go
+++ b/registry/heartbeat.go
@@ -199,8 +199,8 @@
 	return b
 }
 
-// trimTombstones enforces MaxGone. It removes the oldest tombstones, first those of ids that never had
-// an entry, and a quarter of the bound more so that the next ones don't trigger it again at once.
+// trimTombstones enforces MaxTombstones. It removes tombstones of ids that never had an entry first, then
+// the oldest, and leaves a quarter of the bound free so that the next tombstones don't trigger it again.
 func (r *Registry) trimTombstones() {
 	if r.tombstones <= r.cfg.MaxTombstones {
 		return
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -167,7 +167,7 @@
 		index(r.services, rec.Plant, rec)
 		index(r.addresses, rec.Address, rec)
 	}
-	// Readers skip superseded log items; the log is compacted once more than half of it is superseded.
+	// Readers skip superseded log items; compacting the log pays off only once about half of it is superseded.
 	if len(r.log) > 2*len(r.records)+64 {
 		r.log = slices.DeleteFunc(r.log, func(i logItem) bool { return i.record.seq != i.seq })
 	}
