--- a/retrybudget/arrival_test.go
+++ b/retrybudget/arrival_test.go
@@ -13,132 +13,132 @@
 	"peathollow/retrybudget"
 )
 
-// fleet is a day of mixers before one service whose searchers stand still now and then. A request is counted when it is sent by its
-// client; a dispatch, when its searcher reads it: one that stands still reads all that was sent to it once it goes on, also
-// what the mixer has given up by then. The first that is read of each request is free, whichever was sent first.
-type fleet struct {
-	terms     retrybudget.Terms
+// scenario simulates mixers that send requests to one service whose searchers stall now and then. A request is counted when its
+// client sends it, and an attempt when its searcher reads it. A stalled searcher reads all that was sent to it when it resumes, also
+// what the mixer has abandoned by then. The first attempt of a request that is read is free, whichever was sent first.
+type scenario struct {
+	config    retrybudget.Terms
 	mixers    int
 	perSecond float64
 	searchers int
-	failing   float64 // share of the dispatches that fail at once
+	failing   float64 // share of the attempts that fail at once
 	failFrom  time.Duration
-	patience  time.Duration // of a request, after which it is given up
-	retries   int
-	stills    []still
-	restarts  bool // each mixer starts anew once in a window at most
+	timeout   time.Duration // of a request, after which it is abandoned
+	attempts  int           // maximum number per request
+	stalls    []stall
+	restarts  bool // each mixer restarts at most once in a window
 	quietFrom time.Duration
-	moves     []time.Duration // when clients move: from then on half of the mixers get all requests, drawn anew each time
+	moves     []time.Duration // when clients move: from then on a newly drawn half of the mixers gets all requests
 }
 
-// still is a time in which some searchers stand still.
-type still struct {
+// stall is a period in which a share of the searchers is stalled.
+type stall struct {
 	from, to time.Duration
 	share    float64
 }
 
 const (
-	dayLength = 40 * time.Second
-	dayStep   = 25 * time.Millisecond
-	hedgeTime = 150 * time.Millisecond // without an answer, after which a further dispatch is wanted
-	workTime  = 20 * time.Millisecond
-	wireTime  = 5 * time.Millisecond
+	scenarioLength = 40 * time.Second
+	timeStep       = 25 * time.Millisecond
+	hedgeTime      = 150 * time.Millisecond // without a response, after which a hedge is wanted
+	workTime       = 20 * time.Millisecond
+	wireTime       = 5 * time.Millisecond
 )
 
-// asked is one request in hand.
-type asked struct {
-	mixer      int
-	until      time.Duration
-	dispatches []*sent
-	trail      trail
-	over       bool
+// request is a request in flight.
+type request struct {
+	mixer    int
+	until    time.Duration
+	attempts []*attempt
+	history  history
+	over     bool
 }
 
-// sent is one dispatch.
-type sent struct {
-	at, read time.Duration // when its searcher reads it
-	ends     time.Duration // when its mixer knows what became of it
-	answered bool
-	fails    bool
-	known    bool
+// attempt is one attempt of a request.
+type attempt struct {
+	sent, read time.Duration // read is when its searcher reads it
+	ends       time.Duration // when its mixer learns the outcome
+	answered   bool
+	fails      bool
+	known      bool
 }
 
-// draw draws a day from a seed.
-func draw(seed uint64) (f fleet, r *rand.Rand) {
+// draw returns the random scenario of a seed, and the random source to run it with.
+func draw(seed uint64) (sc scenario, r *rand.Rand) {
 	r = rand.New(rand.NewPCG(seed, 54))
-	f = fleet{mixers: []int{2, 9, 56}[r.IntN(3)], perSecond: []float64{40, 160, 318, 450}[r.IntN(4)], searchers: 8, failing: []float64{0, 0.1, 0.9}[r.IntN(3)],
-		patience: time.Duration(1+r.IntN(4)) * time.Second, retries: 2 + r.IntN(2), restarts: r.IntN(2) == 0, quietFrom: dayLength}
-	f.terms = retrybudget.Terms{Ratio: 0.2, Slack: []float64{0, 58, 152}[r.IntN(3)], Window: span}
-	for from := time.Duration(r.IntN(8000)) * time.Millisecond; from < dayLength; from += time.Duration(r.IntN(10_000)) * time.Millisecond {
-		s := still{from: from, to: from + time.Duration(500+r.IntN(6000))*time.Millisecond, share: []float64{0.25, 0.5, 1}[r.IntN(3)]}
-		f.stills = append(f.stills, s)
+	sc = scenario{mixers: []int{2, 9, 56}[r.IntN(3)], perSecond: []float64{40, 160, 318, 450}[r.IntN(4)], searchers: 8, failing: []float64{0, 0.1, 0.9}[r.IntN(3)],
+		timeout: time.Duration(1+r.IntN(4)) * time.Second, attempts: 2 + r.IntN(2), restarts: r.IntN(2) == 0, quietFrom: scenarioLength}
+	sc.config = retrybudget.Terms{Ratio: 0.2, Slack: []float64{0, 58, 152}[r.IntN(3)], Window: span}
+	for from := time.Duration(r.IntN(8000)) * time.Millisecond; from < scenarioLength; from += time.Duration(r.IntN(10_000)) * time.Millisecond {
+		s := stall{from: from, to: from + time.Duration(500+r.IntN(6000))*time.Millisecond, share: []float64{0.25, 0.5, 1}[r.IntN(3)]}
+		sc.stalls = append(sc.stalls, s)
 		from = s.to
 	}
 	if r.IntN(4) == 0 {
-		f.quietFrom = dayLength * 2 / 3
+		sc.quietFrom = scenarioLength * 2 / 3
 	}
 	if every := time.Duration(2+r.IntN(20)) * time.Second; r.IntN(2) == 0 {
-		f.failFrom = dayLength / 2
-		f.move(every)
+		sc.failFrom = scenarioLength / 2
+		sc.moveClients(every)
 	}
-	return f, r
+	return sc, r
 }
 
-// move has clients move from some mixers to others again and again.
-func (f *fleet) move(every time.Duration) {
-	for at := time.Duration(0); at < dayLength; at += every {
-		f.moves = append(f.moves, at)
+// moveClients makes clients move from some mixers to others at regular intervals.
+func (sc *scenario) moveClients(every time.Duration) {
+	for at := time.Duration(0); at < scenarioLength; at += every {
+		sc.moves = append(sc.moves, at)
 	}
 }
 
-// readBy tells when a searcher reads what reaches it at some time.
-func (f *fleet) readBy(searcher int, at time.Duration) time.Duration {
-	for _, s := range f.stills {
-		if at >= s.from && at < s.to && float64(searcher) < s.share*float64(f.searchers) {
+// readTime returns when a searcher reads an attempt that reaches it at the given time.
+func (sc *scenario) readTime(searcher int, at time.Duration) time.Duration {
+	for _, s := range sc.stalls {
+		if at >= s.from && at < s.to && float64(searcher) < s.share*float64(sc.searchers) {
 			at = s.to
 		}
 	}
 	return at
 }
 
-// play plays the day, and gives what the rule sees.
-func (f *fleet) play(r *rand.Rand) (j judged, further int) {
-	books := make([]*retrybudget.Book, f.mixers)
-	fresh := func(m int) {
-		books[m] = retrybudget.New(f.terms)
-		books[m].Mixers(f.mixers)
+// run runs the scenario and returns the arrivals and the number of retries.
+func (sc *scenario) run(r *rand.Rand) (arrived arrivals, retries int) {
+	budgets := make([]*retrybudget.Book, sc.mixers)
+	restart := func(m int) {
+		budgets[m] = retrybudget.New(sc.config)
+		budgets[m].Mixers(sc.mixers)
 	}
-	for m := range books {
-		fresh(m)
+	for m := range budgets {
+		restart(m)
 	}
-	takers, moves := r.Perm(f.mixers), f.moves
-	var inHand []*asked
+	receivers, moves := r.Perm(sc.mixers), sc.moves
+	var inFlight []*request
 	var reads [][]time.Duration
-	for now := time.Duration(0); now < dayLength; now += dayStep {
-		if f.restarts && now%span == 0 {
-			for m := range books {
+	for now := time.Duration(0); now < scenarioLength; now += timeStep {
+		if sc.restarts && now%span == 0 {
+			for m := range budgets {
 				if r.IntN(3) == 0 {
-					fresh(m)
-					inHand = slices.DeleteFunc(inHand, func(q *asked) bool { return q.mixer == m })
+					restart(m)
+					inFlight = slices.DeleteFunc(inFlight, func(q *request) bool { return q.mixer == m })
 				}
 			}
 		}
-		if now < f.quietFrom {
+		if now < sc.quietFrom {
 			for len(moves) > 0 && now >= moves[0] {
 				moves = moves[1:]
-				takers = r.Perm(f.mixers)[:(f.mixers+1)/2]
+				receivers = r.Perm(sc.mixers)[:(sc.mixers+1)/2]
 			}
-			for n := f.perSecond * dayStep.Seconds(); n > 0 && r.Float64() < n; n-- {
-				q := &asked{mixer: takers[r.IntN(len(takers))], until: now + f.patience}
-				j.asked = append(j.asked, now)
-				books[q.mixer].Asked(now, service)
-				f.send(books[q.mixer], now, q, r)
-				inHand = append(inHand, q)
+			for n := sc.perSecond * timeStep.Seconds(); n > 0 && r.Float64() < n; n-- {
+				q := &request{mixer: receivers[r.IntN(len(receivers))], until: now + sc.timeout}
+				arrived.requests = append(arrived.requests, now)
+				budgets[q.mixer].Asked(now, service)
+				sc.send(budgets[q.mixer], now, q, r)
+				inFlight = append(inFlight, q)
 			}
 		}
-		r.Shuffle(len(inHand), func(a, b int) { inHand[a], inHand[b] = inHand[b], inHand[a] })
-		inHand = slices.DeleteFunc(inHand, func(q *asked) bool {
-			f.tend(books[q.mixer], now, q, r)
+		r.Shuffle(len(inFlight), func(a, b int) { inFlight[a], inFlight[b] = inFlight[b], inFlight[a] })
+		inFlight = slices.DeleteFunc(inFlight, func(q *request) bool {
+			sc.advance(budgets[q.mixer], now, q, r)
 			if !q.over {
 				return false
 			}
@@ -146,73 +146,75 @@
 			return true
 		})
 	}
-	for _, q := range inHand {
+	for _, q := range inFlight {
 		reads = append(reads, readTimes(q))
 	}
-	for _, at := range reads {
-		j.extra = append(j.extra, at[1:]...)
+	for _, times := range reads {
+		arrived.retries = append(arrived.retries, times[1:]...)
 	}
-	return j, len(j.extra)
+	return arrived, len(arrived.retries)
 }
 
-func readTimes(q *asked) (at []time.Duration) {
-	for _, d := range q.dispatches {
-		at = append(at, d.read)
+// readTimes returns the sorted times at which the attempts of a request are read.
+func readTimes(q *request) (times []time.Duration) {
+	for _, a := range q.attempts {
+		times = append(times, a.read)
 	}
-	slices.Sort(at)
-	return at
+	slices.Sort(times)
+	return times
 }
 
-// send makes a dispatch.
-func (f *fleet) send(b *retrybudget.Book, now time.Duration, q *asked, r *rand.Rand) {
-	d := &sent{at: now, fails: now >= f.failFrom && r.Float64() < f.failing}
-	d.read = f.readBy(r.IntN(f.searchers), now+wireTime)
-	d.ends = d.read + workTime
-	if d.answered = d.ends <= q.until; !d.answered {
-		d.ends = q.until
+// send sends an attempt of a request.
+func (sc *scenario) send(b *retrybudget.Book, now time.Duration, q *request, r *rand.Rand) {
+	a := &attempt{sent: now, fails: now >= sc.failFrom && r.Float64() < sc.failing}
+	a.read = sc.readTime(r.IntN(sc.searchers), now+wireTime)
+	a.ends = a.read + workTime
+	if a.answered = a.ends <= q.until; !a.answered {
+		a.ends = q.until
 	}
-	q.dispatches = append(q.dispatches, d)
-	q.trail.sent(b, now)
+	q.attempts = append(q.attempts, a)
+	q.history.sent(b, now)
 }
 
-// tend notes what has ended, and sends once more where that is wanted and allowed.
-func (f *fleet) tend(b *retrybudget.Book, now time.Duration, q *asked, r *rand.Rand) {
-	passed, open := false, 0
-	for _, d := range q.dispatches {
-		if !d.known && now >= d.ends {
-			d.known = true
-			q.trail.ended(b, now, d.answered)
+// advance records the attempts of a request that have ended, and retries it if that is wanted and allowed.
+func (sc *scenario) advance(b *retrybudget.Book, now time.Duration, q *request, r *rand.Rand) {
+	succeeded, open := false, 0
+	for _, a := range q.attempts {
+		if !a.known && now >= a.ends {
+			a.known = true
+			q.history.ended(b, now, a.answered)
 		}
-		if !d.known {
+		if !a.known {
 			open++
 		}
-		passed = passed || d.known && d.answered && !d.fails
+		succeeded = succeeded || a.known && a.answered && !a.fails
 	}
-	if passed || now >= q.until {
-		q.over = open == 0 // a mixer waits for what is out to its end
+	if succeeded || now >= q.until {
+		q.over = open == 0 // a mixer waits for the end of all attempts in flight
 		return
 	}
-	last := q.dispatches[len(q.dispatches)-1]
-	wants := last.known || now-last.at > hedgeTime
-	if wants && len(q.dispatches) < f.retries && q.trail.room(b, now, q.until) {
-		f.send(b, now, q, r)
+	last := q.attempts[len(q.attempts)-1]
+	wantsRetry := last.known || now-last.sent > hedgeTime
+	if wantsRetry && len(q.attempts) < sc.attempts && q.history.allows(b, now, q.until) {
+		sc.send(b, now, q, r)
 	}
 }
 
-// worstOf plays days side by side and gives those over the budget.
-func worstOf(t *testing.T, days map[string]func() (fleet, *rand.Rand)) {
+// checkScenarios runs the scenarios in parallel as subtests and fails those that exceed the budget.
+func checkScenarios(t *testing.T, scenarios map[string]func() (scenario, *rand.Rand)) {
 	t.Helper()
-	for _, name := range slices.SortedFunc(mapsKeys(days), cmp.Compare) {
+	for _, name := range slices.SortedFunc(mapsKeys(scenarios), cmp.Compare) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, r := days[name]()
-			j, further := f.play(r)
-			excess, when := j.worstBy(f.terms)
-			must.LessEq(t, 0, excess, must.Sprintf("%+v: %d further arrivals, over by %.0f at %v", f, further, excess, when))
+			sc, r := scenarios[name]()
+			arrived, retries := sc.run(r)
+			excess, when := arrived.maxExcessFor(sc.config)
+			must.LessEq(t, 0, excess, must.Sprintf("%+v: %d retries, over the limit by %.0f at %v", sc, retries, excess, when))
 		})
 	}
 }
 
+// mapsKeys returns an iterator over the keys of m.
 func mapsKeys[V any](m map[string]V) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
@@ -223,35 +225,36 @@
 	}
 }
 
-// TestBudgetAtArrival: however long searchers stand still, and whatever a mixer has given up by the time that they go on, what they
-// read past the first of each request stays within the rule.
+// TestBudgetAtArrival checks that the retries that searchers read stay within the rule, however long the searchers stall and whatever
+// the mixers have abandoned by the time they resume.
 func TestBudgetAtArrival(t *testing.T) {
-	days := map[string]func() (fleet, *rand.Rand){}
+	scenarios := map[string]func() (scenario, *rand.Rand){}
 	for seed := range uint64(40) {
-		days[fmt.Sprint("drawn ", seed)] = func() (fleet, *rand.Rand) { return draw(seed) }
+		scenarios[fmt.Sprint("drawn ", seed)] = func() (scenario, *rand.Rand) { return draw(seed) }
 	}
 	for _, length := range []time.Duration{0, 2, 3, 4} {
-		days[fmt.Sprint("all stand still for seconds: ", int(length))] = func() (fleet, *rand.Rand) {
-			return fleet{terms: retrybudget.Terms{Ratio: 0.2, Slack: 152, Window: span}, mixers: 56, perSecond: 318, searchers: 8, failing: 0.9,
-				patience: 2500 * time.Millisecond, retries: 2, quietFrom: dayLength, stills: []still{{20 * time.Second, 20*time.Second + length*time.Second, 1}}}, rand.New(rand.NewPCG(1, 54))
+		scenarios[fmt.Sprint("all stand still for seconds: ", int(length))] = func() (scenario, *rand.Rand) {
+			return scenario{config: retrybudget.Terms{Ratio: 0.2, Slack: 152, Window: span}, mixers: 56, perSecond: 318, searchers: 8, failing: 0.9,
+				timeout: 2500 * time.Millisecond, attempts: 2, quietFrom: scenarioLength, stalls: []stall{{20 * time.Second, 20*time.Second + length*time.Second, 1}}}, rand.New(rand.NewPCG(1, 54))
 		}
 	}
-	worstOf(t, days)
+	checkScenarios(t, scenarios)
 }
 
-// TestBudgetWhenClientsMove: mixers that have few requests now and had many, and others the other way round, don't each spend by what was
-// most with them. The account before did: 61 of 636 too many.
+// TestBudgetWhenClientsMove guards against mixers that each spend by their own largest window. When clients move, mixers that had many
+// requests and now have few, and others with the reverse, then exceed the rule together: an earlier version allowed 61 retries too
+// many out of 636.
 func TestBudgetWhenClientsMove(t *testing.T) {
-	days := map[string]func() (fleet, *rand.Rand){}
+	scenarios := map[string]func() (scenario, *rand.Rand){}
 	for _, every := range []time.Duration{5, 7, 10} {
 		for _, before := range []time.Duration{0, 1, 2} {
-			days[fmt.Sprintf("each %d s, searchers fail from %d s before", int(every), int(before))] = func() (fleet, *rand.Rand) {
-				f := fleet{terms: retrybudget.Terms{Ratio: 0.2, Window: span}, mixers: 56, perSecond: 318, searchers: 8, failing: 1, failFrom: (20 - before) * time.Second,
-					patience: 2500 * time.Millisecond, retries: 3, quietFrom: dayLength}
-				f.move(every * time.Second)
-				return f, rand.New(rand.NewPCG(1, 54))
+			scenarios[fmt.Sprintf("each %d s, searchers fail from %d s before", int(every), int(before))] = func() (scenario, *rand.Rand) {
+				sc := scenario{config: retrybudget.Terms{Ratio: 0.2, Window: span}, mixers: 56, perSecond: 318, searchers: 8, failing: 1, failFrom: (20 - before) * time.Second,
+					timeout: 2500 * time.Millisecond, attempts: 3, quietFrom: scenarioLength}
+				sc.moveClients(every * time.Second)
+				return sc, rand.New(rand.NewPCG(1, 54))
 			}
 		}
 	}
-	worstOf(t, days)
+	checkScenarios(t, scenarios)
 }
--- a/retrybudget/retrybudget.go
+++ b/retrybudget/retrybudget.go
@@ -1,9 +1,11 @@
-// Package retrybudget divides the fleet's budget of further dispatches. For each service all mixers together may have no more of them
-// read by searchers, in any window, than a share of its requests and a fixed slack. A mixer spends the share of the
-// requests it has itself taken, and an equal part of the slack; so the sum holds whatever mixers know of each other, as long as no
-// more of them run than Mixers was told, and however late a searcher reads what was sent to it: a further dispatch counts from when
-// it is sent until a window after it can't be read any more (Trail). docs/retry-budget.md has the argument and its assumptions.
-// It decides only: no I/O, no clock. request asks it before a part goes again.
+// Package retrybudget divides the fleet's retry budget among the mixers. A retry is any attempt of a part at a service beyond the first
+// one that a searcher reads, hedges included. In any window, the searchers of a service may read no more retries from all mixers
+// together than a ratio of the service's requests plus a fixed slack. Each mixer spends the ratio of the requests that it receives
+// itself and an equal share of the slack. The sum therefore holds whatever mixers know of one another, as long as no more of them run
+// than Mixers was given, and however late a searcher reads what was sent to it: a retry is charged from when it is sent until one
+// window after it can no longer be read (see Trail). docs/retry-budget.md has the argument and its assumptions.
+//
+// The package performs no I/O and reads no clock. Package request consults it before it retries a part.
 package retrybudget
 
 import (
@@ -13,132 +15,136 @@
 )
 
 const (
-	// kept back from the share: requests are counted in slices here, and at the searchers later than at the mixer.
-	spareShare = 0.92
-	// One that has just started spends its slack anew while what it spent before still counts.
-	lives = 2
-	// unknownMixers is how many there are held to be until that is told.
-	unknownMixers = 128
-	// servicesMost bounds what is remembered; services beyond it get no further dispatches.
-	servicesMost = 4096
-	// readLate is how long after its mixer gave it up a dispatch may be read, in windows: a searcher that stands still has
-	// it in its socket, and reads it when it goes on.
-	readLate = 1
-	// readMargin is how long it may take a request from its client to a mixer, and a dispatch to its end after its deadline.
-	readMargin = time.Second
+	// ratioMargin is the fraction of the ratio that is spent. The rest is a reserve because requests are counted in slices here, and
+	// because searchers count them later than the mixer.
+	ratioMargin = 0.92
+	// overlappingIncarnations divides a mixer's share of the slack: a restarted mixer spends the share again while the charges of its
+	// previous incarnation still count.
+	overlappingIncarnations = 2
+	// defaultMixerCount is the number of mixers assumed while the real number is unknown.
+	defaultMixerCount = 128
+	// maxServices bounds the accounts kept. Services beyond it get no retries.
+	maxServices = 4096
+	// readDelayWindows is how long after its mixer abandoned it an attempt may still be read, in windows: a stalled searcher has it in
+	// its socket buffer and reads it when it resumes.
+	readDelayWindows = 1
+	// deadlineMargin covers the time that a request takes from its client to a mixer and that an attempt takes to end after its deadline.
+	deadlineMargin = time.Second
 )
 
-// Terms are the bounds of the rule: Ratio of the requests and Slack, in any Window.
+// Terms configures the budget: in any Window, Ratio of the requests plus Slack.
 type Terms struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// CountsFor is for how long what a mixer has sent may count: it may be read late, and counts for a window then. For so long a mixer that
-// has ended is to be counted among those that share the slack.
-func CountsFor(window time.Duration) time.Duration { return (1 + readLate) * window }
+// CountsFor returns how long a charge for an attempt may count after the attempt ends at the mixer: the attempt may be read late and
+// then counts for one window. A mixer that has ended must be counted for as long among those that share the slack.
+func CountsFor(window time.Duration) time.Duration { return (1 + readDelayWindows) * window }
 
-// Book counts for one mixer.
+// Book is the retry budget of one mixer.
 type Book struct {
-	terms      Terms
-	mixers     int
-	slackSpent bool // by earlier lives of this mixer
-	of         map[string]*account
-	strays     sliding.Window // dispatches that were read by another service's searcher; which service's is not known
-	exhausted  []Exhausted
+	config     Terms
+	mixerCount int
+	slackSpent bool // by earlier incarnations of this mixer
+	accounts   map[string]*account
+	misrouted  sliding.Window // attempts read by a searcher of another service; which service is not known
+	refusals   []Exhausted
 }
 
-// account is what a book holds of one service. Its charges are further dispatches.
+// account holds the requests and charges of one service. Each charge stands for one retry.
 type account struct {
-	asked tally
-	open  int            // charges for what may still be read, or will be told of
-	read  sliding.Window // charges for what has been read, by when that was known
-	lost  sliding.Window // charges for what was given up and may be read later, by when it was given up
-	used  time.Duration
-	seen  counts
+	requests  requestCounter
+	open      int            // charges for attempts that may still be read or whose outcome is still to be reported
+	read      sliding.Window // charges for attempts that were read, by the time at which that became known
+	abandoned sliding.Window // charges for attempts that were abandoned and may be read later, by the time of abandonment
+	lastUsed  time.Duration
+	counters  counters
 }
 
-// New makes the book of a mixer that has just started.
-func New(t Terms) *Book {
-	return &Book{terms: t, mixers: unknownMixers, of: map[string]*account{}}
+// New returns the budget of a mixer that has just started.
+func New(config Terms) *Book {
+	return &Book{config: config, mixerCount: defaultMixerCount, accounts: map[string]*account{}}
 }
 
-// Mixers tells how many mixers may be running; 0 or less means that it isn't known.
+// Mixers sets the number of mixers that may be running. A number of 0 or less means that it is not known.
 func (b *Book) Mixers(n int) {
-	if b.mixers = n; n <= 0 {
-		b.mixers = unknownMixers
+	if b.mixerCount = n; n <= 0 {
+		b.mixerCount = defaultMixerCount
 	}
 }
 
-// SlackSpent tells whether earlier lives of this mixer have had its part of the slack, in a window that still counts. Until it
-// is told otherwise this one has none then, and only what the requests that it takes allow.
+// SlackSpent sets whether earlier incarnations of this mixer spent its share of the slack in a window that still counts. While it is
+// set, this incarnation has no slack and only the budget earned by the requests that it receives.
 func (b *Book) SlackSpent(spent bool) { b.slackSpent = spent }
 
-// Asked counts a request that is to reach the service.
+// Asked counts a request to the service.
 func (b *Book) Asked(now time.Duration, service string) {
 	if a := b.account(now, service); a != nil {
-		a.asked.add(now, b.terms.Window)
-		a.seen.requests++
+		a.requests.add(now, b.config.Window)
+		a.counters.requests++
 	}
 }
 
-// Room tells whether one more further dispatch to the service, which is given up at some time if nothing comes of it, is within this
-// mixer's part.
+// Room reports whether this mixer's share of the budget allows one more retry to the service, which is abandoned at time until if it
+// has not ended by then.
 func (b *Book) Room(now time.Duration, service string, until time.Duration) bool {
 	a := b.account(now, service)
-	if a == nil || b.terms.Window <= 0 {
+	if a == nil || b.config.Window <= 0 {
 		return a != nil
 	}
-	// What is open may be read in a window that begins only later, and is held against the requests of that one.
-	counting, room := b.counting(now, a), b.room(now, a, 0, b.terms.Window)
-	mayCome := a.open + a.lost.High(now, CountsFor(b.terms.Window))
-	roomLater := b.room(now, a, b.terms.Window, b.terms.Window+max(0, until-now)+readMargin)
-	if float64(counting+1) <= room && float64(mayCome+1) <= roomLater {
+	// Open and abandoned attempts may be read in a later window, and are then limited by the requests credited to that window.
+	charges, limit := b.charges(now, a), b.limit(now, a, 0, b.config.Window)
+	readLater := a.open + a.abandoned.High(now, CountsFor(b.config.Window))
+	limitLater := b.limit(now, a, b.config.Window, b.config.Window+max(0, until-now)+deadlineMargin)
+	if float64(charges+1) <= limit && float64(readLater+1) <= limitLater {
 		return true
 	}
-	b.noteExhausted(now, service, a)
+	b.recordRefusal(now, service, a)
 	return false
 }
 
-// Stray notes that a dispatch was read by a searcher of another service than it was meant for. Any service may be that one, so it counts for
-// all of them.
-func (b *Book) Stray(now time.Duration) { b.strays.Add(now, b.terms.Window) }
+// Stray charges an attempt that was read by a searcher of another service than the intended one. It is not known which service that
+// is, so the attempt counts for all of them.
+func (b *Book) Stray(now time.Duration) { b.misrouted.Add(now, b.config.Window) }
 
-// counting is how many charges count at the moment.
-func (b *Book) counting(now time.Duration, a *account) int {
-	return b.strays.High(now, b.terms.Window) + a.open + a.read.High(now, b.terms.Window) + a.lost.High(now, CountsFor(b.terms.Window))
+// charges returns the number of charges that count now.
+func (b *Book) charges(now time.Duration, a *account) int {
+	return b.misrouted.High(now, b.config.Window) + a.open + a.read.High(now, b.config.Window) +
+		a.abandoned.High(now, CountsFor(b.config.Window))
 }
 
-// room is how many charges may count in any window that ends in a span from now on.
-func (b *Book) room(now time.Duration, a *account, from, to time.Duration) float64 {
-	room := spareShare * b.terms.Ratio * float64(a.asked.least(now, b.terms.Window, from, to))
+// limit returns how many charges may count in any window that ends between from and to after now.
+func (b *Book) limit(now time.Duration, a *account, from, to time.Duration) float64 {
+	limit := ratioMargin * b.config.Ratio * float64(a.requests.minCredited(now, b.config.Window, from, to))
 	if !b.slackSpent {
-		room += b.terms.Slack / float64(lives*b.mixers)
+		limit += b.config.Slack / float64(overlappingIncarnations*b.mixerCount)
 	}
-	return room
+	return limit
 }
 
+// account returns the account of a service, which it creates if necessary. It returns nil if there are too many services.
 func (b *Book) account(now time.Duration, service string) *account {
-	a := b.of[service]
+	a := b.accounts[service]
 	if a == nil {
-		if len(b.of) >= servicesMost {
-			b.forget(now)
+		if len(b.accounts) >= maxServices {
+			b.evictIdle(now)
 		}
-		if len(b.of) >= servicesMost {
+		if len(b.accounts) >= maxServices {
 			return nil
 		}
 		a = &account{}
-		b.of[service] = a
+		b.accounts[service] = a
 	}
-	a.used = now
+	a.lastUsed = now
 	return a
 }
 
-// forget drops what no window can reach any more.
-func (b *Book) forget(now time.Duration) {
-	for s, a := range b.of {
-		if a.open == 0 && now-a.used > 2*b.terms.Window {
-			delete(b.of, s)
+// evictIdle removes the accounts whose requests and charges no window can contain any more.
+func (b *Book) evictIdle(now time.Duration) {
+	for service, a := range b.accounts {
+		if a.open == 0 && now-a.lastUsed > 2*b.config.Window {
+			delete(b.accounts, service)
 		}
 	}
 }
--- a/retrybudget/retrybudget_test.go
+++ b/retrybudget/retrybudget_test.go
@@ -17,45 +17,48 @@
 	service = "s"
 )
 
-var terms = retrybudget.Terms{Ratio: 0.2, Slack: 58, Window: span}
+var config = retrybudget.Terms{Ratio: 0.2, Slack: 58, Window: span}
 
-// judged counts as the rule does: what arrives past the first of each request, in every window, against the requests of
-// that window, of the one before or of the one half a window earlier. It gives the greatest excess over what is allowed.
-type judged struct{ asked, extra []time.Duration }
+// arrivals holds the times at which requests and retries arrived. A retry is any attempt read beyond the first of its request.
+type arrivals struct{ requests, retries []time.Duration }
 
-func within(at []time.Duration, from, to time.Duration) int {
-	i, _ := slices.BinarySearch(at, from)
-	j, _ := slices.BinarySearch(at, to)
+// countBetween returns how many of the sorted times lie in [from, to).
+func countBetween(times []time.Duration, from, to time.Duration) int {
+	i, _ := slices.BinarySearch(times, from)
+	j, _ := slices.BinarySearch(times, to)
 	return j - i
 }
 
-func (j *judged) worst() (excess float64, when time.Duration) { return j.worstBy(terms) }
+// maxExcess returns the result of maxExcessFor with the default configuration.
+func (a *arrivals) maxExcess() (excess float64, when time.Duration) { return a.maxExcessFor(config) }
 
-func (j *judged) worstBy(terms retrybudget.Terms) (excess float64, when time.Duration) {
-	slices.Sort(j.asked)
-	slices.Sort(j.extra)
+// maxExcessFor returns the largest excess of the retries in any window over the limit of the rule, and the end of that window. The
+// limit is based on the requests of the window, of the one before it or of the one half a window earlier, whichever has most.
+func (a *arrivals) maxExcessFor(config retrybudget.Terms) (excess float64, when time.Duration) {
+	slices.Sort(a.requests)
+	slices.Sort(a.retries)
 	excess = -1e9
-	// What is allowed falls only as a request leaves one of the three windows, and what came rises only with an arrival.
+	// The limit falls only when a request leaves one of the three windows, and the number of retries rises only with an arrival.
 	var ends []time.Duration
-	for _, at := range j.extra {
+	for _, at := range a.retries {
 		ends = append(ends, at+1)
 	}
-	for _, at := range j.asked {
+	for _, at := range a.requests {
 		ends = append(ends, at+span+1, at+3*span/2+1, at+2*span+1)
 	}
 	slices.Sort(ends)
 	for _, to := range slices.Compact(ends) {
-		came := within(j.extra, to-span, to)
-		sent := max(within(j.asked, to-span, to), within(j.asked, to-2*span, to-span), within(j.asked, to-3*span/2, to-span/2))
-		if e := float64(came) - terms.Ratio*float64(sent) - terms.Slack; e > excess {
+		retries := countBetween(a.retries, to-span, to)
+		requests := max(countBetween(a.requests, to-span, to), countBetween(a.requests, to-2*span, to-span), countBetween(a.requests, to-3*span/2, to-span/2))
+		if e := float64(retries) - config.Ratio*float64(requests) - config.Slack; e > excess {
 			excess, when = e, to
 		}
 	}
 	return excess, when
 }
 
-// load says how many requests a second there are for all mixers together, and whether further dispatches are wanted.
-type load func(at time.Duration) (perSecond float64, trouble bool)
+// load returns the rate of requests over all mixers together, and whether the mixers want to retry.
+type load func(at time.Duration) (perSecond float64, retrying bool)
 
 var loads = map[string]load{
 	"even": func(time.Duration) (float64, bool) { return 300, true },
@@ -72,7 +75,7 @@
 	},
 }
 
-// peaks are two of them nearly a window apart, with trouble in the second: no window that is judged later holds both.
+// peaks is a load with two peaks nearly a window apart and with retries in the second: no later window contains both peaks.
 func peaks(at time.Duration) (float64, bool) {
 	at %= 3 * span
 	if m := at % (19 * span / 20); at < 3*span/2 && m < time.Second/2 {
@@ -81,33 +84,34 @@
 	return 0, false
 }
 
-// run plays mixers that want two further dispatches for each request, restarting each once in a while, and gives what
-// the rule sees. told is how many mixers the books are told of.
-func run(l load, mixers, told int, restarts bool, seed uint64) (j judged, most int) {
+// run simulates mixers that want two retries for each request while the load asks for retries, and that restart now and then. It
+// returns the arrivals and the number of retries. knownMixers is the number of mixers that is set in the budgets.
+func run(l load, mixers, knownMixers int, restarts bool, seed uint64) (arrived arrivals, retries int) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	books := make([]*retrybudget.Book, mixers)
-	fresh := func(i int) {
-		books[i] = retrybudget.New(terms)
-		books[i].Mixers(told)
+	budgets := make([]*retrybudget.Book, mixers)
+	restart := func(i int) {
+		budgets[i] = retrybudget.New(config)
+		budgets[i].Mixers(knownMixers)
 	}
 	shares, sum := make([]float64, mixers), 0.0
-	for i := range books {
-		fresh(i)
-		shares[i] = 1 / float64(1+i) // clients are hashed: shares are uneven
+	for i := range budgets {
+		restart(i)
+		shares[i] = 1 / float64(1+i) // clients are distributed by hash, so the shares are uneven
 		sum += shares[i]
 	}
-	var owed []int // mixers that would send once more as soon as they may
+	var pending []int // mixers with a retry to send, one entry per retry
 	const step = 20 * time.Millisecond
 	for at := time.Duration(0); at < 40*time.Second; at += step {
 		if restarts && at%span == 0 {
-			// Each ends once in a window, at a time of its own; the slack of two lives is what a window may see.
-			for i := range books {
+			// Each mixer restarts at most once in a window, at a time of its own, so that a window may contain the slack of two
+			// incarnations.
+			for i := range budgets {
 				if r.IntN(2) == 0 {
-					fresh(i)
+					restart(i)
 				}
 			}
 		}
-		perSecond, trouble := l(at)
+		perSecond, retrying := l(at)
 		n := perSecond * step.Seconds()
 		for k := 0; float64(k) < n; k++ {
 			if n-float64(k) < r.Float64() {
@@ -117,88 +121,89 @@
 			for pick -= shares[0]; pick > 0 && m < mixers-1; pick -= shares[m] {
 				m++
 			}
-			j.asked = append(j.asked, at)
-			books[m].Asked(at, service)
-			if trouble {
-				owed = append(owed, m, m)
+			arrived.requests = append(arrived.requests, at)
+			budgets[m].Asked(at, service)
+			if retrying {
+				pending = append(pending, m, m)
 			}
 		}
-		full := make([]bool, mixers)
-		owed = slices.DeleteFunc(owed, func(m int) bool {
-			if full[m] || !books[m].Room(at, service, at) {
-				full[m] = true
+		refused := make([]bool, mixers)
+		pending = slices.DeleteFunc(pending, func(m int) bool {
+			if refused[m] || !budgets[m].Room(at, service, at) {
+				refused[m] = true
 				return false
 			}
-			// The first one was read; this one is, a moment later.
-			var t retrybudget.Trail
-			books[m].Sent(at, service, &t)
-			books[m].Sent(at, service, &t)
-			books[m].Read(at, service, &t)
-			books[m].Read(at, service, &t)
-			j.extra = append(j.extra, at+time.Duration(r.IntN(40))*time.Millisecond)
+			// The first attempt has been read; the retry is read a moment later.
+			var attempts retrybudget.Trail
+			budgets[m].Sent(at, service, &attempts)
+			budgets[m].Sent(at, service, &attempts)
+			budgets[m].Read(at, service, &attempts)
+			budgets[m].Read(at, service, &attempts)
+			arrived.retries = append(arrived.retries, at+time.Duration(r.IntN(40))*time.Millisecond)
 			return true
 		})
-		owed = owed[max(0, len(owed)-1000):]
+		pending = pending[max(0, len(pending)-1000):]
 	}
-	return j, len(j.extra)
+	return arrived, len(arrived.retries)
 }
 
-// TestBudget: however unevenly clients are spread, and whenever mixers start anew, all together stay within the rule.
+// TestBudget checks that all mixers together stay within the rule, however unevenly clients are distributed among them and whenever
+// they restart.
 func TestBudget(t *testing.T) {
 	for name, l := range loads {
 		for _, mixers := range []int{2, 9, 60} {
 			for seed := range uint64(2) {
-				j, _ := run(l, mixers, mixers, seed > 0, seed)
-				excess, when := j.worst()
+				arrived, _ := run(l, mixers, mixers, seed > 0, seed)
+				excess, when := arrived.maxExcess()
 				must.LessEq(t, 0, excess, must.Sprintf("%s, %d mixers, seed %d: over by %v at %v", name, mixers, seed, excess, when))
 			}
 		}
 	}
 }
 
-// TestBudgetPeaks: a further dispatch is not allowed for by requests that no window will be held against any more.
+// TestBudgetPeaks checks that requests that have left all windows of the rule no longer allow retries.
 func TestBudgetPeaks(t *testing.T) {
 	for _, mixers := range []int{2, 9, 60} {
-		j, _ := run(peaks, mixers, mixers, false, 1)
-		excess, when := j.worst()
+		arrived, _ := run(peaks, mixers, mixers, false, 1)
+		excess, when := arrived.maxExcess()
 		must.LessEq(t, 0, excess, must.Sprintf("%d mixers: over by %v at %v", mixers, excess, when))
 	}
 }
 
-// TestUnknownMixers: a book that was not told how many mixers run keeps to the part of very many.
-func TestUnknownMixers(t *testing.T) {
-	j, _ := run(loads["even"], 120, 0, true, 3)
-	excess, when := j.worst()
+// TestUnknownMixerCount checks that a budget without a known number of mixers spends only a share for a large number.
+func TestUnknownMixerCount(t *testing.T) {
+	arrived, _ := run(loads["even"], 120, 0, true, 3)
+	excess, when := arrived.maxExcess()
 	must.LessEq(t, 0, excess, must.Sprint(when))
 }
 
-// TestUsed: the budget is there to be spent: half of what is allowed is.
-func TestUsed(t *testing.T) {
-	_, most := run(loads["even"], 9, 9, false, 1)
-	must.Greater(t, int(0.5*terms.Ratio*300*40), most)
+// TestBudgetIsUsable checks that more than half of the allowed retries can be sent.
+func TestBudgetIsUsable(t *testing.T) {
+	_, retries := run(loads["even"], 9, 9, false, 1)
+	must.Greater(t, int(0.5*config.Ratio*300*40), retries)
 }
 
-// TestJudgeSees: planted faults show: each mixer spends as if it were the only one; one dispatch more than is allowed;
-// dispatches for requests of long ago.
-func TestJudgeSees(t *testing.T) {
-	j, _ := run(loads["even"], 60, 1, false, 1)
-	excess, _ := j.worst()
+// TestMaxExcessDetectsViolations checks that injected faults are detected: each mixer spends as if it were the only one; one retry
+// too many; retries based on expired requests.
+func TestMaxExcessDetectsViolations(t *testing.T) {
+	arrived, _ := run(loads["even"], 60, 1, false, 1)
+	excess, _ := arrived.maxExcess()
 	must.Greater(t, 500.0, excess)
-	asked := slices.Repeat([]time.Duration{span / 2}, 100)
-	exact := judged{asked: asked, extra: slices.Repeat([]time.Duration{span / 2}, 58+20)}
-	excess, _ = exact.worst()
-	must.Eq(t, 0, excess) // exactly what is allowed
-	over := judged{asked: asked, extra: slices.Repeat([]time.Duration{span / 2}, 58+21)}
-	excess, _ = over.worst()
+	requests := slices.Repeat([]time.Duration{span / 2}, 100)
+	exact := arrivals{requests: requests, retries: slices.Repeat([]time.Duration{span / 2}, 58+20)}
+	excess, _ = exact.maxExcess()
+	must.Eq(t, 0, excess) // exactly at the limit
+	over := arrivals{requests: requests, retries: slices.Repeat([]time.Duration{span / 2}, 58+21)}
+	excess, _ = over.maxExcess()
 	must.Eq(t, 1, excess)
-	late := judged{asked: asked, extra: slices.Repeat([]time.Duration{5 * span / 2}, 58+21)}
-	excess, _ = late.worst()
-	must.Eq(t, 21, excess) // requests of long ago allow nothing
+	late := arrivals{requests: requests, retries: slices.Repeat([]time.Duration{5 * span / 2}, 58+21)}
+	excess, _ = late.maxExcess()
+	must.Eq(t, 21, excess) // expired requests allow no retries
 }
 
-// TestForgets: services that are no more make room for others; one too many gets no further dispatches.
-func TestForgets(t *testing.T) {
-	b := retrybudget.New(terms)
+// TestIdleServicesAreEvicted checks that a service beyond the maximum gets no retries, and that idle services are evicted.
+func TestIdleServicesAreEvicted(t *testing.T) {
+	b := retrybudget.New(config)
 	b.Mixers(1)
 	for i := range 5000 {
 		b.Asked(0, fmt.Sprint("old", i))
