--- a/agent/agent.go
+++ b/agent/agent.go
@@ -34,7 +34,7 @@
 
 // New makes an agent from what it is told.
 func New(s *settings.Settings, life string, l *log.Logger) *Agent {
-	return &Agent{set: s, log: l, life: life, proxies: newProxyLives(retrybudget.CountsFor(s.RetryWindow), time.Now()),
+	return &Agent{set: s, log: l, life: life, proxies: newProxyLives(retrybudget.ChargeLifetime(s.RetryWindow), time.Now()),
 		board: distribution.NewBoard(registry.New(registry.Config{Name: life, Relay: true, Period: s.BeatPeriod, Start: time.Now()}))}
 }
 
@@ -78,7 +78,7 @@
 	periodic.Each(ctx, a.set.BeatPeriod/2, func() {
 		n := 0
 		a.board.With(func(r *registry.Registry) bool {
-			n = distribution.CountMixers(r, retrybudget.CountsFor(a.set.RetryWindow))
+			n = distribution.CountMixers(r, retrybudget.ChargeLifetime(a.set.RetryWindow))
 			return r.Tick(time.Now())
 		})
 		a.board.SetMixers(n)
--- a/controlplane/mixers.go
+++ b/controlplane/mixers.go
@@ -144,7 +144,7 @@
 func (c *Controller) mixers() (n int, silent []string) {
 	heard := map[string]bool{}
 	c.board.With(func(r *registry.Registry) bool {
-		n = distribution.CountMixers(r, retrybudget.CountsFor(c.set.RetryWindow))
+		n = distribution.CountMixers(r, retrybudget.ChargeLifetime(c.set.RetryWindow))
 		for m := range distribution.Mixers(r) {
 			if !m.Silent {
 				heard[m.Machine()] = true
--- a/lab/scale/bench_test.go
+++ b/lab/scale/bench_test.go
@@ -33,7 +33,7 @@
 func newGatherer(shards, records int) *gatherer {
 	g := &gatherer{route: &manifest.Route{Name: "fan", Idempotent: true, Horizon: 600 * time.Millisecond, Setpoint: 240 * time.Millisecond,
 		Retries: 2, TopK: 10, MinCoverage: 0.6, Rank: 1}}
-	g.life = request.New(request.Terms{Seed: 1, Budget: retrybudget.Terms{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}}, 0)
+	g.life = request.New(request.Terms{Seed: 1, Budget: retrybudget.Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}}, 0)
 	g.life.Mixers(830)
 	var hosts []request.Host
 	for i := range shards {
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -7,14 +7,14 @@
 )
 
 // explainExhausted logs the services that were refused a further dispatch for want of budget, with what the account went by.
-func (p *Proxy) explainExhausted(all []retrybudget.Exhausted) {
+func (p *Proxy) explainExhausted(all []retrybudget.Refusal) {
 	for _, e := range all {
 		ok, suppressed := p.sight.line(p.sight.exhausted)
 		if !ok {
 			continue
 		}
 		p.log.Warn().Str("event", "retry-budget-exhausted").Str("service", e.Service).Int("requests", e.Requests).
-			Int("counting", e.Counting).Int("open", e.Open).Int("lost", e.Lost).Float64("room", e.Room).Int("not-logged", suppressed).Msg("")
+			Int("counting", e.Charges).Int("open", e.OpenCharges).Int("lost", e.AbandonedCharges).Float64("room", e.Limit).Int("not-logged", suppressed).Msg("")
 	}
 }
 
--- a/proxy/figures.go
+++ b/proxy/figures.go
@@ -18,7 +18,7 @@
 		open += pool.Open()
 		idle += pool.Idle()
 	}
-	budgets, mixersCounted, slackSpent := p.life.Book().Figures(now), p.life.Book().KnownMixers(), p.life.Book().SlackIsSpent()
+	budgets, mixersCounted, slackSpent := p.life.Book().Stats(now), p.life.Book().MixerCount(), p.life.Book().SlackSpent()
 	p.mu.Unlock()
 	clients, evicted, refused := p.callers.Counts()
 	emit("client_connections_open", float64(clients))
@@ -77,17 +77,17 @@
 }
 
 // budgetFigures tells the account of the retry budget of one service.
-func budgetFigures(f *retrybudget.Figures, emit figures.Emit) {
+func budgetFigures(f *retrybudget.Stats, emit figures.Emit) {
 	service := figures.Label{Name: "service", Value: f.Service}
 	emit("retry_budget_requests_total", float64(f.Requests), service)
-	emit("retry_budget_charged_total", float64(f.Charged), service)
-	emit("retry_budget_starved_total", float64(f.Starved), service)
+	emit("retry_budget_charged_total", float64(f.Retries), service)
+	emit("retry_budget_starved_total", float64(f.DeniedParts), service)
 	emit("retry_budget_misdirected_total", float64(f.Misdirected), service)
-	emit("retry_budget_ended_total", float64(f.Ended), service)
-	emit("retry_budget_seconds_to_end_total", f.Took.Seconds(), service)
-	emit("retry_budget_longest_seconds", f.Longest.Seconds(), service)
-	emit("retry_budget_counting", float64(f.Counting), service)
-	emit("retry_budget_open", float64(f.Open), service)
-	emit("retry_budget_lost", float64(f.Lost), service)
-	emit("retry_budget_room", f.Room, service)
+	emit("retry_budget_ended_total", float64(f.EndedRetries), service)
+	emit("retry_budget_seconds_to_end_total", f.TotalDuration.Seconds(), service)
+	emit("retry_budget_longest_seconds", f.LongestDuration.Seconds(), service)
+	emit("retry_budget_counting", float64(f.Charges), service)
+	emit("retry_budget_open", float64(f.OpenCharges), service)
+	emit("retry_budget_lost", float64(f.AbandonedCharges), service)
+	emit("retry_budget_room", f.Limit, service)
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -70,7 +70,7 @@
 // newLife starts what decides, with what must not be forgotten of a life before if there was one.
 func (p *Proxy) newLife(before *request.Life) *request.Life {
 	return request.New(request.Terms{Seed: uint64(time.Now().UnixNano()),
-		Before: before, Plant: p.plant, Budget: retrybudget.Terms{Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, Window: p.set.RetryWindow}}, p.now())
+		Before: before, Plant: p.plant, Budget: retrybudget.Config{Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, Window: p.set.RetryWindow}}, p.now())
 }
 
 // AgentPort is where an agent feeds the proxy beside it, over loopback.
@@ -184,7 +184,7 @@
 		follow := n != p.mixers || doc != was
 		p.mixers = n
 		p.life.Mixers(n)
-		p.life.Book().SlackSpent(spent)
+		p.life.Book().SetSlackSpent(spent)
 		if gen != p.gen {
 			p.gen = gen
 			p.list(entries)
@@ -255,7 +255,7 @@
 }
 
 // step hands over an event under the lock. It gives what is to be done, and the services whose retry budget was found exhausted.
-func (p *Proxy) step(event func(), into []request.Act) (acts []request.Act, exhausted []retrybudget.Exhausted) {
+func (p *Proxy) step(event func(), into []request.Act) (acts []request.Act, exhausted []retrybudget.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// Each by itself: a fault in what is due must not lose the event.
@@ -271,7 +271,7 @@
 		}
 	})
 	p.arm()
-	return append(acts, faults...), p.life.Book().TakeExhausted()
+	return append(acts, faults...), p.life.Book().TakeRefusals()
 }
 
 // guard has something decided, and gives what a fault in it wants called off.
--- a/request/explain.go
+++ b/request/explain.go
@@ -61,7 +61,7 @@
 func (p *part) isStarved(l *Life) bool {
 	route := p.req.Route
 	left := len(p.tries) < max(1, route.Retries) && (route.Idempotent || !p.mayHaveRun())
-	return p.reply == nil && len(p.tries) > 0 && left && !l.book.Room(l.now, p.service, p.req.Until)
+	return p.reply == nil && len(p.tries) > 0 && left && !l.book.Allows(l.now, p.service, p.req.Until)
 }
 
 // isOver tells whether the time of a request is over, or so nearly that it ends for that.
--- a/request/freeze_test.go
+++ b/request/freeze_test.go
@@ -15,7 +15,7 @@
 // TestFreezeIsNoOverdueDispatch: a process that did not run could end no dispatch; the first look after it is no proof that nothing
 // will. One that runs and still has it out is caught (soak seed 5031: a proxy ended by this invariant on being thawed).
 func TestFreezeIsNoOverdueDispatch(t *testing.T) {
-	l := New(Terms{Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
+	l := New(Terms{Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
 	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: brain.Ready}})
 	var final *Final
@@ -48,7 +48,7 @@
 // TestFreezeIsNoSilence: what came while the process did not run is looked at before anybody is held to be silent: no further try
 // goes out for an answer that is there already.
 func TestFreezeIsNoSilence(t *testing.T) {
-	l := New(Terms{Budget: retrybudget.Terms{Window: 10 * time.Second, Slack: 1000, Ratio: 1}}, 0)
+	l := New(Terms{Budget: retrybudget.Config{Window: 10 * time.Second, Slack: 1000, Ratio: 1}}, 0)
 	l.Mixers(1)
 	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: brain.Ready}, {ID: "i2", Address: "b", Service: "s", State: brain.Ready}})
 	route := &manifest.Route{Plant: "s", Idempotent: true, Horizon: 8 * time.Second, Setpoint: time.Second, Retries: 3}
--- a/request/group.go
+++ b/request/group.go
@@ -87,7 +87,7 @@
 // mayGoAgain tells the module whether the retry budget has room for a further dispatch that ends at some time.
 func (g *group) mayGoAgain(cell int, until time.Duration) bool {
 	g.l.roomUntil = until
-	return g.l.book.Room(g.l.now, g.cells[cell], until)
+	return g.l.book.Allows(g.l.now, g.cells[cell], until)
 }
 
 // class finds the module's index of a route's kind.
@@ -123,7 +123,7 @@
 	}
 	if !g.l.isCatchingUp() { // else it was sent at some time in the pause, and counts there
 		for _, s := range r.shards {
-			g.l.book.Asked(g.l.now, s)
+			g.l.book.RequestArrived(g.l.now, s)
 		}
 	}
 	n := len(r.shards)
@@ -186,7 +186,7 @@
 	if d.no > 0 {
 		l.Counts.Further++
 	}
-	l.book.Sent(l.now, pt.service, &pt.trail)
+	l.book.AttemptSent(l.now, pt.service, &pt.trail)
 	l.acts = append(l.acts, Act{Dispatch: d})
 }
 
--- a/request/invariants.go
+++ b/request/invariants.go
@@ -19,7 +19,7 @@
 	if len(p.tries) >= max(1, route.Retries) {
 		invariant.Violated(invariant.TriesWithinRetries, "route %s: try %d of %d", route.Name, len(p.tries)+1, route.Retries)
 	}
-	if len(p.tries) > 0 && !l.book.Room(l.now, p.service, l.roomUntil) {
+	if len(p.tries) > 0 && !l.book.Allows(l.now, p.service, l.roomUntil) {
 		invariant.Violated(invariant.TriesWithinBudget, "service %s: try %d", p.service, len(p.tries)+1)
 	}
 	if h.State != brain.Ready {
--- a/request/invariants_test.go
+++ b/request/invariants_test.go
@@ -49,7 +49,7 @@
 		},
 	} {
 		t.Run(string(name), func(t *testing.T) {
-			l := New(Terms{Budget: retrybudget.Terms{Ratio: 0.1, Slack: 0, Window: 10 * time.Second}}, 0)
+			l := New(Terms{Budget: retrybudget.Config{Ratio: 0.1, Slack: 0, Window: 10 * time.Second}}, 0)
 			l.Mixers(1)
 			l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: brain.Ready}})
 			r := &Request{Route: &manifest.Route{Name: "r", Plant: "s", Horizon: time.Second, Setpoint: time.Second, Retries: 3},
--- a/request/life.go
+++ b/request/life.go
@@ -12,7 +12,7 @@
 // Terms are what a mixer is told for its whole life.
 type Terms struct {
 	Seed   uint64
-	Budget retrybudget.Terms
+	Budget retrybudget.Config
 	// Before is a life before this one, after a fault in it, or nil: what was spent still counts, and whose addresses are others'
 	// is still known.
 	Before *Life
@@ -35,7 +35,7 @@
 	terms  Terms
 	now    time.Duration
 	dice   *rand.Rand
-	book   *retrybudget.Book
+	book   *retrybudget.Budget
 	groups map[string]*group
 	hosts  map[string]*Host // by id
 	astray map[string]misdirection
@@ -71,10 +71,10 @@
 }
 
 // Book is the account of the retry budget, for a life that follows.
-func (l *Life) Book() *retrybudget.Book { return l.book }
+func (l *Life) Book() *retrybudget.Budget { return l.book }
 
-// Mixers tells how many mixers run; see retrybudget.Book.
-func (l *Life) Mixers(n int) { l.book.Mixers(n) }
+// Mixers tells how many mixers run; see retrybudget.Budget.
+func (l *Life) Mixers(n int) { l.book.SetMixerCount(n) }
 
 // At sets the clock and does what is due. It never goes back. After a pause of the process what is due waits a moment more: what
 // came in meanwhile is to be handed over first.
@@ -200,7 +200,7 @@
 	d.out, d.outcome, d.took = false, out, l.now-d.at-(l.paused-d.paused)
 	l.Counts.Outcomes[out]++
 	if d.no > 0 {
-		l.book.Ended(l.now, d.part.service, l.now-d.at)
+		l.book.RetryEnded(l.now, d.part.service, l.now-d.at)
 	}
 	if r := d.Request; !r.ended && reply != nil {
 		switch {
@@ -220,11 +220,11 @@
 	p := d.part
 	switch reading {
 	case WasRead:
-		l.book.Read(l.now, p.service, &p.trail)
+		l.book.AttemptRead(l.now, p.service, &p.trail)
 	case NotRead:
-		l.book.Unsent(l.now, p.service, &p.trail)
+		l.book.AttemptUnsent(l.now, p.service, &p.trail)
 	default:
-		l.book.Lost(l.now, p.service, &p.trail)
+		l.book.AttemptAbandoned(l.now, p.service, &p.trail)
 	}
 }
 
@@ -250,7 +250,7 @@
 	delete(l.reqs, r.id)
 	for _, p := range r.parts {
 		if p.isStarved(l) {
-			l.book.Starved(l.now, p.service)
+			l.book.PartDenied(l.now, p.service)
 		}
 	}
 	switch f.Kind {
--- a/request/list.go
+++ b/request/list.go
@@ -65,9 +65,9 @@
 // Misdirected tells that a searcher's address is another's, by its own word, and whether that one has read a dispatch. The searcher gets
 // nothing more until it is heard of again.
 func (l *Life) Misdirected(h *Host, read bool) {
-	l.book.Misdirected(l.now, h.Service)
+	l.book.AttemptMisdirected(l.now, h.Service)
 	if read {
-		l.book.Stray(l.now)
+		l.book.Misrouted(l.now)
 	}
 	l.doubts.note(l.now, h.ID)
 	listed := l.hosts[h.ID]
--- a/request/misdirected_test.go
+++ b/request/misdirected_test.go
@@ -14,7 +14,7 @@
 // TestMisdirectedStaysGone: a searcher whose address is another's (421) gets nothing more, however often the list that still names it is
 // told again, with whatever change in it; the code before took it back with the next change of any searcher or mixer.
 func TestMisdirectedStaysGone(t *testing.T) {
-	l := New(Terms{Seed: 1, Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
+	l := New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
 	route := &manifest.Route{Plant: "s", Idempotent: true, Horizon: time.Second, Setpoint: 200 * ms, Retries: 1}
 	gone, other := Host{ID: "i1", Address: "a", Service: "s", State: brain.Ready}, Host{ID: "i2", Address: "b", Service: "s", State: brain.Ready}
--- a/request/starved_test.go
+++ b/request/starved_test.go
@@ -15,7 +15,7 @@
 // answer and when it came.
 func starved(t *testing.T, route *manifest.Route, out brain.Outcome) (final Final, at time.Duration) {
 	t.Helper()
-	l := New(Terms{Seed: 1, Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
+	l := New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
 	var hosts []Host
 	for _, s := range append([]string{"a"}, route.FanOut...) {
@@ -51,7 +51,7 @@
 // to come back; the code before held it to its end.
 func TestGoneSearchersAreNotWaitedFor(t *testing.T) {
 	route := &manifest.Route{Plant: "a", Horizon: 4 * time.Second, Setpoint: 800 * ms, Retries: 3}
-	l := New(Terms{Seed: 1, Budget: retrybudget.Terms{Window: 10 * time.Second, Slack: 100}}, 0)
+	l := New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second, Slack: 100}}, 0)
 	l.Mixers(1)
 	l.List([]Host{{ID: "a1", Address: "a1", Service: "a", State: brain.Ready}})
 	var final *Final
@@ -108,7 +108,7 @@
 func TestBudgetIsCheckedAsItWasAsked(t *testing.T) {
 	hosts := []Host{{ID: "i1", Address: "a", Service: "a", State: brain.Ready}, {ID: "i2", Address: "b", Service: "a", State: brain.Ready}}
 	for horizon := 500 * ms; horizon < 1200*ms; horizon += 3 * ms {
-		l := New(Terms{Seed: 1, Budget: retrybudget.Terms{Ratio: 0.2, Window: 10 * time.Second}}, 0)
+		l := New(Terms{Seed: 1, Budget: retrybudget.Config{Ratio: 0.2, Window: 10 * time.Second}}, 0)
 		l.Mixers(1)
 		l.List(hosts)
 		route := &manifest.Route{Plant: "a", Idempotent: true, Horizon: horizon, Setpoint: 300 * ms, Retries: 2}
--- a/request/types.go
+++ b/request/types.go
@@ -115,7 +115,7 @@
 	service string
 	tries   []*Dispatch
 	reply   *Reply
-	trail   retrybudget.Trail
+	trail   retrybudget.AttemptHistory
 }
 
 // Reading says whether a searcher has read a dispatch, which counts for the retry budget.
--- a/request/vouch_test.go
+++ b/request/vouch_test.go
@@ -13,7 +13,7 @@
 
 // vouching is a life with four searchers of one service, of which one dispatch each is asked for.
 func vouching() (l *Life, hosts []Host) {
-	l = New(Terms{Seed: 1, Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
+	l = New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
 	for _, id := range []string{"i1", "i2", "i3", "i4"} {
 		hosts = append(hosts, Host{ID: id, Address: "at " + id, Service: "s", State: brain.Ready})
@@ -147,7 +147,7 @@
 func TestRequestsOfAPauseAllowNothing(t *testing.T) {
 	l, _ := vouching()
 	requests := func() uint64 {
-		for _, f := range l.book.Figures(l.now) {
+		for _, f := range l.book.Stats(l.now) {
 			if f.Service == "s" {
 				return f.Requests
 			}
--- a/request/world_test.go
+++ b/request/world_test.go
@@ -84,7 +84,7 @@
 func newWorld(seed uint64, fault string) *world {
 	w := &world{r: rand.New(rand.NewPCG(seed, 7)), fault: fault, log: fnv.New64a(), listed: map[string]*Host{},
 		gone: map[string]time.Duration{}, moods: map[string]brain.Outcome{}, tries: map[*Dispatch]*wtry{}}
-	w.l = New(Terms{Seed: seed, Budget: retrybudget.Terms{Ratio: 0.5, Slack: 200, Window: 10 * time.Second}}, 0)
+	w.l = New(Terms{Seed: seed, Budget: retrybudget.Config{Ratio: 0.5, Slack: 200, Window: 10 * time.Second}}, 0)
 	w.l.Mixers(1)
 	return w
 }
--- a/retrybudget/arrival_test.go
+++ b/retrybudget/arrival_test.go
@@ -14,10 +14,10 @@
 )
 
 // scenario simulates mixers that send requests to one service whose searchers stall now and then. A request is counted when its
-// client sends it, and an attempt when its searcher reads it. A stalled searcher reads all that was sent to it when it resumes, also
-// what the mixer has abandoned by then. The first attempt of a request that is read is free, whichever was sent first.
+// client sends it, and an attempt when its searcher reads it. A stalled searcher reads all that was sent to it when it resumes,
+// also what the mixer has abandoned by then. The first attempt of a request that is read is free, whichever was sent first.
 type scenario struct {
-	config    retrybudget.Terms
+	config    retrybudget.Config
 	mixers    int
 	perSecond float64
 	searchers int
@@ -68,7 +68,7 @@
 	r = rand.New(rand.NewPCG(seed, 54))
 	sc = scenario{mixers: []int{2, 9, 56}[r.IntN(3)], perSecond: []float64{40, 160, 318, 450}[r.IntN(4)], searchers: 8, failing: []float64{0, 0.1, 0.9}[r.IntN(3)],
 		timeout: time.Duration(1+r.IntN(4)) * time.Second, attempts: 2 + r.IntN(2), restarts: r.IntN(2) == 0, quietFrom: scenarioLength}
-	sc.config = retrybudget.Terms{Ratio: 0.2, Slack: []float64{0, 58, 152}[r.IntN(3)], Window: span}
+	sc.config = retrybudget.Config{Ratio: 0.2, Slack: []float64{0, 58, 152}[r.IntN(3)], Window: span}
 	for from := time.Duration(r.IntN(8000)) * time.Millisecond; from < scenarioLength; from += time.Duration(r.IntN(10_000)) * time.Millisecond {
 		s := stall{from: from, to: from + time.Duration(500+r.IntN(6000))*time.Millisecond, share: []float64{0.25, 0.5, 1}[r.IntN(3)]}
 		sc.stalls = append(sc.stalls, s)
@@ -103,10 +103,10 @@
 
 // run runs the scenario and returns the arrivals and the number of retries.
 func (sc *scenario) run(r *rand.Rand) (arrived arrivals, retries int) {
-	budgets := make([]*retrybudget.Book, sc.mixers)
+	budgets := make([]*retrybudget.Budget, sc.mixers)
 	restart := func(m int) {
 		budgets[m] = retrybudget.New(sc.config)
-		budgets[m].Mixers(sc.mixers)
+		budgets[m].SetMixerCount(sc.mixers)
 	}
 	for m := range budgets {
 		restart(m)
@@ -131,7 +131,7 @@
 			for n := sc.perSecond * timeStep.Seconds(); n > 0 && r.Float64() < n; n-- {
 				q := &request{mixer: receivers[r.IntN(len(receivers))], until: now + sc.timeout}
 				arrived.requests = append(arrived.requests, now)
-				budgets[q.mixer].Asked(now, service)
+				budgets[q.mixer].RequestArrived(now, service)
 				sc.send(budgets[q.mixer], now, q, r)
 				inFlight = append(inFlight, q)
 			}
@@ -165,7 +165,7 @@
 }
 
 // send sends an attempt of a request.
-func (sc *scenario) send(b *retrybudget.Book, now time.Duration, q *request, r *rand.Rand) {
+func (sc *scenario) send(b *retrybudget.Budget, now time.Duration, q *request, r *rand.Rand) {
 	a := &attempt{sent: now, fails: now >= sc.failFrom && r.Float64() < sc.failing}
 	a.read = sc.readTime(r.IntN(sc.searchers), now+wireTime)
 	a.ends = a.read + workTime
@@ -177,7 +177,7 @@
 }
 
 // advance records the attempts of a request that have ended, and retries it if that is wanted and allowed.
-func (sc *scenario) advance(b *retrybudget.Book, now time.Duration, q *request, r *rand.Rand) {
+func (sc *scenario) advance(b *retrybudget.Budget, now time.Duration, q *request, r *rand.Rand) {
 	succeeded, open := false, 0
 	for _, a := range q.attempts {
 		if !a.known && now >= a.ends {
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestBudgetAtArrival checks that the retries that searchers read stay within the rule, however long the searchers stall and whatever
-// the mixers have abandoned by the time they resume.
+// TestBudgetAtArrival checks that the retries that searchers read stay within the rule, however long the searchers stall and
+// whatever the mixers have abandoned by the time they resume.
 func TestBudgetAtArrival(t *testing.T) {
 	scenarios := map[string]func() (scenario, *rand.Rand){}
 	for seed := range uint64(40) {
@@ -234,22 +234,22 @@
 	}
 	for _, length := range []time.Duration{0, 2, 3, 4} {
 		scenarios[fmt.Sprint("all stand still for seconds: ", int(length))] = func() (scenario, *rand.Rand) {
-			return scenario{config: retrybudget.Terms{Ratio: 0.2, Slack: 152, Window: span}, mixers: 56, perSecond: 318, searchers: 8, failing: 0.9,
+			return scenario{config: retrybudget.Config{Ratio: 0.2, Slack: 152, Window: span}, mixers: 56, perSecond: 318, searchers: 8, failing: 0.9,
 				timeout: 2500 * time.Millisecond, attempts: 2, quietFrom: scenarioLength, stalls: []stall{{20 * time.Second, 20*time.Second + length*time.Second, 1}}}, rand.New(rand.NewPCG(1, 54))
 		}
 	}
 	checkScenarios(t, scenarios)
 }
 
-// TestBudgetWhenClientsMove guards against mixers that each spend by their own largest window. When clients move, mixers that had many
-// requests and now have few, and others with the reverse, then exceed the rule together: an earlier version allowed 61 retries too
-// many out of 636.
+// TestBudgetWhenClientsMove guards against mixers that each spend by their own largest window. When clients move, mixers that
+// had many requests and now have few, and others with the reverse, then exceed the rule together: an earlier version allowed 61
+// retries too many out of 636.
 func TestBudgetWhenClientsMove(t *testing.T) {
 	scenarios := map[string]func() (scenario, *rand.Rand){}
 	for _, every := range []time.Duration{5, 7, 10} {
 		for _, before := range []time.Duration{0, 1, 2} {
 			scenarios[fmt.Sprintf("each %d s, searchers fail from %d s before", int(every), int(before))] = func() (scenario, *rand.Rand) {
-				sc := scenario{config: retrybudget.Terms{Ratio: 0.2, Window: span}, mixers: 56, perSecond: 318, searchers: 8, failing: 1, failFrom: (20 - before) * time.Second,
+				sc := scenario{config: retrybudget.Config{Ratio: 0.2, Window: span}, mixers: 56, perSecond: 318, searchers: 8, failing: 1, failFrom: (20 - before) * time.Second,
 					timeout: 2500 * time.Millisecond, attempts: 3, quietFrom: scenarioLength}
 				sc.moveClients(every * time.Second)
 				return sc, rand.New(rand.NewPCG(1, 54))
--- a/retrybudget/attempt_history_test.go
+++ b/retrybudget/attempt_history_test.go
@@ -10,34 +10,36 @@
 )
 
 // history records the attempts of one request in a budget, as a mixer does.
-type history struct{ retrybudget.Trail }
+type history struct{ retrybudget.AttemptHistory }
 
-func (h *history) sent(b *retrybudget.Book, now time.Duration) { b.Sent(now, service, &h.Trail) }
+func (h *history) sent(b *retrybudget.Budget, now time.Duration) {
+	b.AttemptSent(now, service, &h.AttemptHistory)
+}
 
-func (h *history) ended(b *retrybudget.Book, now time.Duration, answered bool) {
+func (h *history) ended(b *retrybudget.Budget, now time.Duration, answered bool) {
 	if answered {
-		b.Read(now, service, &h.Trail)
+		b.AttemptRead(now, service, &h.AttemptHistory)
 	} else {
-		b.Lost(now, service, &h.Trail)
+		b.AttemptAbandoned(now, service, &h.AttemptHistory)
 	}
 }
 
-func (h *history) allows(b *retrybudget.Book, now, until time.Duration) bool {
-	return b.Room(now, service, until)
+func (h *history) allows(b *retrybudget.Budget, now, until time.Duration) bool {
+	return b.Allows(now, service, until)
 }
 
-// TestAttemptHistory checks which attempts of a request are charged, and for how long: all that may be read but one, until one window
-// after they were read or two windows after they were abandoned.
+// TestAttemptHistory checks which attempts of a request are charged, and for how long: all that may be read but one, until one
+// window after they were read or two windows after they were abandoned.
 func TestAttemptHistory(t *testing.T) {
 	const (
 		at  = time.Second
 		end = at + span // from then on an attempt that was read at that time no longer counts
 	)
-	type step func(b *retrybudget.Book, h *retrybudget.Trail)
-	sent := func(b *retrybudget.Book, h *retrybudget.Trail) { b.Sent(at, service, h) }
-	read := func(b *retrybudget.Book, h *retrybudget.Trail) { b.Read(at, service, h) }
-	abandoned := func(b *retrybudget.Book, h *retrybudget.Trail) { b.Lost(at, service, h) }
-	unsent := func(b *retrybudget.Book, h *retrybudget.Trail) { b.Unsent(at, service, h) }
+	type step func(b *retrybudget.Budget, h *retrybudget.AttemptHistory)
+	sent := func(b *retrybudget.Budget, h *retrybudget.AttemptHistory) { b.AttemptSent(at, service, h) }
+	read := func(b *retrybudget.Budget, h *retrybudget.AttemptHistory) { b.AttemptRead(at, service, h) }
+	abandoned := func(b *retrybudget.Budget, h *retrybudget.AttemptHistory) { b.AttemptAbandoned(at, service, h) }
+	unsent := func(b *retrybudget.Budget, h *retrybudget.AttemptHistory) { b.AttemptUnsent(at, service, h) }
 	for name, c := range map[string]struct {
 		steps                        []step
 		now, afterWindow, afterTwice int
@@ -59,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := retrybudget.New(config)
-			var attempts retrybudget.Trail
+			var attempts retrybudget.AttemptHistory
 			for _, do := range c.steps {
 				do(b, &attempts)
 			}
@@ -68,41 +70,41 @@
 				at      time.Duration
 				charges int
 			}{{at, c.now}, {end - time.Millisecond, c.now}, {end + slice, c.afterWindow}, {end + span - time.Millisecond, c.afterWindow}, {end + span + 2*slice, c.afterTwice}} {
-				must.Eq(t, want.charges, b.Figures(want.at)[0].Counting, must.Sprint(want.at))
+				must.Eq(t, want.charges, b.Stats(want.at)[0].Charges, must.Sprint(want.at))
 			}
 		})
 	}
 }
 
-// TestMisroutedAttemptIsChargedToEveryService checks that an attempt that was read by a searcher of another service is charged to all
-// services, since that service is not known.
+// TestMisroutedAttemptIsChargedToEveryService checks that an attempt that was read by a searcher of another service is charged
+// to all services, since that service is not known.
 func TestMisroutedAttemptIsChargedToEveryService(t *testing.T) {
-	b := retrybudget.New(retrybudget.Terms{Slack: 4, Window: span})
-	b.Mixers(1) // two retries per incarnation
-	allows := func(now time.Duration) bool { return b.Room(now, "a", now) && b.Room(now, "b", now) }
+	b := retrybudget.New(retrybudget.Config{Slack: 4, Window: span})
+	b.SetMixerCount(1) // two retries per incarnation
+	allows := func(now time.Duration) bool { return b.Allows(now, "a", now) && b.Allows(now, "b", now) }
 	must.True(t, allows(0))
-	b.Stray(0)
+	b.Misrouted(0)
 	must.True(t, allows(0))
-	b.Stray(0)
-	must.False(t, b.Room(0, "a", 0))
-	must.False(t, b.Room(0, "b", 0))
+	b.Misrouted(0)
+	must.False(t, b.Allows(0, "a", 0))
+	must.False(t, b.Allows(0, "b", 0))
 	must.True(t, allows(span*5/4))
 }
 
-// TestLimitOfLaterWindows checks that an attempt that may be read in a later window is limited by the requests that are certain to be
-// credited to that window.
+// TestLimitOfLaterWindows checks that an attempt that may be read in a later window is limited by the requests that are certain
+// to be credited to that window.
 func TestLimitOfLaterWindows(t *testing.T) {
-	b := retrybudget.New(retrybudget.Terms{Ratio: 1, Window: span})
-	b.Mixers(1)
+	b := retrybudget.New(retrybudget.Config{Ratio: 1, Window: span})
+	b.SetMixerCount(1)
 	const now = 2 * span
 	for i := range 200 {
-		b.Asked(now*time.Duration(i)/200, service)
+		b.RequestArrived(now*time.Duration(i)/200, service)
 	}
 	allowed := func(until time.Duration) (n int) {
-		for ; b.Room(now, service, until); n++ {
-			var attempts retrybudget.Trail
-			b.Sent(now, service, &attempts)
-			b.Sent(now, service, &attempts)
+		for ; b.Allows(now, service, until); n++ {
+			var attempts retrybudget.AttemptHistory
+			b.AttemptSent(now, service, &attempts)
+			b.AttemptSent(now, service, &attempts)
 		}
 		return n
 	}
--- a/retrybudget/request_counter.go
+++ b/retrybudget/request_counter.go
@@ -32,18 +32,18 @@
 }
 
 // minCredited returns a lower bound of the requests credited to any window that ends between from and to after now. A window is
-// credited with a third of the requests in it and two thirds of those in the window before it, as far as they are counted by now.
-// The rule takes the larger of these two counts, each summed over all mixers. If each mixer took the larger one of its own counts,
-// the sum would exceed that when clients move from one mixer to another; with fixed weights it does not. Part of the credit comes
-// from the current window, so that a mixer that has just started and a new service have some.
+// credited with a third of the requests in it and two thirds of those in the window before it, as far as they are counted by
+// now. The rule takes the larger of these two counts, each summed over all mixers. If each mixer took the larger one of its own
+// counts, the sum would exceed that when clients move from one mixer to another; with fixed weights it does not. Part of the
+// credit comes from the current window, so that a mixer that has just started and a new service have some.
 func (c *requestCounter) minCredited(now, window, from, to time.Duration) int {
 	c.advance(now, window)
 	var upto [sliceCount + 1]int // upto[i] counts the requests of the i oldest slices
 	for i := range sliceCount {
 		upto[i+1] = upto[i] + c.slices[(c.last+1+int64(i))%sliceCount]
 	}
-	// between counts the requests of the slices that lie entirely within a window, wherever in its first slice the window begins. The
-	// current slice has number sliceCount-1.
+	// between counts the requests of the slices that lie entirely within a window, wherever in its first slice the window begins.
+	// The current slice has number sliceCount-1.
 	between := func(from, to int) int {
 		from, to = max(from+2, 0), min(to, sliceCount)
 		if from >= to {
--- a/retrybudget/retrybudget_test.go
+++ b/retrybudget/retrybudget_test.go
@@ -17,7 +17,7 @@
 	service = "s"
 )
 
-var config = retrybudget.Terms{Ratio: 0.2, Slack: 58, Window: span}
+var config = retrybudget.Config{Ratio: 0.2, Slack: 58, Window: span}
 
 // arrivals holds the times at which requests and retries arrived. A retry is any attempt read beyond the first of its request.
 type arrivals struct{ requests, retries []time.Duration }
@@ -32,9 +32,10 @@
 // maxExcess returns the result of maxExcessFor with the default configuration.
 func (a *arrivals) maxExcess() (excess float64, when time.Duration) { return a.maxExcessFor(config) }
 
-// maxExcessFor returns the largest excess of the retries in any window over the limit of the rule, and the end of that window. The
-// limit is based on the requests of the window, of the one before it or of the one half a window earlier, whichever has most.
-func (a *arrivals) maxExcessFor(config retrybudget.Terms) (excess float64, when time.Duration) {
+// maxExcessFor returns the largest excess of the retries in any window over the limit of the rule, and the end of that window.
+// The limit is based on the requests of the window, of the one before it or of the one half a window earlier, whichever has
+// most.
+func (a *arrivals) maxExcessFor(config retrybudget.Config) (excess float64, when time.Duration) {
 	slices.Sort(a.requests)
 	slices.Sort(a.retries)
 	excess = -1e9
@@ -88,10 +89,10 @@
 // returns the arrivals and the number of retries. knownMixers is the number of mixers that is set in the budgets.
 func run(l load, mixers, knownMixers int, restarts bool, seed uint64) (arrived arrivals, retries int) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	budgets := make([]*retrybudget.Book, mixers)
+	budgets := make([]*retrybudget.Budget, mixers)
 	restart := func(i int) {
 		budgets[i] = retrybudget.New(config)
-		budgets[i].Mixers(knownMixers)
+		budgets[i].SetMixerCount(knownMixers)
 	}
 	shares, sum := make([]float64, mixers), 0.0
 	for i := range budgets {
@@ -122,23 +123,23 @@
 				m++
 			}
 			arrived.requests = append(arrived.requests, at)
-			budgets[m].Asked(at, service)
+			budgets[m].RequestArrived(at, service)
 			if retrying {
 				pending = append(pending, m, m)
 			}
 		}
 		refused := make([]bool, mixers)
 		pending = slices.DeleteFunc(pending, func(m int) bool {
-			if refused[m] || !budgets[m].Room(at, service, at) {
+			if refused[m] || !budgets[m].Allows(at, service, at) {
 				refused[m] = true
 				return false
 			}
 			// The first attempt has been read; the retry is read a moment later.
-			var attempts retrybudget.Trail
-			budgets[m].Sent(at, service, &attempts)
-			budgets[m].Sent(at, service, &attempts)
-			budgets[m].Read(at, service, &attempts)
-			budgets[m].Read(at, service, &attempts)
+			var attempts retrybudget.AttemptHistory
+			budgets[m].AttemptSent(at, service, &attempts)
+			budgets[m].AttemptSent(at, service, &attempts)
+			budgets[m].AttemptRead(at, service, &attempts)
+			budgets[m].AttemptRead(at, service, &attempts)
 			arrived.retries = append(arrived.retries, at+time.Duration(r.IntN(40))*time.Millisecond)
 			return true
 		})
@@ -147,8 +148,8 @@
 	return arrived, len(arrived.retries)
 }
 
-// TestBudget checks that all mixers together stay within the rule, however unevenly clients are distributed among them and whenever
-// they restart.
+// TestBudget checks that all mixers together stay within the rule, however unevenly clients are distributed among them and
+// whenever they restart.
 func TestBudget(t *testing.T) {
 	for name, l := range loads {
 		for _, mixers := range []int{2, 9, 60} {
@@ -183,8 +184,8 @@
 	must.Greater(t, int(0.5*config.Ratio*300*40), retries)
 }
 
-// TestMaxExcessDetectsViolations checks that injected faults are detected: each mixer spends as if it were the only one; one retry
-// too many; retries based on expired requests.
+// TestMaxExcessDetectsViolations checks that injected faults are detected: each mixer spends as if it were the only one; one
+// retry too many; retries based on expired requests.
 func TestMaxExcessDetectsViolations(t *testing.T) {
 	arrived, _ := run(loads["even"], 60, 1, false, 1)
 	excess, _ := arrived.maxExcess()
@@ -204,10 +205,10 @@
 // TestIdleServicesAreEvicted checks that a service beyond the maximum gets no retries, and that idle services are evicted.
 func TestIdleServicesAreEvicted(t *testing.T) {
 	b := retrybudget.New(config)
-	b.Mixers(1)
+	b.SetMixerCount(1)
 	for i := range 5000 {
-		b.Asked(0, fmt.Sprint("old", i))
+		b.RequestArrived(0, fmt.Sprint("old", i))
 	}
-	must.False(t, b.Room(0, "new", 0))
-	must.True(t, b.Room(3*span, "new", 3*span))
+	must.False(t, b.Allows(0, "new", 0))
+	must.True(t, b.Allows(3*span, "new", 3*span))
 }
--- a/retrybudget/stats.go
+++ b/retrybudget/stats.go
@@ -15,47 +15,48 @@
 	wasRefused                                  bool
 }
 
-// Figures holds the totals of one service since its account was made, and its charges at the moment.
-type Figures struct {
-	Service  string
-	Requests uint64 // requests to the service
-	Charged  uint64 // attempts sent beyond the first of a part
-	Starved  uint64 // parts that ended without an answer and were not retried only because the budget was exhausted
+// Stats holds the totals of one service since its account was made, and its charges at the moment.
+type Stats struct {
+	Service     string
+	Requests    uint64 // requests to the service
+	Retries     uint64 // attempts sent beyond the first of a part
+	DeniedParts uint64 // parts that ended without an answer and were not retried only because the budget was exhausted
 	// Misdirected counts attempts whose address turned out to belong to another searcher (status 421).
-	Misdirected uint64
-	Ended       uint64        // retries that have ended
-	Took        time.Duration // total duration of the ended retries, from charge to end
-	Longest     time.Duration // the longest duration of an ended retry
-	Counting    int           // charges that count at the moment
-	Open        int           // those of them for attempts in flight
-	Lost        int           // those of them for abandoned attempts, which may be read later
-	Room        float64       // how many charges may count
+	Misdirected      uint64
+	EndedRetries     uint64        // retries that have ended
+	TotalDuration    time.Duration // total duration of the ended retries, from charge to end
+	LongestDuration  time.Duration // the longest duration of an ended retry
+	Charges          int           // charges that count at the moment
+	OpenCharges      int           // those of them for attempts in flight
+	AbandonedCharges int           // those of them for abandoned attempts, which may be read later
+	Limit            float64       // how many charges may count
 }
 
-// Exhausted describes the account of a service at the time when a retry was refused because the budget was exhausted.
-type Exhausted struct {
-	Service              string
-	Requests             int // lower bound of the requests credited
-	Counting, Open, Lost int // see Figures
-	Room                 float64
+// Refusal describes the account of a service at the time when a retry was refused because the budget was exhausted.
+type Refusal struct {
+	Service                                string
+	Requests                               int // lower bound of the requests credited
+	Charges, OpenCharges, AbandonedCharges int // see Stats
+	Limit                                  float64
 }
 
-// Starved counts a part that ended without an answer and was not retried only because the budget was exhausted.
-func (b *Book) Starved(now time.Duration, service string) {
+// PartDenied counts a part that ended without an answer and was not retried only because the budget was exhausted.
+func (b *Budget) PartDenied(now time.Duration, service string) {
 	if a := b.account(now, service); a != nil {
 		a.counters.deniedParts++
 	}
 }
 
-// Misdirected counts an attempt that another searcher answered at the address of the intended one.
-func (b *Book) Misdirected(now time.Duration, service string) {
+// AttemptMisdirected counts an attempt that another searcher answered at the address of the intended one. It charges
+// nothing; see Misrouted.
+func (b *Budget) AttemptMisdirected(now time.Duration, service string) {
 	if a := b.account(now, service); a != nil {
 		a.counters.misdirected++
 	}
 }
 
-// Ended counts a retry that has ended and adds its duration.
-func (b *Book) Ended(now time.Duration, service string, took time.Duration) {
+// RetryEnded counts a retry that has ended and adds its duration.
+func (b *Budget) RetryEnded(now time.Duration, service string, took time.Duration) {
 	if a := b.account(now, service); a != nil {
 		a.counters.endedRetries++
 		a.counters.totalDuration += took
@@ -63,22 +64,22 @@
 	}
 }
 
-// KnownMixers returns the number of mixers that the slack is divided among.
-func (b *Book) KnownMixers() int { return b.mixerCount }
+// MixerCount returns the number of mixers that the slack is divided among.
+func (b *Budget) MixerCount() int { return b.mixerCount }
 
-// SlackIsSpent reports whether this incarnation has no share of the slack.
-func (b *Book) SlackIsSpent() bool { return b.slackSpent }
+// SlackSpent reports whether earlier incarnations of this mixer spent its share of the slack, so that this one has none.
+func (b *Budget) SlackSpent() bool { return b.slackSpent }
 
-// Figures returns the figures of all services that have an account, sorted by name.
-func (b *Book) Figures(now time.Duration) []Figures {
-	all := make([]Figures, 0, len(b.accounts))
+// Stats returns the statistics of all services that have an account, sorted by name.
+func (b *Budget) Stats(now time.Duration) []Stats {
+	all := make([]Stats, 0, len(b.accounts))
 	for _, service := range slices.Sorted(maps.Keys(b.accounts)) {
 		a := b.accounts[service]
-		all = append(all, Figures{Service: service, Requests: a.counters.requests, Charged: a.counters.retries,
-			Starved: a.counters.deniedParts, Misdirected: a.counters.misdirected, Ended: a.counters.endedRetries,
-			Took: a.counters.totalDuration, Longest: a.counters.longestDuration,
-			Counting: b.charges(now, a), Open: a.open, Lost: a.abandoned.High(now, CountsFor(b.config.Window)),
-			Room: b.limit(now, a, 0, b.config.Window)})
+		all = append(all, Stats{Service: service, Requests: a.counters.requests, Retries: a.counters.retries,
+			DeniedParts: a.counters.deniedParts, Misdirected: a.counters.misdirected, EndedRetries: a.counters.endedRetries,
+			TotalDuration: a.counters.totalDuration, LongestDuration: a.counters.longestDuration,
+			Charges: b.charges(now, a), OpenCharges: a.open, AbandonedCharges: a.abandoned.High(now, ChargeLifetime(b.config.Window)),
+			Limit: b.limit(now, a, 0, b.config.Window)})
 	}
 	return all
 }
@@ -87,19 +88,19 @@
 const maxRefusals = 64
 
 // recordRefusal records a refusal, at most once per window for each service.
-func (b *Book) recordRefusal(now time.Duration, service string, a *account) {
+func (b *Budget) recordRefusal(now time.Duration, service string, a *account) {
 	if a.counters.wasRefused && now-a.counters.refusedAt < b.config.Window || len(b.refusals) >= maxRefusals {
 		return
 	}
 	a.counters.wasRefused, a.counters.refusedAt = true, now
-	b.refusals = append(b.refusals, Exhausted{Service: service,
+	b.refusals = append(b.refusals, Refusal{Service: service,
 		Requests: a.requests.minCredited(now, b.config.Window, 0, b.config.Window),
-		Counting: b.charges(now, a), Open: a.open, Lost: a.abandoned.High(now, CountsFor(b.config.Window)),
-		Room: b.limit(now, a, 0, b.config.Window)})
+		Charges:  b.charges(now, a), OpenCharges: a.open, AbandonedCharges: a.abandoned.High(now, ChargeLifetime(b.config.Window)),
+		Limit: b.limit(now, a, 0, b.config.Window)})
 }
 
-// TakeExhausted returns the refusals recorded since the previous call.
-func (b *Book) TakeExhausted() []Exhausted {
+// TakeRefusals returns the refusals recorded since the previous call.
+func (b *Budget) TakeRefusals() []Refusal {
 	refusals := b.refusals
 	b.refusals = nil
 	return refusals
