--- a/client/check.go
+++ b/client/check.go
@@ -38,9 +38,9 @@
 		return m, nil
 	}
 	x := &Invalid{File: file, Why: err.Error()}
-	var bad *manifest.Invalid
+	var bad *manifest.ValidationError
 	if errors.As(err, &bad) {
-		x.Path, x.Why = bad.Path, bad.Why
+		x.Path, x.Why = bad.Path, bad.Reason
 	}
 	x.Line = line(raw, x.Path)
 	return nil, x
--- a/client/diff.go
+++ b/client/diff.go
@@ -54,7 +54,7 @@
 	c := manifest.Diff(a, b)
 	return Diff{From: c.From, To: c.To, Limits: fields(a.Limits, b.Limits),
 		Routes:   names(c.Routes, routes(a), routes(b)),
-		Services: names(c.Plants, a.Plants, b.Plants)}
+		Services: names(c.Services, a.Services, b.Services)}
 }
 
 func routes(m *manifest.Manifest) map[string]*manifest.Route {
@@ -65,7 +65,7 @@
 	return all
 }
 
-func names[T any](n manifest.Names, a, b map[string]*T) Names {
+func names[T any](n manifest.NameChanges, a, b map[string]*T) Names {
 	out := Names{Added: slices.Concat([]string{}, n.Added), Removed: slices.Concat([]string{}, n.Removed), Changed: []Change{}}
 	for _, name := range n.Changed {
 		x := Change{Name: name}
--- a/cmd/peathollow/config.go
+++ b/cmd/peathollow/config.go
@@ -73,17 +73,17 @@
 }
 
 func showConfig(out io.Writer, m *manifest.Manifest) error {
-	fmt.Fprintf(out, "version %d; %d routes, %d services\n", m.Version, len(m.Routes), len(m.Plants))
+	fmt.Fprintf(out, "version %d; %d routes, %d services\n", m.Version, len(m.Routes), len(m.Services))
 	var rows [][]any
 	for _, r := range m.Routes {
-		kind, to := "to", m.Services(r)
+		kind, to := "to", m.ServicesOf(r)
 		switch {
 		case len(r.FanOut) > 0:
 			kind = fmt.Sprintf("best %d of, %g at least", r.TopK, r.MinCoverage)
 		case len(r.Split) > 0:
 			kind = "one of"
 			for i, s := range r.Split {
-				to[i] = fmt.Sprintf("%s (%g)", s.Plant, s.Gain)
+				to[i] = fmt.Sprintf("%s (%g)", s.Service, s.Gain)
 			}
 		}
 		mode := "once"
@@ -147,13 +147,13 @@
 						return err
 					}
 				} else if err == nil {
-					return printJSON(out, map[string]any{"valid": true, "config-version": m.Version, "routes": len(m.Routes), "services": len(m.Plants)})
+					return printJSON(out, map[string]any{"valid": true, "config-version": m.Version, "routes": len(m.Routes), "services": len(m.Services)})
 				}
 			}
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(out, "%s: good; version %d, %d routes, %d services\n", c.Args().First(), m.Version, len(m.Routes), len(m.Plants))
+			_, err = fmt.Fprintf(out, "%s: good; version %d, %d routes, %d services\n", c.Args().First(), m.Version, len(m.Routes), len(m.Services))
 			return err
 		})
 }
--- a/internal/standin/rig/judge.go
+++ b/internal/standin/rig/judge.go
@@ -102,7 +102,7 @@
 		ran++
 		if !slices.ContainsFunc(r.configs, func(m *manifest.Manifest) bool {
 			x := route(m, q)
-			return x != nil && slices.Contains(m.Services(x), service)
+			return x != nil && slices.Contains(m.ServicesOf(x), service)
 		}) {
 			return "ROUTE: no version has it go to " + service
 		}
--- a/manifest/diff.go
+++ b/manifest/diff.go
@@ -7,26 +7,26 @@
 	"strings"
 )
 
-// Names lists the names that were added, removed or changed in their contents.
-// Each list is sorted.
-type Names struct{ Added, Removed, Changed []string }
+// NameChanges lists the names that were added, removed or changed in their
+// contents. Each list is sorted.
+type NameChanges struct{ Added, Removed, Changed []string }
 
 // Changes summarizes the differences between two configurations.
 type Changes struct {
-	From, To       uint64 // versions
-	Routes, Plants Names
-	Limits         bool
+	From, To         uint64 // versions
+	Routes, Services NameChanges
+	Limits           bool
 }
 
 // Diff compares two configurations for display. The order of the routes has no
 // meaning, so a route that only moved is not reported.
 func Diff(a, b *Manifest) Changes {
 	return Changes{
-		From:   a.Version,
-		To:     b.Version,
-		Routes: diff(a.byName(), b.byName()),
-		Plants: diff(a.Plants, b.Plants),
-		Limits: a.Limits != b.Limits,
+		From:     a.Version,
+		To:       b.Version,
+		Routes:   diff(a.byName(), b.byName()),
+		Services: diff(a.Services, b.Services),
+		Limits:   a.Limits != b.Limits,
 	}
 }
 
@@ -47,7 +47,7 @@
 }
 
 // diff compares the values of two maps by key.
-func diff[T any](a, b map[string]*T) (n Names) {
+func diff[T any](a, b map[string]*T) (n NameChanges) {
 	for name, before := range a {
 		if after := b[name]; after == nil {
 			n.Removed = append(n.Removed, name)
@@ -73,7 +73,7 @@
 	fmt.Fprintf(&b, "version %d to %d", c.From, c.To)
 	headerLength := b.Len()
 	c.Routes.write(&b, "routes")
-	c.Plants.write(&b, "services")
+	c.Services.write(&b, "services")
 	if c.Limits {
 		b.WriteString("; limits changed")
 	}
@@ -84,7 +84,7 @@
 }
 
 // write appends the non-empty lists to b; kind states what the names denote.
-func (n Names) write(b *strings.Builder, kind string) {
+func (n NameChanges) write(b *strings.Builder, kind string) {
 	for _, list := range []struct {
 		verb  string
 		names []string
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Share is one service of a route's distribution and its relative weight.
-type Share struct {
-	Plant string
-	Gain  float64
+// WeightedService is one service of a route's distribution. Gain is its relative
+// weight.
+type WeightedService struct {
+	Service string
+	Gain    float64
 }
 
 // Route configures how the requests for one host and path prefix are served.
-// The names of its fields, and of those of Plant and Limits, are printed when an
-// operator compares two configurations.
+// The names of its fields, and of those of Service and Limits, are part of the
+// output when an operator compares two configurations.
 type Route struct {
 	Name, Host, Prefix string // Host is lower-cased and carries no port
 	Idempotent         bool
 	Horizon, Setpoint  time.Duration
 	Rank               int
-	Plant              string   // the service; exactly one of Plant, Split and FanOut is set
-	Split              []Share  // services with their weights
-	FanOut             []string // the shards
+	Plant              string            // the service; exactly one of Plant, Split and FanOut is set
+	Split              []WeightedService // services with weights
+	FanOut             []string          // the shards
 	Retries, TopK      int
 	MinCoverage        float64
 	Index              int // position in Manifest.Routes
 }
 
-// Plant describes a service: how its searchers are reached and probed.
-type Plant struct {
+// Service describes a service: how its searchers are reached and probed.
+type Service struct {
 	Name, ProbePath string
 	ConnLimit       int // 0 means no limit
 	Protocol        string
@@ -45,11 +46,11 @@
 // Manifest is a complete, validated configuration. It is immutable after Parse
 // and safe for concurrent use by multiple goroutines.
 type Manifest struct {
-	Version uint64
-	Routes  []*Route
-	Plants  map[string]*Plant
-	Limits  Limits
-	Raw     []byte // the document as received
+	Version  uint64
+	Routes   []*Route
+	Services map[string]*Service
+	Limits   Limits
+	Raw      []byte // the document as received
 
 	hosts map[string]*hostRoutes
 }
@@ -64,8 +65,8 @@
 // path, or nil if there is none. The port and the case of host are ignored.
 //
 // Route runs for every request and does not allocate. Every prefix ends with a
-// slash, so that only the substrings of path that end with a slash, up to the
-// length of the longest prefix, are looked up. The cost is therefore bounded by
+// slash, so only the beginnings of path that end with a slash, up to the length
+// of the longest prefix, are looked up. The cost is therefore bounded by
 // the configuration, whatever path a client sends, and is the same for 4 routes
 // and for 400.
 func (m *Manifest) Route(host, path string) *Route {
@@ -103,9 +104,9 @@
 	return nil
 }
 
-// Services lists the services that a request of route r may be sent to, in the
+// ServicesOf lists the services that a request of route r may be sent to, in the
 // order of the document. The caller owns the returned slice.
-func (m *Manifest) Services(r *Route) []string {
+func (m *Manifest) ServicesOf(r *Route) []string {
 	switch {
 	case r.Plant != "":
 		return []string{r.Plant}
@@ -114,7 +115,7 @@
 	}
 	names := make([]string, len(r.Split))
 	for i, share := range r.Split {
-		names[i] = share.Plant
+		names[i] = share.Service
 	}
 	return names
 }
--- a/manifest/manifest_test.go
+++ b/manifest/manifest_test.go
@@ -51,10 +51,10 @@
 		{Name: "r1", Host: "a.example", Prefix: "/a/b/", Horizon: 4 * time.Second, Setpoint: 4 * time.Second,
 			Plant: "s2", Retries: 1, MinCoverage: 1, Index: 1},
 		{Name: "r2", Host: "b.example", Prefix: "/", Idempotent: true, Horizon: 4 * time.Second, Setpoint: 800 * time.Millisecond,
-			Rank: 2, Split: []Share{{"s0", 0.25}, {"s2", 0.75}}, Retries: 2, MinCoverage: 1, Index: 2},
+			Rank: 2, Split: []WeightedService{{"s0", 0.25}, {"s2", 0.75}}, Retries: 2, MinCoverage: 1, Index: 2},
 	}, m.Routes)
-	must.Eq(t, &Plant{"s0", "/health", 76, "h1", false}, m.Plants["s0"])
-	must.Eq(t, []string{"s0", "s2"}, m.Services(m.Routes[2]))
+	must.Eq(t, &Service{"s0", "/health", 76, "h1", false}, m.Services["s0"])
+	must.Eq(t, []string{"s0", "s2"}, m.ServicesOf(m.Routes[2]))
 }
 
 func TestParseRejects(t *testing.T) {
@@ -94,7 +94,7 @@
 		must.StrContains(t, example, c.old)
 		_, err := Parse([]byte(strings.Replace(example, c.old, c.new, 1)))
 		must.NotNil(t, err, must.Sprintf("%s for %s", c.new, c.old))
-		must.Eq(t, c.path, err.(*Invalid).Path, must.Sprintf("%s for %s: %v", c.new, c.old, err))
+		must.Eq(t, c.path, err.(*ValidationError).Path, must.Sprintf("%s for %s: %v", c.new, c.old, err))
 	}
 	_, err := Parse([]byte(`{"x":[` + strings.Repeat("0,", MaxBytes/2-10) + `0]}`))
 	must.ErrorContains(t, err, "at most")
@@ -159,13 +159,13 @@
 		m, err := Parse(raw)
 		if err != nil {
 			must.Nil(t, m)
-			must.NotEq(t, "", err.(*Invalid).Why)
+			must.NotEq(t, "", err.(*ValidationError).Reason)
 			return
 		}
 		must.Eq(t, string(raw), string(m.Raw))
 		for _, r := range m.Routes {
 			must.True(t, m.Route(r.Host, r.Prefix+"x") == r)
-			must.SliceNotEmpty(t, m.Services(r))
+			must.SliceNotEmpty(t, m.ServicesOf(r))
 		}
 		patched, err := Delta(base, m).Apply(base)
 		must.NoError(t, err)
--- a/manifest/parse.go
+++ b/manifest/parse.go
@@ -20,29 +20,29 @@
 // route takes about a dozen values.
 const maxValues = 100_000
 
-// Invalid is the error returned by Parse. Path is the key with the invalid value
-// and Why states what was expected there. Path is empty when the document as a
-// whole is invalid.
-type Invalid struct{ Path, Why string }
+// ValidationError is the error returned by Parse. Path is the key with the
+// invalid value and Reason states what was expected there. Path is empty when the
+// document as a whole is invalid.
+type ValidationError struct{ Path, Reason string }
 
 // Error returns the reason, preceded by the path if there is one.
-func (e *Invalid) Error() string {
+func (e *ValidationError) Error() string {
 	if e.Path == "" {
-		return "configuration: " + e.Why
+		return "configuration: " + e.Reason
 	}
-	return "configuration: " + e.Path + ": " + e.Why
+	return "configuration: " + e.Path + ": " + e.Reason
 }
 
-// Parse reads and validates a complete configuration. Its error is an *Invalid.
-// It rejects only what the specification declares invalid and what cannot be
-// carried out. Unknown fields are ignored, and absent optional fields take their
-// defaults. Parse keeps a copy of raw.
+// Parse reads and validates a complete configuration. Its error is a
+// *ValidationError. It rejects only what the specification declares invalid and
+// what cannot be carried out. Unknown fields are ignored, and absent optional
+// fields take their defaults. Parse keeps a copy of raw.
 func Parse(raw []byte) (*Manifest, error) {
 	if len(raw) > MaxBytes {
-		return nil, &Invalid{"", fmt.Sprintf("expected at most %d bytes, got %d", MaxBytes, len(raw))}
+		return nil, &ValidationError{"", fmt.Sprintf("expected at most %d bytes, got %d", MaxBytes, len(raw))}
 	}
 	if n := bytes.Count(raw, []byte(",")); n > maxValues {
-		return nil, &Invalid{"", fmt.Sprintf("expected at most %d values", maxValues)}
+		return nil, &ValidationError{"", fmt.Sprintf("expected at most %d values", maxValues)}
 	}
 	// The parser is not pooled: a pooled one would retain the memory of the
 	// largest document it has parsed.
@@ -53,7 +53,7 @@
 		err = fastjson.ValidateBytes(raw)
 	}
 	if err != nil {
-		return nil, &Invalid{"", "expected one whole JSON document: " + truncate(rootCause(err))}
+		return nil, &ValidationError{"", "expected one whole JSON document: " + truncate(rootCause(err))}
 	}
 	r := reader{}
 	m := r.manifest(node{v: doc})
@@ -85,18 +85,18 @@
 		r.fail(doc, "expected an object")
 		return nil
 	}
-	m := &Manifest{Plants: make(map[string]*Plant)}
+	m := &Manifest{Services: make(map[string]*Service)}
 	m.Version = r.version(doc.member("config-version"))
 	for _, n := range r.array(doc.member("plants"), true) {
-		p := r.plant(n)
-		if m.Plants[p.Name] != nil {
-			r.fail(n.member("name"), fmt.Sprintf("expected a name that no other service has, got %q again", p.Name))
+		service := r.service(n)
+		if m.Services[service.Name] != nil {
+			r.fail(n.member("name"), fmt.Sprintf("expected a name that no other service has, got %q again", service.Name))
 		}
-		m.Plants[p.Name] = p
+		m.Services[service.Name] = service
 	}
 	routes := r.array(doc.member("routes"), true)
 	for i, n := range routes {
-		m.Routes = append(m.Routes, r.route(n, i, m.Plants))
+		m.Routes = append(m.Routes, r.route(n, i, m.Services))
 	}
 	m.Limits = r.limits(doc.member("limits"))
 	if r.err != nil {
@@ -109,23 +109,23 @@
 	return m
 }
 
-// plant reads the configuration of one service.
-func (r *reader) plant(n node) *Plant {
-	p := &Plant{
+// service reads the configuration of one service.
+func (r *reader) service(n node) *Service {
+	service := &Service{
 		Name:      r.text(n.member("name"), ""),
 		ProbePath: r.text(n.member("probe-path"), ""),
 		ConnLimit: r.count(n.member("conn-limit"), 0),
 		Protocol:  r.text(n.member("protocol"), "h1"),
 		TLS:       r.boolean(n.member("tls")),
 	}
-	if p.Name == "" {
+	if service.Name == "" {
 		r.fail(n.member("name"), "expected the service's name")
 	}
-	return p
+	return service
 }
 
 // route reads the route at the given position of the list of routes.
-func (r *reader) route(n node, index int, plants map[string]*Plant) *Route {
+func (r *reader) route(n node, index int, services map[string]*Service) *Route {
 	route := &Route{
 		Name:        r.text(n.member("name"), ""),
 		Host:        string(appendLowerASCII(nil, stripPort(r.text(n.member("host"), "")))),
@@ -159,24 +159,24 @@
 	if !(route.MinCoverage >= 0 && route.MinCoverage <= 1) {
 		r.fail(n.member("min-coverage"), "expected a share from 0 to 1")
 	}
-	r.target(n, route, plants)
+	r.target(n, route, services)
 	return route
 }
 
 // target reads the target of a route, which is one of three kinds: a single
 // service, a weighted distribution or a fan-out. An empty plant or list counts as
 // absent.
-func (r *reader) target(n node, route *Route, plants map[string]*Plant) {
-	// knownService returns the name as stored in plants, so that the routes do
+func (r *reader) target(n node, route *Route, services map[string]*Service) {
+	// knownService returns the name as stored in services, so that the routes do
 	// not each hold a copy of it.
 	knownService := func(at node) string {
 		name := r.text(at, "")
-		p := plants[name]
-		if p == nil {
+		service := services[name]
+		if service == nil {
 			r.fail(at, fmt.Sprintf("expected a service that plants holds, got %q", truncate(name)))
 			return ""
 		}
-		return p.Name
+		return service.Name
 	}
 	targets := 0
 	if r.text(n.member("plant"), "") != "" {
@@ -208,10 +208,10 @@
 }
 
 // split reads the weighted services of a distribution.
-func (r *reader) split(at node, list []node, knownService func(node) string) []Share {
-	shares, sum := make([]Share, len(list)), 0.0
+func (r *reader) split(at node, list []node, knownService func(node) string) []WeightedService {
+	shares, sum := make([]WeightedService, len(list)), 0.0
 	for i, n := range list {
-		shares[i] = Share{knownService(n.member("plant")), r.number(n.member("gain"), -1)}
+		shares[i] = WeightedService{knownService(n.member("plant")), r.number(n.member("gain"), -1)}
 		if shares[i].Gain < 0 {
 			r.fail(n.member("gain"), "expected a number of 0 or more")
 		}
--- a/manifest/reader.go
+++ b/manifest/reader.go
@@ -60,9 +60,9 @@
 type reader struct{ err error }
 
 // fail records an error at n, unless an earlier one is recorded.
-func (r *reader) fail(n node, why string) {
+func (r *reader) fail(n node, reason string) {
 	if r.err == nil {
-		r.err = &Invalid{n.path(), why}
+		r.err = &ValidationError{n.path(), reason}
 	}
 }
 
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -59,10 +59,10 @@
 // poolBounds gives how many connections this proxy may open to a searcher of a service, 0 if that is not told, and where one is probed.
 func (p *Proxy) poolBounds(service string) (connMost int, probePath string) {
 	doc := p.doc.Load()
-	if doc == nil || doc.Plants[service] == nil {
+	if doc == nil || doc.Services[service] == nil {
 		return 0, ""
 	}
-	plant := doc.Plants[service]
+	plant := doc.Services[service]
 	if plant.ConnLimit > 0 {
 		connMost = connShare(plant.ConnLimit, p.mixers)
 	}
--- a/request/life.go
+++ b/request/life.go
@@ -165,15 +165,15 @@
 	at := l.dice.Float64() * sum
 	for _, s := range r.Split {
 		if at -= s.Gain; at < 0 && s.Gain > 0 {
-			return s.Plant
+			return s.Service
 		}
 	}
 	for _, s := range r.Split {
 		if s.Gain > 0 {
-			return s.Plant
+			return s.Service
 		}
 	}
-	return r.Split[0].Plant
+	return r.Split[0].Service
 }
 
 // Leave tells that the client has gone; what is out is called off.
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -33,7 +33,7 @@
 		case 0, 1:
 			route.Plant = s[i]
 		case 2:
-			route.Split = []manifest.Share{{Plant: s[0], Gain: 0}, {Plant: s[2], Gain: 1}, {Plant: s[3], Gain: 2}}
+			route.Split = []manifest.WeightedService{{Service: s[0], Gain: 0}, {Service: s[2], Gain: 1}, {Service: s[3], Gain: 2}}
 		case 3:
 			route.FanOut, route.MinCoverage = s[3:6], 0.6667 // two of three are less
 		case 4:
--- a/request/world_test.go
+++ b/request/world_test.go
@@ -264,7 +264,7 @@
 		errors: map[*Reply]bool{}}
 	for _, s := range route.Split {
 		if s.Gain > 0 {
-			q.allowed = append(q.allowed, s.Plant)
+			q.allowed = append(q.allowed, s.Service)
 		}
 	}
 	q.allowed = append(slices.Concat(q.allowed, route.FanOut), slices.DeleteFunc([]string{route.Plant}, func(s string) bool { return s == "" })...)
