--- a/retrybudget/request_counter.go
+++ b/retrybudget/request_counter.go
@@ -38,9 +38,9 @@
 // credit comes from the current window, so that a mixer that has just started and a new service have some.
 func (c *requestCounter) minCredited(now, window, from, to time.Duration) int {
 	c.advance(now, window)
-	var upto [sliceCount + 1]int // upto[i] counts the requests of the i oldest slices
+	var cumulative [sliceCount + 1]int // cumulative[i] counts the requests of the i oldest slices
 	for i := range sliceCount {
-		upto[i+1] = upto[i] + c.slices[(c.last+1+int64(i))%sliceCount]
+		cumulative[i+1] = cumulative[i] + c.slices[(c.last+1+int64(i))%sliceCount]
 	}
 	// between counts the requests of the slices that lie entirely within a window, wherever in its first slice the window begins.
 	// The current slice has number sliceCount-1.
@@ -49,10 +49,10 @@
 		if from >= to {
 			return 0
 		}
-		return upto[to] - upto[from]
+		return cumulative[to] - cumulative[from]
 	}
 	slice := max(1, window/slicesPerWindow)
-	low := upto[sliceCount]
+	low := cumulative[sliceCount]
 	// ahead is the number of slices from now to the end of the window.
 	for ahead := int(from / slice); ahead <= int(to/slice)+1 && low > 0; ahead++ {
 		end := sliceCount + ahead
--- a/retrybudget/retrybudget.go
+++ b/retrybudget/retrybudget.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// ratioMargin is the fraction of the ratio that is spent. The rest is a reserve because requests are counted in slices here, and
-	// because searchers count them later than the mixer.
-	ratioMargin = 0.92
+	// usableRatioShare is the fraction of the ratio that may be spent. The rest is a reserve, because requests are counted in slices
+	// here, and because searchers count them later than the mixer does.
+	usableRatioShare = 0.92
 	// overlappingIncarnations divides a mixer's share of the slack: a restarted mixer spends the share again while the charges of
 	// its previous incarnation still count.
 	overlappingIncarnations = 2
@@ -119,7 +119,7 @@
 
 // limit returns how many charges may count in any window that ends between from and to after now.
 func (b *Budget) limit(now time.Duration, a *account, from, to time.Duration) float64 {
-	limit := ratioMargin * b.config.Ratio * float64(a.requests.minCredited(now, b.config.Window, from, to))
+	limit := usableRatioShare * b.config.Ratio * float64(a.requests.minCredited(now, b.config.Window, from, to))
 	if !b.slackSpent {
 		limit += b.config.Slack / float64(overlappingIncarnations*b.mixerCount)
 	}
--- a/retrybudget/stats.go
+++ b/retrybudget/stats.go
@@ -18,7 +18,7 @@
 // Stats holds the totals of one service since its account was made, and its charges at the moment.
 type Stats struct {
 	Service     string
-	Requests    uint64 // requests to the service
+	Requests    uint64 // requests with a part for the service
 	Retries     uint64 // attempts sent beyond the first of a part
 	DeniedParts uint64 // parts that ended without an answer and were not retried only because the budget was exhausted
 	// Misdirected counts attempts whose address turned out to belong to another searcher (status 421).
