--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -12,6 +12,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -29,7 +30,7 @@
 
 var write = flag.Bool("write", false, "write the files under testdata with this build")
 
-// fill sets every exported field of a value to something other than zero that follows from the path of field names alone.
+// fill sets every exported field of a value to something other than zero that follows from the path of its encoded field names alone.
 func fill(path string, v reflect.Value) {
 	h := fnv.New64a()
 	h.Write([]byte(path))
@@ -65,9 +66,15 @@
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if f := v.Type().Field(i); f.IsExported() {
-				fill(path+"."+f.Name, v.Field(i))
+			f := v.Type().Field(i)
+			if !f.IsExported() {
+				continue
 			}
+			name := f.Name
+			if tag, _, _ := strings.Cut(f.Tag.Get("json"), ","); tag != "" {
+				name = tag // the name in the encoding; the field's own may change
+			}
+			fill(path+"."+name, v.Field(i))
 		}
 	default:
 		panic("no value for " + path + " of kind " + v.Kind().String())
