--- a/fleet/overload/budget.go
+++ b/fleet/overload/budget.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// Terms are what a budget's instances are told at their start, the same for all: how much the fleet may spend on one
-// kind of thing (further dispatches, probes, new connections, list calls, parts for cold searchers).
+// Terms configures a budget: how much the fleet may spend on one kind of operation (retries and hedges, probes, new
+// connections, list calls, parts for cold searchers). All instances of a fleet need the same values.
 type Terms struct {
-	Rate      float64       // a second, all instances together
-	Burst     time.Duration // of its rate that an instance may save up
-	Instances int           // how many run at the same time, at most
-	Kept      float64       // share of its own part that an instance never lends
-	Lease     time.Duration // how long a loan runs
-	Leap      time.Duration // a step of the clock over this, or backwards, is a sleep
+	Rate      float64       // per second, all instances together
+	Burst     time.Duration // an instance may save up its rate for this long
+	Instances int           // the maximum number that run at the same time
+	Kept      float64       // share of an instance's own rate that it never lends
+	Lease     time.Duration // lifetime of a loan
+	Leap      time.Duration // a clock step longer than this, or backwards, counts as a pause of the process
 }
 
-// Check says what no budget could work with.
+// Check returns an error if no budget can work with the configuration.
 func (t *Terms) Check() error {
 	switch {
 	case t.Rate <= 0 || t.Instances < 1 || t.Burst <= 0:
-		return fmt.Errorf("budget: rate %g, %d instances, burst %v; all above 0", t.Rate, t.Instances, t.Burst)
+		return fmt.Errorf("budget: rate %g, %d instances, burst %v: each must be above 0", t.Rate, t.Instances, t.Burst)
 	case t.Kept < 0 || t.Kept > 1:
-		return fmt.Errorf("budget: kept %g; 0 to 1", t.Kept)
+		return fmt.Errorf("budget: reserved share %g: must be between 0 and 1", t.Kept)
 	case t.Leap <= 0 || t.Lease < 4*t.Leap:
-		return fmt.Errorf("budget: lease %v, leap %v; a lease of four leaps or more", t.Lease, t.Leap)
+		return fmt.Errorf("budget: lease %v, longest clock step %v: the step must be above 0 and the lease at least four steps",
+			t.Lease, t.Leap)
 	}
 	return nil
 }
 
-// Ask is a wish for a loan, and Loan the answer to it. Both may be lost, come twice, late or in another order.
+// Ask requests a loan from another instance. It may be lost, duplicated, delayed or reordered.
 type Ask struct {
 	From, To   string
 	Inc, ToInc uint64
@@ -39,6 +40,7 @@
 	Rate       float64
 }
 
+// Loan answers an Ask. It may be lost, duplicated, delayed or reordered.
 type Loan struct {
 	From, To   string
 	Inc, ToInc uint64
@@ -46,148 +48,153 @@
 	Rate       float64 // 0: nothing to lend
 }
 
-// lent is what this instance must do without. It starts when the wish came, after the borrower's time began.
-type lent struct {
-	to   string
-	inc  uint64
-	no   uint64
-	rate float64
-	left time.Duration
+// lentLoan is a rate that this instance has lent and must not spend. Its time starts when the request arrives, which is
+// after the borrower's time started.
+type lentLoan struct {
+	borrower    string
+	incarnation uint64
+	number      uint64
+	rate        float64
+	left        time.Duration
 }
 
-// owed is what this instance has of another, or waits for. It starts when the wish left.
-type owed struct {
-	from   string
-	no     uint64
-	wished float64
-	rate   float64 // 0 till the loan is here
-	left   time.Duration
+// borrowedLoan is a rate that this instance has borrowed or requested. Its time starts when the request is sent.
+type borrowedLoan struct {
+	lender    string
+	number    uint64
+	requested float64
+	rate      float64 // 0 until the loan arrives
+	left      time.Duration
 }
 
-// Budget is one instance's part of a fleet's budget. The fleet's figure is divided once and for all into equal parts;
-// what moves is lent, by the one whose part it is, who does without it for longer than the borrower may use it. So
-// whoever is cut off, dies or sleeps, all together never spend more than
+// Budget is one instance's share of a fleet-wide budget. The fleet's rate is divided into fixed, equal shares. An instance
+// may lend part of its share, and goes without it for longer than the borrower may use it. Whichever instances are
+// partitioned, crash or pause, all together therefore never spend more than
 //
 //	Rate x span + Rate x Burst
 //
-// in any span (At comes first, under the same reading of the clock as what is spent, and no rarer than every Leap): no vote, leader or common belief is needed for that, and a view is asked only for whether lending helps.
-// What the dead had of others is theirs again when its time is over; the part of one that is gone is not spent.
+// in any span, provided that At is called at least once per Leap, and before spending with the same clock reading. This
+// needs no vote, leader or consensus; the membership view only decides whether lending is useful. When an instance dies,
+// what it had borrowed returns to the lenders as the loans expire; its own share stays unspent.
 type Budget struct {
-	set   Terms
-	me    string
-	inc   uint64
-	now   time.Duration
-	level float64
-	no    uint64
-	lent  []lent
-	owed  []owed
-	want  float64 // what was wished to be spent of late, a second
-	since float64 // the same since the last look
-	look  time.Duration
+	config      Terms
+	name        string
+	incarnation uint64
+	now         time.Duration
+	tokens      float64
+	lastNumber  uint64
+	lent        []lentLoan
+	borrowed    []borrowedLoan
+	demand      float64 // recent attempts to spend, per second
+	requested   float64 // attempts to spend since windowStart
+	windowStart time.Duration
 }
 
 const (
-	drift     = 1.01 // clocks run no further apart over a lease
-	wantSpan  = time.Second
-	waitPart  = 4    // of a lease: so long an answer is waited for
-	askShare  = 1.25 // of its own rate that one wants before it asks
-	loansMost = 64   // loans in hand, either way
+	maxClockDrift   = 1.01 // ratio by which two clocks may differ over a lease
+	demandWindow    = time.Second
+	responseDivisor = 4    // a loan response is awaited for this fraction of the lease
+	demandHeadroom  = 1.25 // rate to be available, as a multiple of the demand: below it one borrows, above it one lends
+	maxLoans        = 64   // pending loans, in each direction
 )
 
-// NewBudget makes the budget of an instance that has just started. Its first incarnation may have spent its part
-// already and lent some: it begins with nothing saved, and its loans' time must pass before it may spend at all.
+// NewBudget makes the budget of an instance that has just started. An earlier incarnation may have spent its share and
+// lent some of it, so the budget starts with no savings and treats everything lendable as lent for the time of one loan.
 func NewBudget(set Terms, me string, inc uint64, now time.Duration) (*Budget, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	b := &Budget{set: set, me: me, inc: inc, now: now, look: now}
-	// What was lent before this start is not known any more: all that may be lent counts as lent, till it must be back.
-	if lendable := b.own() * (1 - set.Kept); lendable > 0 {
-		b.lent = []lent{{rate: lendable, left: b.lock()}}
+	b := &Budget{config: set, name: me, incarnation: inc, now: now, windowStart: now}
+	// Loans granted before the restart are unknown: everything lendable counts as lent until it must have been returned.
+	if lendable := b.ownRate() * (1 - set.Kept); lendable > 0 {
+		b.lent = []lentLoan{{rate: lendable, left: b.lenderTerm()}}
 	}
 	return b, nil
 }
 
-// own is this instance's part, a second.
-func (b *Budget) own() float64 { return b.set.Rate / float64(b.set.Instances) }
+// ownRate is this instance's fixed share, per second.
+func (b *Budget) ownRate() float64 { return b.config.Rate / float64(b.config.Instances) }
 
-// lock is how long what is lent is done without: the borrower's time by a slow clock, and a step lost unseen.
-func (b *Budget) lock() time.Duration {
-	return time.Duration(float64(b.set.Lease)*drift) + b.set.Leap
+// lenderTerm is how long the lender goes without a lent rate: the lease by the borrower's clock if that is slow, plus one
+// clock step that may go unnoticed.
+func (b *Budget) lenderTerm() time.Duration {
+	return time.Duration(float64(b.config.Lease)*maxClockDrift) + b.config.Leap
 }
 
-// Rate is what may be spent a second now.
+// Rate returns what this instance may currently spend per second.
 func (b *Budget) Rate() float64 {
-	r := b.own()
+	r := b.ownRate()
 	for _, l := range b.lent {
 		r -= l.rate
 	}
-	for _, l := range b.owed {
+	for _, l := range b.borrowed {
 		r += l.rate
 	}
 	return max(0, r)
 }
 
-// At sets the clock. A sleeper can't tell how long it slept: its loans from others are over, and what it lent stays
-// lent as if no time had passed.
+// At advances the clock. After a pause the elapsed time is unknown: borrowed loans end at once, and lent loans keep their
+// remaining time as if none had passed.
 func (b *Budget) At(now time.Duration) {
 	step := now - b.now
 	b.now = now
-	if step < 0 || step > b.set.Leap {
-		b.owed = nil
-		b.look, b.since = now, 0
-		b.level = min(b.level, b.brim())
+	if step < 0 || step > b.config.Leap {
+		b.borrowed = nil
+		b.windowStart, b.requested = now, 0
+		b.tokens = min(b.tokens, b.burst())
 		return
 	}
-	b.level = min(b.level+b.Rate()*step.Seconds(), b.brim())
+	b.tokens = min(b.tokens+b.Rate()*step.Seconds(), b.burst())
 	for i := range b.lent {
 		b.lent[i].left -= step
 	}
-	for i := range b.owed {
-		b.owed[i].left -= step
+	for i := range b.borrowed {
+		b.borrowed[i].left -= step
 	}
-	b.lent = slices.DeleteFunc(b.lent, func(l lent) bool { return l.left <= 0 })
-	b.owed = slices.DeleteFunc(b.owed, func(l owed) bool {
-		return l.left <= 0 || l.rate == 0 && l.left < b.set.Lease-b.set.Lease/waitPart
+	b.lent = slices.DeleteFunc(b.lent, func(l lentLoan) bool { return l.left <= 0 })
+	b.borrowed = slices.DeleteFunc(b.borrowed, func(l borrowedLoan) bool {
+		return l.left <= 0 || l.rate == 0 && l.left < b.config.Lease-b.config.Lease/responseDivisor
 	})
-	// Saved from a loan that is over: the lender saves it again from here on.
-	b.level = min(b.level, b.brim())
-	if span := now - b.look; span >= wantSpan {
-		b.want += (b.since/span.Seconds() - b.want) * 0.5
-		b.look, b.since = now, 0
+	// Savings from an expired loan are dropped: from here on the lender accumulates them again.
+	b.tokens = min(b.tokens, b.burst())
+	if span := now - b.windowStart; span >= demandWindow {
+		b.demand += (b.requested/span.Seconds() - b.demand) * 0.5
+		b.windowStart, b.requested = now, 0
 	}
 }
 
-func (b *Budget) brim() float64 { return b.Rate() * b.set.Burst.Seconds() }
+// burst is the most that may be saved up at the current rate.
+func (b *Budget) burst() float64 { return b.Rate() * b.config.Burst.Seconds() }
 
-// Take spends n if there is so much; what is wished for counts towards what is asked of others either way.
+// Take spends n if that much is available. Either way n counts as demand, which determines what is borrowed.
 func (b *Budget) Take(n float64) bool {
-	b.since += n
-	if b.level < n {
+	b.requested += n
+	if b.tokens < n {
 		return false
 	}
-	b.level -= n
+	b.tokens -= n
 	return true
 }
 
-// Want is what was wished to be spent of late, a second, and Spare what could be lent of it.
-func (b *Budget) Want() float64 { return b.want }
+// Want returns the recent demand per second, whether it was met or not.
+func (b *Budget) Want() float64 { return b.demand }
 
+// Spare returns the rate that could be lent now.
 func (b *Budget) Spare() float64 {
-	free := b.own() * (1 - b.set.Kept)
+	free := b.ownRate() * (1 - b.config.Kept)
 	for _, l := range b.lent {
 		free -= l.rate
 	}
-	return max(0, min(free, b.own()-b.want*askShare))
+	return max(0, min(free, b.ownRate()-b.demand*demandHeadroom))
 }
 
-// Asks are the wishes to send now, for what this instance lacks, to those that say they have some to spare, the one with
-// most first. While one has a wish to answer it is sent no other.
+// Asks returns the loan requests to send now for the rate that this instance lacks, to the peers that report a spare rate,
+// the largest first. A peer that has yet to answer a request gets no other.
 func (b *Budget) Asks(spare map[string]Spare) (asks []Ask) {
-	lack := b.want*askShare - b.Rate()
+	lack := b.demand*demandHeadroom - b.Rate()
 	names := make([]string, 0, len(spare))
 	for n := range spare {
-		if n != b.me && !slices.ContainsFunc(b.owed, func(o owed) bool { return o.from == n && o.rate == 0 }) {
+		if n != b.name && !slices.ContainsFunc(b.borrowed, func(o borrowedLoan) bool { return o.lender == n && o.rate == 0 }) {
 			names = append(names, n)
 		}
 	}
@@ -198,54 +205,54 @@
 		return map[bool]int{true: -1, false: 1}[x < y]
 	})
 	for _, n := range names {
-		if lack <= 0.01*b.own() || len(b.owed) >= loansMost {
+		if lack <= 0.01*b.ownRate() || len(b.borrowed) >= maxLoans {
 			break
 		}
 		rate := min(lack, spare[n].Rate)
 		if rate <= 0 {
 			break
 		}
-		b.no++
-		b.owed = append(b.owed, owed{from: n, no: b.no, wished: rate, left: b.set.Lease})
-		asks = append(asks, Ask{From: b.me, Inc: b.inc, To: n, ToInc: spare[n].Inc, No: b.no, Rate: rate})
+		b.lastNumber++
+		b.borrowed = append(b.borrowed, borrowedLoan{lender: n, number: b.lastNumber, requested: rate, left: b.config.Lease})
+		asks = append(asks, Ask{From: b.name, Inc: b.incarnation, To: n, ToInc: spare[n].Inc, No: b.lastNumber, Rate: rate})
 		lack -= rate
 	}
 	return asks
 }
 
-// Spare is what another says it has to spare.
+// Spare is the rate that a peer reports to have to spare, with its incarnation.
 type Spare struct {
 	Inc  uint64
 	Rate float64
 }
 
-// Asked answers a wish; may tells whether the view lets this instance grant. The same wish again gets the same answer,
-// and what is lent is done without from the first.
+// Asked answers a loan request; may states whether the membership view allows this instance to grant loans. A duplicate
+// request gets the same answer, and a lent rate is deducted from the moment it is granted.
 func (b *Budget) Asked(a Ask, may bool) (Loan, bool) {
-	if a.To != b.me || a.ToInc != b.inc || a.From == b.me || !(a.Rate > 0) {
+	if a.To != b.name || a.ToInc != b.incarnation || a.From == b.name || !(a.Rate > 0) {
 		return Loan{}, false
 	}
-	l := Loan{From: b.me, Inc: b.inc, To: a.From, ToInc: a.Inc, No: a.No}
-	if i := slices.IndexFunc(b.lent, func(x lent) bool { return x.to == a.From && x.inc == a.Inc && x.no == a.No }); i >= 0 {
+	l := Loan{From: b.name, Inc: b.incarnation, To: a.From, ToInc: a.Inc, No: a.No}
+	if i := slices.IndexFunc(b.lent, func(x lentLoan) bool { return x.borrower == a.From && x.incarnation == a.Inc && x.number == a.No }); i >= 0 {
 		l.Rate = b.lent[i].rate
 		return l, true
 	}
-	if rate := min(a.Rate, b.Spare()); may && rate > 0 && len(b.lent) < loansMost {
-		b.lent = append(b.lent, lent{a.From, a.Inc, a.No, rate, b.lock()})
-		b.level = min(b.level, b.brim())
+	if rate := min(a.Rate, b.Spare()); may && rate > 0 && len(b.lent) < maxLoans {
+		b.lent = append(b.lent, lentLoan{a.From, a.Inc, a.No, rate, b.lenderTerm()})
+		b.tokens = min(b.tokens, b.burst())
 		l.Rate = rate
 	}
 	return l, true
 }
 
-// Lent takes the answer to a wish, if that is still waited for.
+// Lent takes the answer to a loan request. It returns false if the answer is invalid or no longer awaited.
 func (b *Budget) Lent(l Loan) bool {
-	i := slices.IndexFunc(b.owed, func(o owed) bool { return o.from == l.From && o.no == l.No })
-	if i < 0 || l.To != b.me || l.ToInc != b.inc || b.owed[i].rate > 0 || l.Rate < 0 || l.Rate > b.owed[i].wished {
+	i := slices.IndexFunc(b.borrowed, func(o borrowedLoan) bool { return o.lender == l.From && o.number == l.No })
+	if i < 0 || l.To != b.name || l.ToInc != b.incarnation || b.borrowed[i].rate > 0 || l.Rate < 0 || l.Rate > b.borrowed[i].requested {
 		return false
 	}
-	if b.owed[i].rate = l.Rate; l.Rate == 0 {
-		b.owed = slices.Delete(b.owed, i, i+1)
+	if b.borrowed[i].rate = l.Rate; l.Rate == 0 {
+		b.borrowed = slices.Delete(b.borrowed, i, i+1)
 	}
 	return true
 }
--- a/fleet/overload/doc.go
+++ b/fleet/overload/doc.go
@@ -1,6 +1,6 @@
-// Package overload decides for one instance what its fleet's load allows it: how much of budgets that hold for all
-// together it may spend (Budget), what befalls the fleet (Judge), and how much of each kind of scan is to be shed
-// everywhere alike (Divide). It decides only: no I/O, no clock, no goroutine; words and times are handed in, what is to be
-// told comes out, and the same events give the same verdicts. Which scan is refused stays the module's: what comes out
-// here is data for it.
+// Package overload computes, for one instance, what the load of the whole fleet allows it: how much it may spend of
+// budgets that all instances share (Budget), which load condition the fleet is in (Judge), and which share of each kind
+// of scan is shed, equally at every instance (Divide). It has no I/O, clock or goroutine: messages and times are passed
+// in, messages to send are returned, and the same sequence of events gives the same results. Which individual scan is
+// refused is decided by the dispatch policy, which receives the results of this package as data.
 package overload
--- a/fleet/overload/meter.go
+++ b/fleet/overload/meter.go
@@ -5,64 +5,65 @@
 // End is how a scan ended.
 type End uint8
 
+// The ways in which a scan ends.
 const (
-	Done End = iota
-	Turned
-	Failed
+	Done   End = iota // completed
+	Turned            // throttled, on arrival or later
+	Failed            // abandoned, or given up by the client
 )
 
-// Meter counts what one instance sees, for its reports.
+// Meter counts what one instance observes, for its reports.
 type Meter struct {
-	kinds  Kinds
-	saw    Report // counts, not rates; its pressure is summed up over strains
-	strain float64
+	kinds           Kinds
+	counts          Report // counts, not rates; Pressure holds the sum of the samples
+	pressureSamples float64
 }
 
-// NewMeter begins with nothing seen.
+// NewMeter makes a meter with all counts at zero.
 func NewMeter(k Kinds) *Meter {
 	m := &Meter{kinds: k}
-	m.forget()
+	m.reset()
 	return m
 }
 
-func (m *Meter) forget() {
-	m.strain, m.saw = 0, Report{Scans: make([]float64, m.kinds.Len()), Bins: make([]float64, m.kinds.Len())}
+func (m *Meter) reset() {
+	m.pressureSamples, m.counts = 0, Report{Scans: make([]float64, m.kinds.Len()), Bins: make([]float64, m.kinds.Len())}
 }
 
-// Came counts a scan asked for; a tenant below 0 is none that is known.
+// Came counts an arriving scan. A tenant below 0 stands for no known tenant.
 func (m *Meter) Came(class, tenant, parts int, again bool) {
 	if again {
-		m.saw.Again++
+		m.counts.Again++
 	} else {
-		m.saw.First++
+		m.counts.First++
 	}
 	bin := m.kinds.Bin(class, tenant)
-	m.saw.Scans[bin]++
-	m.saw.Bins[bin] += float64(parts)
+	m.counts.Scans[bin]++
+	m.counts.Bins[bin] += float64(parts)
 }
 
-// Ended counts a scan's end, so long after it came.
+// Ended counts the end of a scan, with the time since its arrival and its target latency.
 func (m *Meter) Ended(how End, took, target time.Duration) {
 	switch how {
 	case Done:
-		m.saw.Done++
+		m.counts.Done++
 	case Turned:
-		m.saw.Turned++
+		m.counts.Turned++
 	case Failed:
-		m.saw.Failed++
+		m.counts.Failed++
 	}
-	if x, ok := strain(took, target, how == Done); ok {
-		m.saw.Pressure += x
-		m.strain++
+	if x, ok := pressure(took, target, how == Done); ok {
+		m.counts.Pressure += x
+		m.pressureSamples++
 	}
 }
 
-// Carried counts a part that a searcher did.
-func (m *Meter) Carried() { m.saw.Carried++ }
+// Carried counts a part that a searcher served.
+func (m *Meter) Carried() { m.counts.Carried++ }
 
-// Take gives what was seen over a span as rates, and begins anew.
+// Take returns what was counted over a span as rates, and resets the counts.
 func (m *Meter) Take(span time.Duration) Report {
-	r, s := m.saw, span.Seconds()
+	r, s := m.counts, span.Seconds()
 	for _, x := range []*float64{&r.First, &r.Again, &r.Done, &r.Turned, &r.Failed, &r.Carried} {
 		*x /= s
 	}
@@ -70,24 +71,24 @@
 		r.Scans[i] /= s
 		r.Bins[i] /= s
 	}
-	r.Pressure /= max(m.strain, 1)
-	m.forget()
+	r.Pressure /= max(m.pressureSamples, 1)
+	m.reset()
 	return r
 }
 
-// strain is how long a scan took in what it may take; false for one that was turned away early and so tells nothing of
-// it. One that was let in, and not done, counts as much too late.
-func strain(took, target time.Duration, done bool) (x float64, ok bool) {
+// pressure is the time that a scan took, as a multiple of the allowed time. It returns false for a scan that was rejected
+// early, which says nothing about pressure. A scan that was admitted but not completed counts as far too late.
+func pressure(took, target time.Duration, done bool) (x float64, ok bool) {
 	switch {
 	case done:
-		return float64(took) / (mayTake * float64(target)), true
+		return float64(took) / (allowedTime * float64(target)), true
 	case took > target/2:
-		return lostStrain, true
+		return uncompletedPressure, true
 	}
 	return 0, false
 }
 
 const (
-	mayTake    = 0.6 // of its target
-	lostStrain = 2 / mayTake
+	allowedTime         = 0.6 // time that a scan may take, as a share of its target
+	uncompletedPressure = 2 / allowedTime
 )
--- /dev/null
+++ b/fleet/overload/shedding.go
@@ -0,0 +1,181 @@
+package overload
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// Bin is a kind of demand that is shed equally wherever in the fleet it arrives: the scans of a class that are within
+// their tenants' quotas, or those beyond them.
+type Bin struct {
+	Worth  float64 // benefit per part
+	Within bool    // within the tenant's quota
+}
+
+// Divide returns the share of each bin to admit when only room parts a second can be served. The result depends on the
+// arguments alone, so that instances with the same data agree. All demand within the tenants' quotas precedes all demand
+// beyond them, and more valuable work precedes less valuable work; at most one bin is admitted partially. A tenant within
+// its quota is therefore never shed while another is served beyond its own.
+func Divide(bins []Bin, asked []float64, room float64) []float64 {
+	order := make([]int, len(bins))
+	for i := range order {
+		order[i] = i
+	}
+	slices.SortStableFunc(order, func(a, b int) int {
+		x, y := bins[a], bins[b]
+		if x.Within != y.Within {
+			return map[bool]int{true: -1, false: 1}[x.Within]
+		}
+		return cmp.Compare(y.Worth, x.Worth)
+	})
+	admitted := make([]float64, len(bins))
+	for _, i := range order {
+		demand := rateAt(asked, i)
+		switch {
+		case demand <= room:
+			admitted[i] = 1
+		case room > 0:
+			admitted[i] = room / demand
+		}
+		room = max(0, room-demand)
+	}
+	return admitted
+}
+
+// Kinds lists the classes and tenants of a fleet and defines how reports index their bins: by class, and within a class
+// by tenant, starting with the scans of no known tenant.
+type Kinds struct {
+	Benefit []float64 // of a scan, by class
+	Quota   []float64 // by tenant: scans per second that are within its quota, all mixers together
+}
+
+// Len returns the number of bins.
+func (k Kinds) Len() int { return len(k.Benefit) * (len(k.Quota) + 1) }
+
+// Bin returns the index of a class and tenant. A tenant below 0 stands for no known tenant.
+func (k Kinds) Bin(class, tenant int) int { return class*(len(k.Quota)+1) + tenant + 1 }
+
+// Let divides room, in parts per second, among all demand and returns the share of each bin to admit. Quotas apply to a
+// tenant's demand over the whole fleet, whichever instances its clients reach.
+func (k Kinds) Let(sum Report, room float64) []float64 {
+	value, order := make([]float64, len(k.Benefit)), make([]int, len(k.Benefit))
+	for c := range order {
+		scans, parts := 0.0, 0.0
+		for t := -1; t < len(k.Quota); t++ {
+			scans, parts = scans+rateAt(sum.Scans, k.Bin(c, t)), parts+rateAt(sum.Bins, k.Bin(c, t))
+		}
+		if order[c] = c; parts > 0 {
+			value[c] = k.Benefit[c] * scans / parts
+		}
+	}
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(value[b], value[a]) })
+	bins, asked := make([]Bin, 2*k.Len()), make([]float64, 2*k.Len())
+	for t := -1; t < len(k.Quota); t++ {
+		quotaLeft := 0.0 // the tenant's most valuable work uses its quota first; without a tenant there is none
+		if t >= 0 {
+			quotaLeft = k.Quota[t]
+		}
+		for _, c := range order {
+			i := k.Bin(c, t)
+			scans, parts := rateAt(sum.Scans, i), rateAt(sum.Bins, i)
+			within := parts
+			if scans > quotaLeft {
+				within = parts * quotaLeft / scans
+			}
+			quotaLeft = max(0, quotaLeft-scans)
+			bins[2*i], bins[2*i+1] = Bin{value[c], true}, Bin{value[c], false}
+			asked[2*i], asked[2*i+1] = within, parts-within
+		}
+	}
+	shares := Divide(bins, asked, room)
+	admitted := make([]float64, k.Len())
+	for i := range admitted {
+		if admitted[i] = 1; asked[2*i]+asked[2*i+1] > 0 {
+			admitted[i] = (shares[2*i]*asked[2*i] + shares[2*i+1]*asked[2*i+1]) / (asked[2*i] + asked[2*i+1])
+		}
+	}
+	return admitted
+}
+
+// Room estimates how much work the fleet can do in an overload or a storm. While searchers serve less than is admitted,
+// the estimate shrinks towards what they serve; while they serve all of it, the estimate grows step by step. Otherwise
+// there is no limit: in an outage the mixers' own refusals cost nothing, and holding back the demand after an outage
+// would only prolong it.
+type Room struct {
+	limit float64 // parts per second; infinite when there is no limit
+	now   time.Duration
+}
+
+const (
+	shrinkRate        = 0.5  // per second, of the excess of admitted over served work
+	growthRate        = 0.1  // per second
+	fastGrowthRate    = 0.5  // per second, while scans are quick
+	highPressure      = 0.6  // of the time that a scan may take
+	lowPressure       = 0.4  // of the time that a scan may take: scans this quick show that capacity is not short
+	servedInFull      = 0.95 // serving this share of the admitted work counts as serving all of it
+	minAdmittedShare  = 0.05 // of the demand, admitted however little is served
+	unlimitedHeadroom = 1.3  // a limit above this multiple of the demand is removed
+)
+
+// NewRoom makes an estimate that starts without a limit.
+func NewRoom(now time.Duration) *Room { return &Room{limit: math.Inf(1), now: now} }
+
+// See takes the fleet's condition and the sum of its reports, and returns the work that may be admitted per second.
+func (r *Room) See(now time.Duration, mood Mood, sum Report) float64 {
+	dt := min(1, max(0, (now-r.now).Seconds()))
+	r.now = now
+	asked := 0.0
+	for _, x := range sum.Bins {
+		asked += x
+	}
+	admitted := min(r.limit, asked)
+	switch {
+	case mood == Calm || mood == Outage:
+		r.limit = math.Inf(1)
+	case mood != Recovery && sum.Carried < servedInFull*admitted && sum.Pressure > highPressure:
+		r.limit = max(minAdmittedShare*asked, admitted-shrinkRate*dt*(admitted-sum.Carried))
+	default:
+		// By chance alone, less is sometimes served than admitted. As long as scans are quick, capacity is not short: scans
+		// shed then would only be retried, and shedding itself would keep the storm going.
+		growth := growthRate
+		if sum.Pressure < lowPressure {
+			growth = fastGrowthRate
+		}
+		if r.limit *= 1 + growth*dt; r.limit > unlimitedHeadroom*asked {
+			r.limit = math.Inf(1)
+		}
+	}
+	return r.limit
+}
+
+// Returns schedules the retries of throttled clients. Each client gets a later time than the one before, so that they
+// come back at no more than this instance's share of the expected capacity. Instances share nothing but a phase drawn
+// from a common seed.
+type Returns struct {
+	next  time.Duration
+	phase float64
+}
+
+// NewReturns makes a schedule with a phase from 0 to 1.
+func NewReturns(phase float64) *Returns { return &Returns{phase: phase} }
+
+// In returns the delay after which the next client should retry, between least and most, where rate is the number of
+// retries per second that this instance may schedule. It returns false if all times up to most are taken: no delay would
+// then keep within the rate, and the client is best sent the longest one.
+func (r *Returns) In(now, least, most time.Duration, rate float64) (in time.Duration, ok bool) {
+	gap := most
+	if rate > 0 {
+		gap = min(most, time.Duration(float64(time.Second)/rate))
+	}
+	if r.next < now+least {
+		r.next = now + least + time.Duration(r.phase*float64(gap))
+	}
+	if r.next > now+most {
+		return most, false
+	}
+	in = r.next - now
+	r.next += gap
+	return in, true
+}
