--- a/fleet/view/doc.go
+++ b/fleet/view/doc.go
@@ -1,6 +1,7 @@
-// Package view judges how far one instance may trust what it believes of the others: who is there, whether it stands
-// with a majority, and what it may do by that. It decides only: no I/O, no clock, no goroutine; times are since the
-// start of the process and are handed in, and the same events give the same verdicts. Words come and go through
-// whoever calls it (internal/member in service, fleet/fleetsim in tests). It never takes silence for death in a way that
-// lets anybody do more: each doubt narrows what is allowed. What it holds is bounded by the number of instances told.
+// Package view determines how far one instance may rely on its membership view: which other instances are alive, whether
+// this one is in contact with a majority, and which actions that permits. It has no I/O, clock or goroutine: times are
+// measured from the start of the process and passed in, and the same sequence of events gives the same results. The caller
+// transports the heartbeats (internal/member in service, fleet/fleetsim in tests). Silence is never taken for a failure in
+// a way that permits more to any instance: each uncertainty narrows what is allowed. Memory use is bounded by the
+// configured number of instances.
 package view
--- a/fleet/view/view.go
+++ b/fleet/view/view.go
@@ -7,66 +7,69 @@
 	"time"
 )
 
-// Settings are what an instance is told at its start. Instances and Stale must be the same for all.
+// Settings configures a view. Instances and Stale must be the same for all instances.
 type Settings struct {
 	Me        string
-	Inc       uint64        // this start's incarnation, higher than the one before
-	Instances int           // how many run at the same time, at most
-	Stale     time.Duration // a word older than this counts for nothing
-	Settle    time.Duration // a majority counts once it has held for so long
-	Leap      time.Duration // a step of the clock over this, or backwards, is a sleep
+	Inc       uint64        // incarnation of this process, higher than that of the process before
+	Instances int           // the maximum number that run at the same time
+	Stale     time.Duration // a heartbeat older than this counts for nothing
+	Settle    time.Duration // a majority counts once it has held for this long
+	Leap      time.Duration // a clock step longer than this, or backwards, counts as a pause of the process
 }
 
-const instancesMost = 1024
+const maxInstances = 1024
 
-// Check says what no instance could work with.
+// Check returns an error if no instance can work with the settings.
 func (s *Settings) Check() error {
 	switch {
 	case s.Me == "":
-		return fmt.Errorf("name: empty")
-	case s.Instances < 1 || s.Instances > instancesMost:
-		return fmt.Errorf("instances: %d; 1 to %d", s.Instances, instancesMost)
+		return fmt.Errorf("name: must not be empty")
+	case s.Instances < 1 || s.Instances > maxInstances:
+		return fmt.Errorf("instances: %d; must be between 1 and %d", s.Instances, maxInstances)
 	case s.Stale <= 0:
-		return fmt.Errorf("stale: %v; above 0", s.Stale)
+		return fmt.Errorf("age of a stale heartbeat: %v; must be above 0", s.Stale)
 	case s.Settle < 0:
-		return fmt.Errorf("settle: %v; 0 or more", s.Settle)
+		return fmt.Errorf("settling time of a majority: %v; must not be negative", s.Settle)
 	case s.Leap <= 0 || s.Leap > s.Stale:
-		return fmt.Errorf("leap: %v; above 0, up to stale (%v)", s.Leap, s.Stale)
+		return fmt.Errorf("longest clock step: %v; must be above 0 and at most the age of a stale heartbeat (%v)", s.Leap, s.Stale)
 	}
 	return nil
 }
 
-// Standing is how an instance stands among the others.
+// Standing is an instance's connectivity to the others.
 type Standing uint8
 
+// The degrees of connectivity.
 const (
-	Alone       Standing = iota // nobody is heard
-	Minority                    // some are, but half of all or fewer, this one among them
-	Disagreeing                 // most are heard, but most of them do not hear this one, or hear no majority themselves
-	Settling                    // a majority hears each other, but not for long enough yet
-	Majority
-	standings
+	Alone       Standing = iota // no other instance is heard
+	Minority                    // some are heard, but with this one they are no more than half of all instances
+	Disagreeing                 // a majority is heard, but most do not hear this one or hear no majority themselves
+	Settling                    // a majority hear each other, but not for long enough yet
+	Majority                    // a majority have heard each other for the settling time
+	standingCount
 )
 
+// String returns the name of the degree.
 func (s Standing) String() string {
-	return [...]string{"alone", "minority", "disagreeing", "settling", "majority", ""}[min(s, standings)]
+	return [...]string{"alone", "minority", "disagreeing", "settling", "majority", ""}[min(s, standingCount)]
 }
 
-// Right is something that an instance may or may not do for the fleet.
+// Right is a kind of action that may be permitted to an instance.
 type Right uint8
 
+// The kinds of action.
 const (
-	Keep  Right = iota // live by its own fixed share
-	Lower              // take back: halt, lower a version, roll back
-	Count              // reckon with figures of the others
-	Grant              // let another have of what is its own, and vote
-	Raise              // move the fleet on: raise a version, cut over, agree
-	rights
+	Keep  Right = iota // work within its own fixed share
+	Lower              // retreat: halt, lower a version, roll back
+	Count              // use figures that the others report
+	Grant              // grant others what it owns, and vote
+	Raise              // advance the fleet: raise a version, cut over, agree
+	rightCount
 )
 
-// allowed is the whole table: what takes back is always allowed, what gives or moves on needs a settled majority. A
-// fleet of one is its own majority.
-var allowed = [standings][rights]bool{
+// allowed lists the permissions by connectivity. Retreating is always allowed; granting and advancing need a settled
+// majority. A fleet of one instance is its own majority.
+var allowed = [standingCount][rightCount]bool{
 	Alone:       {Keep: true, Lower: true},
 	Minority:    {Keep: true, Lower: true},
 	Disagreeing: {Keep: true, Lower: true},
@@ -74,136 +77,138 @@
 	Majority:    {Keep: true, Lower: true, Count: true, Grant: true, Raise: true},
 }
 
-// State is what is believed of another instance.
+// State is the assumed state of another instance.
 type State uint8
 
+// The states of another instance.
 const (
-	Unknown State = iota
-	Alive         // its word is fresh
-	Suspect       // its word has grown stale
-	Failed        // stale, and those who watch for signs of life say that it is gone
-	Left          // it said that it leaves
+	Unknown State = iota // never heard
+	Alive                // its heartbeat is fresh
+	Suspect              // its heartbeat is stale
+	Failed               // its heartbeat is stale, and the failure detector reports it as failed
+	Left                 // it announced that it leaves
 )
 
+// String returns the state's name.
 func (s State) String() string {
 	return [...]string{"unknown", "alive", "suspect", "failed", "left", ""}[min(int(s), 5)]
 }
 
-// Word is what an instance tells each of the others, over and over: to each its own, so that it stays short however many
-// there are.
+// Word is a heartbeat. An instance sends one to each of the others in every round. Each is made for its receiver, so that
+// its size does not depend on the number of instances.
 type Word struct {
 	From      string `json:"from"`
 	Inc       uint64 `json:"inc"`
-	No        uint64 `json:"no"` // higher in each round of words
+	No        uint64 `json:"no"` // increases with each round
 	Instances int    `json:"instances"`
-	Hears     int    `json:"hears"` // of so many others the words are fresh to it
-	Echo      Echo   `json:"echo"`  // the last word heard of the one it is told to; nothing if that is not fresh
+	Hears     int    `json:"hears"` // number of other instances whose heartbeats are fresh to the sender
+	Echo      Echo   `json:"echo"`  // the last heartbeat from the receiver; zero if that is not fresh
 	Leaves    bool   `json:"leaves,omitempty"`
 }
 
-// Echo names the last word heard of another. It proves to that one how old this word is at most: no older than its own
-// word that is echoed. A word may have lain for long, in a network or before a process that stood still; when it
-// came says nothing.
+// Echo identifies the last heartbeat that the sender received from the receiver. It proves to the receiver that this
+// heartbeat is no older than the echoed one. The time of arrival proves nothing, as a heartbeat may have waited in the
+// network or in front of a paused process.
 type Echo struct {
 	Inc uint64 `json:"i"`
 	No  uint64 `json:"n"`
 }
 
 type peer struct {
-	inc, no uint64
-	at      time.Duration // when its last word came
-	proved  time.Duration // that word is no older than this
-	void    bool          // it counts for nothing any more
-	hears   int
-	left    bool
-	gone    bool
+	incarnation, number uint64
+	receivedAt          time.Duration // arrival of its last heartbeat
+	sentAfter           time.Duration // proven by an echo: the heartbeat was sent no earlier than this
+	void                bool          // the heartbeat no longer counts
+	hears               int
+	left                bool
+	failed              bool
 }
 
-// sent is when a word of this instance's left.
-type sent struct {
-	no uint64
-	at time.Duration
+// sentRound records when a round of this instance's heartbeats was sent.
+type sentRound struct {
+	number uint64
+	at     time.Duration
 }
 
 // Core is one instance's view.
 type Core struct {
-	set    Settings
-	now    time.Duration
-	peers  map[string]*peer
-	no     uint64
-	sent   []sent        // words no older than Stale, since the last sleep
-	since  time.Duration // a majority has held since then; below 0 while none does
-	sleeps int
-	odd    int // words not believed
+	settings      Settings
+	now           time.Duration
+	peers         map[string]*peer
+	round         uint64
+	sent          []sentRound   // rounds no older than Stale, since the last pause
+	majoritySince time.Duration // a majority has held since then; below 0 while there is none
+	pauses        int
+	rejected      int // heartbeats rejected as invalid
 }
 
-// New makes the view of an instance that has heard nobody.
+// New makes the view of an instance that has not heard any other.
 func New(set Settings, now time.Duration) (*Core, error) {
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("view: %w", err)
 	}
-	c := &Core{set: set, now: now, peers: map[string]*peer{}, since: -1}
-	c.settle()
+	c := &Core{settings: set, now: now, peers: map[string]*peer{}, majoritySince: -1}
+	c.updateMajority()
 	return c, nil
 }
 
-// At sets the clock. It tells of a sleep: a process that stood still must not act on what it believed before, as others
-// may long have moved on; all words are void till heard anew.
+// At advances the clock and reports whether the process was paused. A paused process must not act on its earlier view,
+// as the others may have moved on long ago: all heartbeats received before the pause are void.
 func (c *Core) At(now time.Duration) (slept bool) {
-	if step := now - c.now; step > c.set.Leap || step < 0 {
-		c.sleeps++
+	if step := now - c.now; step > c.settings.Leap || step < 0 {
+		c.pauses++
 		for _, p := range c.peers {
 			p.void = true
 		}
-		c.sent, c.since, slept = nil, -1, true
+		c.sent, c.majoritySince, slept = nil, -1, true
 	}
 	c.now = now
-	c.settle()
+	c.updateMajority()
 	return slept
 }
 
-// Heard takes another's word; false if it is not believed: an earlier one than the last, of a fleet of another size, or of
-// one that hears more than there can be.
+// Heard receives another instance's heartbeat. It returns false if the heartbeat is rejected: it is not later than the
+// last one, comes from a fleet of another size, or claims to hear more instances than there can be.
 func (c *Core) Heard(w Word) bool {
 	p := c.peers[w.From]
 	switch {
-	case w.From == c.set.Me, w.From == "", w.Instances != c.set.Instances, w.Hears < 0, w.Hears >= c.set.Instances,
-		p != nil && w.Inc < p.inc, p != nil && w.Inc == p.inc && p.left:
-		c.odd++
+	case w.From == c.settings.Me, w.From == "", w.Instances != c.settings.Instances, w.Hears < 0, w.Hears >= c.settings.Instances,
+		p != nil && w.Inc < p.incarnation, p != nil && w.Inc == p.incarnation && p.left:
+		c.rejected++
 		return false
-	case p != nil && w.Inc == p.inc && w.No <= p.no:
-		return false // late, or again
+	case p != nil && w.Inc == p.incarnation && w.No <= p.number:
+		return false // delayed or duplicate
 	case p == nil:
-		if len(c.peers) >= 2*c.set.Instances && !c.forget() {
-			c.odd++
+		if len(c.peers) >= 2*c.settings.Instances && !c.evictPeer() {
+			c.rejected++
 			return false
 		}
 		p = &peer{}
 		c.peers[w.From] = p
 	}
-	proved := p.proved
-	if p.inc != w.Inc || p.void {
-		proved = never
+	sentAfter := p.sentAfter
+	if p.incarnation != w.Inc || p.void {
+		sentAfter = never
 	}
-	if e := w.Echo; e.Inc == c.set.Inc {
+	if e := w.Echo; e.Inc == c.settings.Inc {
 		for _, x := range c.sent {
-			if x.no == e.No {
-				proved = max(proved, x.at)
+			if x.number == e.No {
+				sentAfter = max(sentAfter, x.at)
 			}
 		}
 	}
-	*p = peer{inc: w.Inc, no: w.No, at: c.now, proved: proved, hears: w.Hears, left: w.Leaves}
-	c.settle()
+	*p = peer{incarnation: w.Inc, number: w.No, receivedAt: c.now, sentAfter: sentAfter, hears: w.Hears, left: w.Leaves}
+	c.updateMajority()
 	return true
 }
 
 const never = time.Duration(-1 << 62)
 
-// forget makes room by the one unheard for longest; false if all are fresh.
-func (c *Core) forget() bool {
+// evictPeer removes the stale peer that has been silent for longest. It returns false if all peers are fresh.
+func (c *Core) evictPeer() bool {
 	oldest := ""
 	for _, n := range slices.Sorted(maps.Keys(c.peers)) {
-		if p := c.peers[n]; !c.fresh(p) && (oldest == "" || p.at < c.peers[oldest].at) {
+		if p := c.peers[n]; !c.fresh(p) && (oldest == "" || p.receivedAt < c.peers[oldest].receivedAt) {
 			oldest = n
 		}
 	}
@@ -211,33 +216,36 @@
 	return oldest != ""
 }
 
-// Gone takes it from those who watch for signs of life that an instance has none. It only ever makes its word count
-// less; that one lives is told by its own word alone.
+// Gone records that the failure detector reports an instance as failed. This only voids its last heartbeat; only a
+// heartbeat of its own shows that it is alive.
 func (c *Core) Gone(name string) {
 	if p := c.peers[name]; p != nil {
-		p.gone, p.void = true, true
-		c.settle()
+		p.failed, p.void = true, true
+		c.updateMajority()
 	}
 }
 
-// fresh: its word came lately. That much suffices to hear it, not to reckon with it.
-func (c *Core) fresh(p *peer) bool { return !p.void && !p.left && c.now-p.at <= c.set.Stale }
+// fresh reports whether a peer's heartbeat arrived recently. That is enough to count the peer as heard, but not to rely
+// on what it reports.
+func (c *Core) fresh(p *peer) bool {
+	return !p.void && !p.left && c.now-p.receivedAt <= c.settings.Stale
+}
 
-// proven: its word left it lately, and it hears this one.
-func (c *Core) proven(p *peer) bool {
-	return c.fresh(p) && p.proved != never && c.now-p.proved <= c.set.Stale
+// confirmed reports whether a peer's heartbeat was sent recently, as its echo proves; so the peer also hears this instance.
+func (c *Core) confirmed(p *peer) bool {
+	return c.fresh(p) && p.sentAfter != never && c.now-p.sentAfter <= c.settings.Stale
 }
 
-// Proven tells the incarnation of an instance whose word is proven to be no older than Stale. What it says beside may be
-// used, and nothing of any other's.
+// Proven returns the incarnation of an instance whose heartbeat is proven to be no older than Stale. Data that such an
+// instance sends along may be used, and that of any other may not.
 func (c *Core) Proven(name string) (inc uint64, ok bool) {
-	if p := c.peers[name]; p != nil && c.proven(p) {
-		return p.inc, true
+	if p := c.peers[name]; p != nil && c.confirmed(p) {
+		return p.incarnation, true
 	}
 	return 0, false
 }
 
-// State is what is believed of an instance.
+// State returns the assumed state of an instance.
 func (c *Core) State(name string) State {
 	switch p := c.peers[name]; {
 	case p == nil:
@@ -246,30 +254,30 @@
 		return Left
 	case c.fresh(p):
 		return Alive
-	case p.gone:
+	case p.failed:
 		return Failed
 	}
 	return Suspect
 }
 
-// Live are the names of those whose word is proven, in order.
+// Live returns the names of the instances whose heartbeats are proven to be recent, in order.
 func (c *Core) Live() []string {
 	var names []string
 	for _, n := range slices.Sorted(maps.Keys(c.peers)) {
-		if c.proven(c.peers[n]) {
+		if c.confirmed(c.peers[n]) {
 			names = append(names, n)
 		}
 	}
 	return names
 }
 
-// Words begins a round of words, and gives what to tell each of those named.
+// Words begins a round and returns the heartbeat for each of the named instances.
 func (c *Core) Words(leaves bool, names []string) []Word {
-	c.no++
-	c.sent = slices.DeleteFunc(append(c.sent, sent{c.no, c.now}), func(x sent) bool { return c.now-x.at > c.set.Stale })
-	w := Word{From: c.set.Me, Inc: c.set.Inc, No: c.no, Instances: c.set.Instances, Leaves: leaves}
+	c.round++
+	c.sent = slices.DeleteFunc(append(c.sent, sentRound{c.round, c.now}), func(x sentRound) bool { return c.now-x.at > c.settings.Stale })
+	w := Word{From: c.settings.Me, Inc: c.settings.Inc, No: c.round, Instances: c.settings.Instances, Leaves: leaves}
 	for _, p := range c.peers {
-		if c.fresh(p) && w.Hears < c.set.Instances-1 {
+		if c.fresh(p) && w.Hears < c.settings.Instances-1 {
 			w.Hears++
 		}
 	}
@@ -277,59 +285,59 @@
 	for i, n := range names {
 		words[i] = w
 		if p := c.peers[n]; p != nil && c.fresh(p) {
-			words[i].Echo = Echo{p.inc, p.no}
+			words[i].Echo = Echo{p.incarnation, p.number}
 		}
 	}
 	return words
 }
 
-// most tells that so many are more than half of all there can be.
-func (c *Core) most(n int) bool { return 2*n > c.set.Instances }
+// isMajority reports whether n instances are more than half of all.
+func (c *Core) isMajority(n int) bool { return 2*n > c.settings.Instances }
 
-// stands is the standing at this moment, for however short a time.
-func (c *Core) stands() Standing {
-	heard, agree := 1, 1
+// current returns the connectivity at this moment, however short it has lasted.
+func (c *Core) current() Standing {
+	heard, agreeing := 1, 1
 	for _, p := range c.peers {
 		if !c.fresh(p) {
 			continue
 		}
 		heard++
-		// One that does not hear this one may be cut off from it one way, or have said so long ago; one that hears no
-		// majority grants nothing itself. To count either would let two sides both believe that they are most.
-		if c.proven(p) && c.most(p.hears+1) {
-			agree++
+		// A peer that does not hear this instance may be cut off in one direction, or its heartbeat may be old; a peer that
+		// hears no majority grants nothing itself. If either counted, two sides could both take themselves for the majority.
+		if c.confirmed(p) && c.isMajority(p.hears+1) {
+			agreeing++
 		}
 	}
 	switch {
-	case heard == 1 && c.set.Instances > 1:
+	case heard == 1 && c.settings.Instances > 1:
 		return Alone
-	case !c.most(heard):
+	case !c.isMajority(heard):
 		return Minority
-	case !c.most(agree):
+	case !c.isMajority(agreeing):
 		return Disagreeing
 	}
 	return Majority
 }
 
-func (c *Core) settle() {
-	if c.stands() != Majority {
-		c.since = -1
-	} else if c.since < 0 {
-		c.since = c.now
+func (c *Core) updateMajority() {
+	if c.current() != Majority {
+		c.majoritySince = -1
+	} else if c.majoritySince < 0 {
+		c.majoritySince = c.now
 	}
 }
 
-// Standing is how this instance stands now.
+// Standing returns this instance's connectivity.
 func (c *Core) Standing() Standing {
-	s := c.stands()
-	if s == Majority && (c.since < 0 || c.now-c.since < c.set.Settle) {
+	s := c.current()
+	if s == Majority && (c.majoritySince < 0 || c.now-c.majoritySince < c.settings.Settle) {
 		return Settling
 	}
 	return s
 }
 
-// May tells whether it has a right now.
+// May reports whether this instance is permitted an action now.
 func (c *Core) May(r Right) bool { return allowed[c.Standing()][r] }
 
-// Counts are the sleeps noticed and the words not believed.
-func (c *Core) Counts() (sleeps, odd int) { return c.sleeps, c.odd }
+// Counts returns the number of pauses noticed and of heartbeats rejected as invalid.
+func (c *Core) Counts() (sleeps, odd int) { return c.pauses, c.rejected }
