--- a/fleet/share/doc.go
+++ b/fleet/share/doc.go
@@ -1,6 +1,6 @@
-// Package share holds what instances tell each other of themselves: facts, of which the newest counts, and counts that
-// only grow. Two stores that have met the same pieces hold the same, in whatever order, however often and late these
-// came; a restart never takes away nor brings back. It decides only: no I/O, no clock, no goroutine; what is to be told
-// comes out as bytes of a bounded size, and whoever calls it carries them (internal/member in service). Whom to believe
-// and for how long is not its business but fleet/view's. It holds no more entries than its settings allow.
+// Package share is a replicated store of what instances report about themselves: facts, of which the newest version wins,
+// and counters that only grow. Stores that have merged the same pieces hold the same data, whatever their order, delay or
+// duplication; a restart neither removes data nor brings old data back. The package has no I/O, clock or goroutine: data
+// to send is returned as bytes of a bounded size, and the caller transports them (internal/member in service). Which peers
+// to accept data from, and for how long, is decided by fleet/view. The number of entries is bounded by the settings.
 package share
--- a/fleet/share/merge.go
+++ b/fleet/share/merge.go
@@ -8,64 +8,65 @@
 	"time"
 )
 
-// piece is a part of what one store holds, as it is told.
+// piece is the encoding of a part of a store's content.
 type piece struct {
-	Facts  []Fact            `json:"f,omitempty"`
-	Counts []Count           `json:"c,omitempty"`
-	Floors map[string]uint64 `json:"l,omitempty"`
+	Facts     []Fact            `json:"f,omitempty"`
+	Counts    []Count           `json:"c,omitempty"`
+	MinEpochs map[string]uint64 `json:"l,omitempty"`
 }
 
 const (
-	pieceMost = 64 << 10 // bytes read of one
-	ageMost   = 24 * time.Hour
+	maxPieceSize = 64 << 10 // bytes accepted by Merge
+	maxAge       = 24 * time.Hour
 )
 
-// Tell gives a piece of at most so many bytes: what is this instance's own first, then what it knows of others, going on
-// each time where it stopped, so that all it holds is told in turn and what a dead one said still spreads.
+// Tell encodes a piece of at most the given number of bytes. This instance's own entries come first, then those of other
+// owners, continuing where the previous piece stopped. This way all entries are sent in turn, and the data of a dead
+// instance still spreads.
 func (s *Store) Tell(most int) []byte {
 	var p piece
 	size := 64
-	add := func(v any, take func()) bool {
+	add := func(v any, include func()) bool {
 		b, err := json.Marshal(v)
 		if err != nil {
-			panic(err) // facts and counts always encode
+			panic(err) // facts and counters always encode
 		}
 		if size += len(b) + 1; size > most {
 			return false
 		}
-		take()
+		include()
 		return true
 	}
-	floor := func(topic string) {
-		add(map[string]uint64{topic: s.floors[topic]}, func() {
-			if p.Floors == nil {
-				p.Floors = map[string]uint64{}
+	addMinEpoch := func(topic string) {
+		add(map[string]uint64{topic: s.minEpochs[topic]}, func() {
+			if p.MinEpochs == nil {
+				p.MinEpochs = map[string]uint64{}
 			}
-			p.Floors[topic] = s.floors[topic]
+			p.MinEpochs[topic] = s.minEpochs[topic]
 		})
 	}
 	var own, others []func() bool
 	for _, k := range slices.SortedFunc(maps.Keys(s.facts), factKey.cmp) {
 		f := s.facts[k]
-		x := Fact{k.owner, k.topic, f.inc, f.seq, s.now - f.wrote, []byte(f.body)}
+		x := Fact{k.owner, k.topic, f.incarnation, f.seq, s.now - f.writtenAt, []byte(f.body)}
 		put := func() bool { return add(x, func() { p.Facts = append(p.Facts, x) }) }
-		if k.owner == s.set.Me {
+		if k.owner == s.settings.Me {
 			own = append(own, put)
 		} else {
 			others = append(others, put)
 		}
 	}
 	for _, k := range slices.SortedFunc(maps.Keys(s.counts), countKey.cmp) {
-		x := Count{k.topic, k.epoch, k.owner, k.inc, s.counts[k]}
+		x := Count{k.topic, k.epoch, k.owner, k.incarnation, s.counts[k]}
 		put := func() bool { return add(x, func() { p.Counts = append(p.Counts, x) }) }
-		if k.owner == s.set.Me {
+		if k.owner == s.settings.Me {
 			own = append(own, put)
 		} else {
 			others = append(others, put)
 		}
 	}
-	for _, topic := range slices.Sorted(maps.Keys(s.floors)) {
-		floor(topic)
+	for _, topic := range slices.Sorted(maps.Keys(s.minEpochs)) {
+		addMinEpoch(topic)
 	}
 	for _, put := range own {
 		if !put() {
@@ -73,11 +74,11 @@
 		}
 	}
 	for range others {
-		s.next %= len(others)
-		if !others[s.next]() {
+		s.nextOther %= len(others)
+		if !others[s.nextOther]() {
 			break
 		}
-		s.next++
+		s.nextOther++
 	}
 	b, err := json.Marshal(p)
 	if err != nil {
@@ -86,34 +87,35 @@
 	return b
 }
 
-// Merge takes a piece that another told. One that can't be read, or claims the impossible, changes nothing: what it says
-// of this instance's own incarnation beyond what that wrote, ages below zero, bodies and names too long.
+// Merge merges a piece from another store. A piece that cannot be decoded or is impossible changes nothing and returns an
+// error: one that reports more of this instance's own incarnation than it has written, a negative age, an empty name, or
+// a name or body that is too long.
 func (s *Store) Merge(b []byte) error {
 	var p piece
-	if len(b) > pieceMost {
-		return fmt.Errorf("share: a piece of %d bytes; at most %d", len(b), pieceMost)
+	if len(b) > maxPieceSize {
+		return fmt.Errorf("share: piece of %d bytes exceeds the limit of %d", len(b), maxPieceSize)
 	}
 	if err := json.Unmarshal(b, &p); err != nil {
 		return fmt.Errorf("share: %w", err)
 	}
 	for _, f := range p.Facts {
-		mine := f.Owner == s.set.Me && (f.Inc > s.set.Inc || f.Inc == s.set.Inc && f.Seq > s.seq)
-		if f.Owner == "" || f.Topic == "" || len(f.Owner)+len(f.Topic) > bodyMost || len(f.Body) > s.set.Body || f.Age < 0 || mine {
-			return fmt.Errorf("share: fact %.40q of %.40q can't be", f.Topic, f.Owner)
+		unwritten := f.Owner == s.settings.Me && (f.Inc > s.settings.Inc || f.Inc == s.settings.Inc && f.Seq > s.seq)
+		if f.Owner == "" || f.Topic == "" || len(f.Owner)+len(f.Topic) > maxBody || len(f.Body) > s.settings.Body || f.Age < 0 || unwritten {
+			return fmt.Errorf("share: invalid fact %.40q of %.40q", f.Topic, f.Owner)
 		}
 	}
 	for _, c := range p.Counts {
 		k := countKey{c.Topic, c.Epoch, c.Owner, c.Inc}
-		mine := c.Owner == s.set.Me && (c.Inc > s.set.Inc || c.Inc == s.set.Inc && c.N > s.counts[k] && c.Epoch >= s.floors[c.Topic])
-		if c.Owner == "" || c.Topic == "" || len(c.Owner)+len(c.Topic) > bodyMost || mine {
-			return fmt.Errorf("share: count %.40q of %.40q can't be", c.Topic, c.Owner)
+		unwritten := c.Owner == s.settings.Me && (c.Inc > s.settings.Inc || c.Inc == s.settings.Inc && c.N > s.counts[k] && c.Epoch >= s.minEpochs[c.Topic])
+		if c.Owner == "" || c.Topic == "" || len(c.Owner)+len(c.Topic) > maxBody || unwritten {
+			return fmt.Errorf("share: invalid counter %.40q of %.40q", c.Topic, c.Owner)
 		}
 	}
-	for topic, epoch := range p.Floors {
+	for topic, epoch := range p.MinEpochs {
 		s.Over(topic, epoch)
 	}
 	for _, f := range p.Facts {
-		s.put(factKey{f.Topic, f.Owner}, fact{f.Inc, f.Seq, s.now - min(f.Age, ageMost), string(f.Body)})
+		s.put(factKey{f.Topic, f.Owner}, fact{f.Inc, f.Seq, s.now - min(f.Age, maxAge), string(f.Body)})
 	}
 	for _, c := range p.Counts {
 		s.raise(countKey{c.Topic, c.Epoch, c.Owner, c.Inc}, c.N)
