--- a/fleet/schema/doc.go
+++ b/fleet/schema/doc.go
@@ -1,5 +1,6 @@
-// Package schema decides in which version of the scan schema a fleet speaks while searchers, mixers and clients are
-// upgraded in steps, and rolled back: what is offered, what one scan keeps to from its first part to its last, and when a
-// scan is refused since nobody sound would understand it. It decides only: no I/O, no clock, no goroutine; who lives and
-// who may move the fleet on is told by fleet/view, what the others say by fleet/share. Absent means the lowest version.
+// Package schema negotiates the version of the scan schema that a fleet speaks while searchers, mixers and clients are
+// upgraded or rolled back step by step: which version is offered, which one a scan uses from its first part to its last,
+// and when a scan is refused because no healthy searcher would understand it. It has no I/O, clock or goroutine. Which
+// instances are alive and which may raise the version is decided by fleet/view; the announcements of the others arrive
+// through fleet/share. A peer that states no version understands the lowest only.
 package schema
--- a/fleet/schema/schema.go
+++ b/fleet/schema/schema.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Lowest is the version that everybody understands who says nothing.
+// Lowest is the version that every peer understands that states no range.
 const Lowest = 1
 
-// Range is the versions that somebody understands; the zero value is the lowest alone.
+// Range is the range of versions that a peer understands. The zero value is the lowest version alone.
 type Range struct {
 	Low  int `json:"l,omitempty"`
 	High int `json:"h,omitempty"`
@@ -20,165 +20,170 @@
 func (r Range) low() int  { return max(r.Low, Lowest) }
 func (r Range) high() int { return max(r.High, r.low()) }
 
-// Has tells whether a version is understood.
+// Has reports whether the range includes a version.
 func (r Range) Has(v int) bool { return v >= r.low() && v <= r.high() }
 
-// Settings are what an instance is told at its start. All but Own must be the same for all.
+// Settings configures the negotiation. All fields but Own must be the same for all instances.
 type Settings struct {
 	Own     Range
-	Reserve int           // sound holders of each shard that must understand a version, so that a part may go elsewhere
-	Hold    time.Duration // so long all must understand a version before the fleet is raised to it
-	Rest    time.Duration // so long it is not raised after it was lowered
+	Reserve int           // healthy searchers of each shard that must understand a version, so that a part can be retried elsewhere
+	Hold    time.Duration // all must understand a version for this long before the fleet is raised to it
+	Rest    time.Duration // after being lowered, the fleet is not raised for this long
 }
 
-// Check says what no instance could work with.
+// Check returns an error if no instance can work with the settings.
 func (s *Settings) Check() error {
 	if s.Reserve < 1 || s.Hold < 0 || s.Rest < 0 {
-		return fmt.Errorf("schema: reserve %d, hold %v, rest %v; 1 or more, none below 0", s.Reserve, s.Hold, s.Rest)
+		return fmt.Errorf("schema: reserve %d, hold %v, rest %v: the reserve must be at least 1, the times must not be negative",
+			s.Reserve, s.Hold, s.Rest)
 	}
 	return nil
 }
 
-// Said is what each instance tells the others: which versions it understands, and which one it believes the fleet to speak.
+// Said is what each instance announces to the others: the versions that it understands, and the fleet's version as far as
+// it knows.
 type Said struct {
 	Own     Range  `json:"own"`
 	Epoch   uint64 `json:"epoch"`
 	Version int    `json:"version"`
 }
 
-// newer tells which of two beliefs counts: the later epoch; of one epoch, in which two moved at once, the lower version, as
-// that one is understood by whoever understands the other.
+// newer reports whether s supersedes o as the fleet's version. The later epoch wins. If two instances changed the version
+// in the same epoch, the lower version wins, as any instance that understands the higher one
+// understands it too.
 func (s Said) newer(o Said) bool {
 	return cmp.Or(cmp.Compare(s.Epoch, o.Epoch), cmp.Compare(o.Version, s.Version)) > 0
 }
 
-// Searcher is what is known of one: its range as the list tells it, the shards it holds, and whether it can be sent anything.
+// Searcher describes a searcher: its range as listed, the shards it holds, and whether parts can be sent to it.
 type Searcher struct {
 	Name   string
-	Start  uint64 // differs at each start
+	Start  uint64 // incarnation: differs after each restart
 	Range  Range
 	Shards []int
-	Sound  bool
+	Sound  bool // healthy: parts can be sent to it
 }
 
-// believed is what a searcher has shown of the range it claims.
-type believed struct {
-	start uint64
-	wrong map[int]int // failures in a row, by version
+// results holds what a searcher's responses show about the range it claims.
+type results struct {
+	start    uint64
+	failures map[int]int // consecutive, by version
 }
 
-const wrongMost = 3 // in a row: then a version is not understood, whatever the list says
+const maxFailures = 3 // consecutive: from here on a version counts as not understood, whatever the list states
 
-// Core is one instance's.
+// Core is one instance's state of the negotiation.
 type Core struct {
-	set     Settings
-	now     time.Duration
-	epoch   uint64
-	version int
-	lowered time.Duration // when the fleet was last lowered, as far as known here; never below its start
-	could   map[int]time.Duration
-	found   map[string]*believed
-	holders []Searcher
-	others  map[string]Said
-	strange bool // some are believed alive whose range is not known
+	settings       Settings
+	now            time.Duration
+	epoch          uint64
+	version        int
+	loweredAt      time.Duration // the last known lowering; starts a Rest in the past, so that a raise is allowed
+	supportedSince map[int]time.Duration
+	results        map[string]*results
+	searchers      []Searcher
+	others         map[string]Said
+	unknownPeers   bool // some instances are taken to be alive whose range is unknown
 }
 
-// New makes one that speaks the lowest version that it understands, till it hears of more.
+// New makes the state of an instance that speaks the lowest version it understands until it hears of a later epoch.
 func New(set Settings, now time.Duration) (*Core, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	return &Core{set: set, now: now, version: set.Own.low(), lowered: now - set.Rest, could: map[int]time.Duration{},
-		found: map[string]*believed{}, others: map[string]Said{}}, nil
+	return &Core{settings: set, now: now, version: set.Own.low(), loweredAt: now - set.Rest, supportedSince: map[int]time.Duration{},
+		results: map[string]*results{}, others: map[string]Said{}}, nil
 }
 
-// At sets the clock; it never goes back.
+// At advances the clock, which never goes back.
 func (c *Core) At(now time.Duration) { c.now = max(c.now, now) }
 
-// Say is what to tell the others.
-func (c *Core) Say() Said { return Said{c.set.Own, c.epoch, c.version} }
+// Say returns the announcement to send to the others.
+func (c *Core) Say() Said { return Said{c.settings.Own, c.epoch, c.version} }
 
-// Version is what the fleet speaks, as this instance knows, and Epoch the number of the move that led there.
-func (c *Core) Version() int  { return c.version }
+// Version returns the version that the fleet speaks, as far as this instance knows.
+func (c *Core) Version() int { return c.version }
+
+// Epoch returns the number of the change that led to the current version.
 func (c *Core) Epoch() uint64 { return c.epoch }
 
-// Others takes what all others say whose words may be used, and how many more are believed to live: those may meet the same
-// clients, and nobody knows what they understand. What they say of the fleet's version is taken over; a later epoch that
-// this one does not understand it lowers at once.
+// Others takes the announcements of all other instances whose data may be used, and the number of further instances that
+// are taken to be alive. Those may serve the same clients, and which versions they understand is unknown. A newer
+// version of the fleet is adopted; one that this instance does not understand is lowered at once.
 func (c *Core) Others(said map[string]Said, strange int) {
-	c.others, c.strange = maps.Clone(said), strange > 0
+	c.others, c.unknownPeers = maps.Clone(said), strange > 0
 	for _, n := range slices.Sorted(maps.Keys(said)) {
 		if s := said[n]; s.newer(c.Say()) {
 			if s.Version < c.version {
-				c.lowered = c.now
+				c.loweredAt = c.now
 			}
 			c.epoch, c.version = s.Epoch, s.Version
 		}
 	}
-	c.look()
+	c.update()
 }
 
-// Searchers takes the list.
+// Searchers takes the list of searchers.
 func (c *Core) Searchers(list []Searcher) {
-	c.holders = slices.Clone(list)
+	c.searchers = slices.Clone(list)
 	names := map[string]bool{}
 	for _, s := range list {
 		names[s.Name] = true
-		if b := c.found[s.Name]; b == nil || b.start != s.Start {
-			c.found[s.Name] = &believed{s.Start, map[int]int{}} // what an earlier process showed says nothing of this one
+		if b := c.results[s.Name]; b == nil || b.start != s.Start {
+			c.results[s.Name] = &results{s.Start, map[int]int{}} // results of an earlier process say nothing about this one
 		}
 	}
-	maps.DeleteFunc(c.found, func(n string, _ *believed) bool { return !names[n] })
-	c.look()
+	maps.DeleteFunc(c.results, func(n string, _ *results) bool { return !names[n] })
+	c.update()
 }
 
-// Answered tells how a searcher answered a part in a version. One that fails again and again in a version that it claims
-// is not believed to understand it; one answer shows that it does.
+// Answered records whether a searcher answered a part in a version. A searcher that repeatedly fails in a version that it
+// claims counts as not understanding it; a single answer shows that it does.
 func (c *Core) Answered(name string, v int, ok bool) {
-	b := c.found[name]
+	b := c.results[name]
 	if b == nil || v <= Lowest {
 		return
 	}
 	if ok {
-		delete(b.wrong, v)
-	} else if len(b.wrong) < 16 || b.wrong[v] > 0 {
-		b.wrong[v]++
+		delete(b.failures, v)
+	} else if len(b.failures) < 16 || b.failures[v] > 0 {
+		b.failures[v]++
 	}
-	c.look()
+	c.update()
 }
 
-// Understands tells whether a searcher is believed to understand a version.
+// Understands reports whether a searcher understands a version, by its range and its results.
 func (c *Core) Understands(s *Searcher, v int) bool {
-	b := c.found[s.Name]
-	return s.Range.Has(v) && (b == nil || b.wrong[v] < wrongMost)
+	b := c.results[s.Name]
+	return s.Range.Has(v) && (b == nil || b.failures[v] < maxFailures)
 }
 
-// enough tells whether every shard has its reserve in a version. One with fewer sound holders than the reserve needs all of
-// them.
-func (c *Core) enough(v int) bool {
-	sound, understand := map[int]int{}, map[int]int{}
-	for i := range c.holders {
-		s := &c.holders[i]
+// hasReserve reports whether every shard has its reserve in a version. For a shard with fewer healthy searchers than the
+// reserve, all of them must understand it.
+func (c *Core) hasReserve(v int) bool {
+	healthy, understanding := map[int]int{}, map[int]int{}
+	for i := range c.searchers {
+		s := &c.searchers[i]
 		for _, shard := range s.Shards {
 			if s.Sound {
-				sound[shard]++
+				healthy[shard]++
 			}
 			if s.Sound && c.Understands(s, v) {
-				understand[shard]++
+				understanding[shard]++
 			}
 		}
 	}
-	for shard, n := range sound {
-		if understand[shard] < min(c.set.Reserve, n) {
+	for shard, n := range healthy {
+		if understanding[shard] < min(c.settings.Reserve, n) {
 			return false
 		}
 	}
 	return true
 }
 
-// all tells whether this instance and all others that are heard understand a version.
-func (c *Core) all(v int) bool {
-	if !c.set.Own.Has(v) {
+// mixersSupport reports whether this instance and all others that it hears understand a version.
+func (c *Core) mixersSupport(v int) bool {
+	if !c.settings.Own.Has(v) {
 		return false
 	}
 	for _, s := range c.others {
@@ -189,51 +194,53 @@
 	return true
 }
 
-// look lowers the version at once where it is not understood by all any more, and notes since when others could be
-// spoken. Whoever sees it may lower it: in a version that is not understood scans fail, or worse.
-func (c *Core) look() {
-	if !c.all(c.version) || !c.enough(c.version) {
-		if v, ok := c.below(); ok {
-			c.epoch, c.version, c.lowered = c.epoch+1, v, c.now
+// update lowers the version at once if it is no longer supported, and records since when higher versions are. Any instance
+// that notices may lower the version: in one that is not understood, scans fail or are misread.
+func (c *Core) update() {
+	if !c.mixersSupport(c.version) || !c.hasReserve(c.version) {
+		if v, ok := c.lowerVersion(); ok {
+			c.epoch, c.version, c.loweredAt = c.epoch+1, v, c.now
 		}
 	}
-	for v := c.version + 1; v <= c.set.Own.high(); v++ {
-		if !c.all(v) || !c.enough(v) {
-			delete(c.could, v)
-		} else if _, ok := c.could[v]; !ok {
-			c.could[v] = c.now
+	for v := c.version + 1; v <= c.settings.Own.high(); v++ {
+		if !c.mixersSupport(v) || !c.hasReserve(v) {
+			delete(c.supportedSince, v)
+		} else if _, ok := c.supportedSince[v]; !ok {
+			c.supportedSince[v] = c.now
 		}
 	}
-	maps.DeleteFunc(c.could, func(v int, _ time.Duration) bool { return v <= c.version })
+	maps.DeleteFunc(c.supportedSince, func(v int, _ time.Duration) bool { return v <= c.version })
 }
 
-// below is the highest lower version that all understand and that has its reserve; else the highest that all understand,
-// as with no reserve at all scans are refused one by one.
-func (c *Core) below() (int, bool) {
+// lowerVersion returns the highest lower version that all mixers understand and that has its reserve. If none has, it
+// returns the highest that all mixers understand, provided that the current one is not: without a reserve, scans are
+// refused one by one in any version.
+func (c *Core) lowerVersion() (int, bool) {
 	best, ok := 0, false
-	for v := c.version - 1; v >= c.set.Own.low(); v-- {
-		if !c.all(v) {
+	for v := c.version - 1; v >= c.settings.Own.low(); v-- {
+		if !c.mixersSupport(v) {
 			continue
 		}
-		if c.enough(v) {
+		if c.hasReserve(v) {
 			return v, true
 		}
 		if !ok {
 			best, ok = v, true
 		}
 	}
-	return best, ok && !c.all(c.version)
+	return best, ok && !c.mixersSupport(c.version)
 }
 
-// Raise moves the fleet on, if this instance may (fleet/view's Raise, which takes a settled majority), every other is heard
-// and understands, every shard has its reserve, and both have held; and not soon after a lowering.
+// Raise raises the fleet's version and reports whether it did. That requires that this instance is permitted to
+// (fleet/view's Raise, which takes a settled majority), that all others are heard and understand the version and every
+// shard has its reserve, both for the hold time, and that the fleet was not lowered recently.
 func (c *Core) Raise(may bool) bool {
-	if !may || c.strange || c.now-c.lowered < c.set.Rest {
+	if !may || c.unknownPeers || c.now-c.loweredAt < c.settings.Rest {
 		return false
 	}
 	best := 0
-	for v, since := range c.could {
-		if c.now-since >= c.set.Hold {
+	for v, since := range c.supportedSince {
+		if c.now-since >= c.settings.Hold {
 			best = max(best, v)
 		}
 	}
@@ -241,33 +248,34 @@
 		return false
 	}
 	c.epoch, c.version = c.epoch+1, best
-	c.look()
+	c.update()
 	return true
 }
 
-// Choose is the version of a new scan: the highest of what the fleet speaks that its client understands. A scan that its
-// client sends again inside its window keeps the version of its first try (pinned, 0 for none). False: it is refused at
-// once, to come again, as nobody here may speak what the client needs.
+// Choose returns the version of a new scan: the highest, up to the fleet's version, that its client understands. A scan
+// that its client sends again within the retry window keeps the version of its first attempt (pinned, 0 for none). It
+// returns false if this instance may not speak any version that the client needs: the scan is refused at once, to be
+// retried.
 func (c *Core) Choose(client Range, pinned int) (v int, ok bool) {
 	if pinned > 0 {
-		return pinned, c.set.Own.Has(pinned) && client.Has(pinned)
+		return pinned, c.settings.Own.Has(pinned) && client.Has(pinned)
 	}
 	v = min(c.version, client.high())
-	return v, client.Has(v) && c.set.Own.Has(v)
+	return v, client.Has(v) && c.settings.Own.Has(v)
 }
 
-// May tells whether a part of a scan in a version may be sent to a searcher. All parts of a scan, both steps, and every
-// further dispatch ask with the scan's one version.
+// May reports whether a part of a scan in the given version may be sent to a searcher. All parts of a scan, in both steps
+// and in every retry or hedge, are checked with the scan's one version.
 func (c *Core) May(name string, v int) bool {
-	i := slices.IndexFunc(c.holders, func(s Searcher) bool { return s.Name == name })
-	return i >= 0 && c.holders[i].Sound && c.Understands(&c.holders[i], v)
+	i := slices.IndexFunc(c.searchers, func(s Searcher) bool { return s.Name == name })
+	return i >= 0 && c.searchers[i].Sound && c.Understands(&c.searchers[i], v)
 }
 
-// Reaches tells whether each of some shards has a sound holder that understands a version; else a scan of them is refused
-// at once, never sent in a version that could be misread.
+// Reaches reports whether each of the shards has a healthy searcher that understands a version. Otherwise a scan of them
+// is refused at once, and never sent in a version that could be misread.
 func (c *Core) Reaches(shards []int, v int) bool {
 	return !slices.ContainsFunc(shards, func(shard int) bool {
-		return !slices.ContainsFunc(c.holders, func(s Searcher) bool {
+		return !slices.ContainsFunc(c.searchers, func(s Searcher) bool {
 			return s.Sound && slices.Contains(s.Shards, shard) && c.Understands(&s, v)
 		})
 	})
--- a/fleet/schema/schema_test.go
+++ b/fleet/schema/schema_test.go
@@ -10,197 +10,204 @@
 
 const s = time.Second
 
-func set(own Range) Settings { return Settings{Own: own, Reserve: 2, Hold: 2 * s, Rest: 5 * s} }
+func testSettings(own Range) Settings {
+	return Settings{Own: own, Reserve: 2, Hold: 2 * s, Rest: 5 * s}
+}
 
-// fleet is mixers that tell each other what they say, and searchers that each hold two of four shards, three holders each.
+// fleet is a set of mixers that exchange announcements, and six searchers that each hold two of four shards, so that each
+// shard has three holders.
 type fleet struct {
-	now   time.Duration
-	cores []*Core
-	up    []bool
-	side  []int
-	dead  bool // those of the other side are held for dead
-	list  []Searcher
+	now            time.Duration
+	negotiators    []*Core
+	up             []bool
+	side           []int // of a partition
+	otherSideIsOut bool  // mixers on the other side of a partition are taken for dead
+	searchers      []Searcher
 }
 
 func newFleet(own ...Range) *fleet {
 	f := &fleet{}
 	for _, r := range own {
-		c, err := New(set(r), 0)
+		c, err := New(testSettings(r), 0)
 		if err != nil {
 			panic(err)
 		}
-		f.cores, f.up, f.side = append(f.cores, c), append(f.up, true), append(f.side, 0)
+		f.negotiators, f.up, f.side = append(f.negotiators, c), append(f.up, true), append(f.side, 0)
 	}
 	for i := range 6 {
-		f.list = append(f.list, Searcher{Name: fmt.Sprint("r", i), Start: 1, Range: Range{1, 2}, Shards: []int{i % 4, (i + 2) % 4}, Sound: true})
+		f.searchers = append(f.searchers, Searcher{Name: fmt.Sprint("r", i), Start: 1, Range: Range{1, 2}, Shards: []int{i % 4, (i + 2) % 4}, Sound: true})
 	}
 	return f
 }
 
-// run lets time pass; who hears a majority may raise, and those that it does not hear, though up, are strange to it.
+// run lets time pass. A mixer that hears a majority may raise the version; running mixers that it does not hear are unknown
+// peers to it.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += s / 4 {
-		for i, c := range f.cores {
+		for i, c := range f.negotiators {
 			if !f.up[i] {
 				continue
 			}
 			c.At(f.now)
-			c.Searchers(f.list)
-			said, strange := map[string]Said{}, 0
-			for j, o := range f.cores {
+			c.Searchers(f.searchers)
+			announcements, unknownPeers := map[string]Said{}, 0
+			for j, o := range f.negotiators {
 				switch {
 				case i == j || !f.up[j]:
 				case f.side[i] == f.side[j]:
-					said[fmt.Sprint(j)] = o.Say()
-				case !f.dead:
-					strange++
+					announcements[fmt.Sprint(j)] = o.Say()
+				case !f.otherSideIsOut:
+					unknownPeers++
 				}
 			}
-			c.Others(said, strange)
-			c.Raise(2*(len(said)+1) > len(f.cores))
+			c.Others(announcements, unknownPeers)
+			c.Raise(2*(len(announcements)+1) > len(f.negotiators))
 		}
 	}
 }
 
-func (f *fleet) speak(t *testing.T, what string, want ...int) {
+func (f *fleet) expectVersions(t *testing.T, situation string, want ...int) {
 	t.Helper()
-	for i, c := range f.cores {
+	for i, c := range f.negotiators {
 		if f.up[i] && c.Version() != want[min(i, len(want)-1)] {
-			t.Errorf("%s: mixer %d speaks %d, not %d", what, i, c.Version(), want[min(i, len(want)-1)])
+			t.Errorf("%s: mixer %d speaks %d, want %d", situation, i, c.Version(), want[min(i, len(want)-1)])
 		}
 	}
 }
 
-// A rolling upgrade: the version goes up once, when the last has come, after its hold; a rollback takes it down at once.
-func TestARollingUpgradeAndBack(t *testing.T) {
+// In a rolling upgrade the version is raised once, after every shard has had its reserve for the hold time; a rollback lowers
+// it at once.
+func TestRollingUpgradeAndRollback(t *testing.T) {
 	v12 := Range{1, 2}
 	f := newFleet(v12, v12, v12)
-	f.list[0].Range, f.list[1].Range, f.list[4].Range = Range{}, Range{}, Range{} // shard 0 has one that understands 2
+	f.searchers[0].Range, f.searchers[1].Range, f.searchers[4].Range = Range{}, Range{}, Range{} // shard 0 has one searcher left that understands 2
 	f.run(8 * s)
-	f.speak(t, "half of the searchers upgraded", 1)
-	f.list[0].Range, f.list[1].Range = v12, v12
+	f.expectVersions(t, "half of the searchers upgraded", 1)
+	f.searchers[0].Range, f.searchers[1].Range = v12, v12
 	f.run(1500 * time.Millisecond)
-	f.speak(t, "not held yet", 1)
+	f.expectVersions(t, "hold time not over", 1)
 	f.run(2 * s)
-	f.speak(t, "enough of them", 2)
-	f.list[0].Range, f.list[4].Range = Range{}, Range{}
+	f.expectVersions(t, "enough searchers upgraded", 2)
+	f.searchers[0].Range, f.searchers[4].Range = Range{}, Range{}
 	f.run(s / 4)
-	f.speak(t, "rolled back", 1)
-	f.list[0].Range = v12
+	f.expectVersions(t, "rolled back", 1)
+	f.searchers[0].Range = v12
 	f.run(4 * s)
-	f.speak(t, "no quick turn", 1)
+	f.expectVersions(t, "not raised again soon", 1)
 	f.run(4 * s)
-	f.speak(t, "and up again", 2)
-	if e := f.cores[0].Epoch(); e != 3 {
-		t.Errorf("%d moves", e)
+	f.expectVersions(t, "raised again", 2)
+	if e := f.negotiators[0].Epoch(); e != 3 {
+		t.Errorf("%d version changes", e)
 	}
 }
 
-// A mixer of an older build rejoins a fleet that moved on: what all understand is spoken again, at once.
-func TestAnOlderMixerRejoins(t *testing.T) {
+// When a mixer of an older build rejoins a fleet that has raised its version, the fleet returns at once to a version that all
+// understand.
+func TestOlderMixerRejoins(t *testing.T) {
 	f := newFleet(Range{1, 2}, Range{1, 2}, Range{1, 1})
 	f.up[2] = false
 	f.run(4 * s)
-	f.speak(t, "without it", 2)
+	f.expectVersions(t, "without it", 2)
 	f.up[2] = true
 	f.run(s / 2)
-	f.speak(t, "with it", 1)
+	f.expectVersions(t, "with it", 1)
 	f.run(20 * s)
-	f.speak(t, "later", 1)
+	f.expectVersions(t, "later", 1)
 }
 
-// Half of the fleet cut off, in the midst of a raise: nobody raises what those may not understand, and a majority alone
-// would be no reason to.
-func TestACutInTheMidstOfARaise(t *testing.T) {
+// If a partition separates part of the fleet before a raise, no mixer raises the version, as the others may not understand
+// it: a majority alone is no sufficient reason.
+func TestPartitionBeforeRaise(t *testing.T) {
 	v12 := Range{1, 2}
 	f := newFleet(v12, v12, v12, v12, v12)
 	f.run(s)
 	f.side = []int{0, 0, 1, 1, 1}
 	f.run(10 * s)
-	f.speak(t, "cut", 1)
-	f.dead = true
+	f.expectVersions(t, "partitioned", 1)
+	f.otherSideIsOut = true
 	f.run(4 * s)
-	f.speak(t, "held for dead: the majority goes on without them, the minority does not", 1, 1, 2)
-	f.dead = false
+	f.expectVersions(t, "taken for dead: the majority goes on without them, the minority does not", 1, 1, 2)
+	f.otherSideIsOut = false
 	f.side = make([]int, 5)
 	f.run(3 * s)
-	f.speak(t, "healed", 2)
+	f.expectVersions(t, "healed", 2)
 	f.side = []int{0, 0, 1, 1, 1}
-	for i := range f.list {
-		f.list[i].Range = Range{}
+	for i := range f.searchers {
+		f.searchers[i].Range = Range{}
 	}
 	f.run(s / 2)
-	f.speak(t, "searchers rolled back while cut: a minority may lower too", 1)
+	f.expectVersions(t, "searchers rolled back during a partition: a minority may lower too", 1)
 }
 
-// A searcher that lies about its range is found out, and counts for no reserve; a new start is believed anew.
-func TestALiar(t *testing.T) {
+// A searcher that fails in a version it claims to understand no longer counts towards the reserve of that version. After a
+// restart its claim counts again.
+func TestSearcherWithWrongRange(t *testing.T) {
 	f := newFleet(Range{1, 2})
-	f.list[4].Sound = false // shards 0 and 2 have two sound holders left
+	f.searchers[4].Sound = false // shards 0 and 2 have two healthy searchers left
 	f.run(4 * s)
-	f.speak(t, "before", 2)
-	c := f.cores[0]
+	f.expectVersions(t, "before", 2)
+	c := f.negotiators[0]
 	c.Answered("r0", 2, false)
 	c.Answered("r0", 2, false)
 	c.Answered("r0", 2, true)
 	c.Answered("r0", 2, false)
 	c.Answered("r0", 2, false)
 	if !c.May("r0", 2) || c.Version() != 2 {
-		t.Error("two failures in a row make a liar")
+		t.Error("two consecutive failures are enough to reject the version")
 	}
 	c.Answered("r0", 2, false)
 	if c.May("r0", 2) || !c.May("r0", 1) || c.Version() != 1 {
-		t.Errorf("a liar is sent version 2, or the fleet speaks %d", c.Version())
+		t.Errorf("the searcher is still sent version 2, or the fleet speaks %d", c.Version())
 	}
 	if !c.Reaches([]int{0, 2}, 2) || c.Reaches([]int{7}, 1) {
-		t.Error("scans that began in version 2 still reach the other holder; a shard without holders is not reached")
+		t.Error("scans that began in version 2 must reach the other searcher, and a shard without searchers must not be reached")
 	}
-	f.list[0].Start = 2
+	f.searchers[0].Start = 2
 	f.run(8 * s)
-	f.speak(t, "it started anew", 2)
+	f.expectVersions(t, "restarted", 2)
 }
 
-// Two that moved in the same epoch, to different versions: all come to the lower one, in whichever order they hear.
-func TestTwoMovesInOneEpoch(t *testing.T) {
+// If two mixers change the version in the same epoch, all adopt the lower one, whatever the order of the announcements.
+func TestTwoChangesInOneEpoch(t *testing.T) {
 	for _, order := range [][]int{{2, 3}, {3, 2}} {
-		c, _ := New(set(Range{1, 3}), 0)
+		c, _ := New(testSettings(Range{1, 3}), 0)
 		for _, v := range order {
 			c.Others(map[string]Said{"b": {Range{1, 3}, 4, v}}, 0)
 		}
 		if c.Version() != 2 || c.Epoch() != 4 {
-			t.Errorf("heard %v, and speaks %d in epoch %d", order, c.Version(), c.Epoch())
+			t.Errorf("after announcements %v: version %d in epoch %d", order, c.Version(), c.Epoch())
 		}
 	}
 }
 
 func TestChoose(t *testing.T) {
-	c, _ := New(set(Range{2, 3}), 0)
+	c, _ := New(testSettings(Range{2, 3}), 0)
 	c.Others(map[string]Said{"b": {Range{1, 3}, 4, 3}}, 0)
 	for _, x := range []struct {
 		client    Range
 		pinned, v int
 		ok        bool
-		about     string
+		name      string
 	}{
 		{Range{1, 5}, 0, 3, true, "a newer client"},
 		{Range{1, 2}, 0, 2, true, "an older client"},
-		{Range{}, 0, 1, false, "one that says nothing, where this mixer no longer understands the lowest"},
-		{Range{4, 5}, 0, 3, false, "one that needs more than the fleet speaks"},
+		{Range{}, 0, 1, false, "a client without a range, where this mixer no longer understands the lowest"},
+		{Range{4, 5}, 0, 3, false, "a client that needs more than the fleet speaks"},
 		{Range{1, 3}, 2, 2, true, "a keyed scan sent again keeps its version"},
-		{Range{1, 5}, 4, 4, false, "one whose version this mixer does not understand is refused, not sent in another"},
+		{Range{1, 5}, 4, 4, false, "a scan whose version this mixer does not understand is refused, not sent in another"},
 	} {
 		if v, ok := c.Choose(x.client, x.pinned); ok != x.ok || ok && v != x.v {
-			t.Errorf("%s: %d %v", x.about, v, ok)
+			t.Errorf("%s: %d %v", x.name, v, ok)
 		}
 	}
 	if _, err := New(Settings{}, 0); err == nil {
-		t.Error("settings without a reserve are taken")
+		t.Error("settings without a reserve are accepted")
 	}
 }
 
-// Random upgrades, rollbacks, cuts, deaths and liars: nobody who hears all the others speaks, for longer than it takes to be
-// told, what one of them does not understand or has no reserve for while something lower has; epochs never go back, and
-// all of one side come to speak the same.
+// Under random upgrades, rollbacks, partitions, crashes and searchers with wrong ranges, no mixer stays in a version that a
+// mixer it hears does not understand, or that lacks its reserve while a lower version has it. Epochs never decrease, and all
+// mixers on one side of a partition agree.
 func TestRandomUpgrades(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(r, "mixers")
@@ -214,38 +221,38 @@
 			i, k := rapid.IntRange(0, n-1).Draw(r, "mixer"), rapid.IntRange(0, 5).Draw(r, "searcher")
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
 			case 0:
-				f.list[k].Range = Range{1, rapid.IntRange(1, 3).Draw(r, "range")}
+				f.searchers[k].Range = Range{1, rapid.IntRange(1, 3).Draw(r, "range")}
 			case 1:
-				f.list[k].Sound = !f.list[k].Sound
+				f.searchers[k].Sound = !f.searchers[k].Sound
 			case 2:
 				f.side[i] = 1 - f.side[i]
 			case 3:
 				f.up[i] = !f.up[i]
 			case 4:
-				f.cores[i].Answered(fmt.Sprint("r", k), 2, rapid.Bool().Draw(r, "ok"))
+				f.negotiators[i].Answered(fmt.Sprint("r", k), 2, rapid.Bool().Draw(r, "ok"))
 			case 5:
-				f.list[k].Start++
+				f.searchers[k].Start++
 			}
 			f.run(time.Duration(rapid.IntRange(1, 6).Draw(r, "seconds")) * s)
-			for i, c := range f.cores {
+			for i, c := range f.negotiators {
 				if c.Epoch() < last[i] {
 					r.Fatalf("mixer %d: epoch %d after %d", i, c.Epoch(), last[i])
 				}
 				if last[i] = c.Epoch(); !f.up[i] {
 					continue
 				}
-				for j, o := range f.cores {
-					if i != j && f.up[j] && f.side[i] == f.side[j] && o.Say() != (Said{o.set.Own, c.epoch, c.version}) {
-						r.Fatalf("mixers %d and %d hear each other, and say %+v and %+v", i, j, c.Say(), o.Say())
+				for j, o := range f.negotiators {
+					if i != j && f.up[j] && f.side[i] == f.side[j] && o.Say() != (Said{o.settings.Own, c.epoch, c.version}) {
+						r.Fatalf("mixers %d and %d hear each other, but announce %+v and %+v", i, j, c.Say(), o.Say())
 					}
 				}
-				if !c.all(c.version) {
-					r.Fatalf("mixer %d speaks %d, which not all understand", i, c.version)
+				if !c.mixersSupport(c.version) {
+					r.Fatalf("mixer %d speaks %d, which not all mixers understand", i, c.version)
 				}
-				if !c.enough(c.version) {
+				if !c.hasReserve(c.version) {
 					for v := 1; v < c.version; v++ {
-						if c.all(v) && c.enough(v) {
-							r.Fatalf("mixer %d speaks %d without its reserve, and %d has it", i, c.version, v)
+						if c.mixersSupport(v) && c.hasReserve(v) {
+							r.Fatalf("mixer %d speaks %d, which lacks its reserve, while %d has it", i, c.version, v)
 						}
 					}
 				}
