--- a/fleet/overload/budget.go
+++ b/fleet/overload/budget.go
@@ -233,7 +233,9 @@
 		return Loan{}, false
 	}
 	l := Loan{From: b.name, Inc: b.incarnation, To: a.From, ToInc: a.Inc, No: a.No}
-	if i := slices.IndexFunc(b.lent, func(x lentLoan) bool { return x.borrower == a.From && x.incarnation == a.Inc && x.number == a.No }); i >= 0 {
+	if i := slices.IndexFunc(b.lent, func(x lentLoan) bool {
+		return x.borrower == a.From && x.incarnation == a.Inc && x.number == a.No
+	}); i >= 0 {
 		l.Rate = b.lent[i].rate
 		return l, true
 	}
@@ -248,7 +250,8 @@
 // Lent takes the answer to a loan request. It returns false if the answer is invalid or no longer awaited.
 func (b *Budget) Lent(l Loan) bool {
 	i := slices.IndexFunc(b.borrowed, func(o borrowedLoan) bool { return o.lender == l.From && o.number == l.No })
-	if i < 0 || l.To != b.name || l.ToInc != b.incarnation || b.borrowed[i].rate > 0 || l.Rate < 0 || l.Rate > b.borrowed[i].requested {
+	if i < 0 || l.To != b.name || l.ToInc != b.incarnation || b.borrowed[i].rate > 0 || l.Rate < 0 ||
+		l.Rate > b.borrowed[i].requested {
 		return false
 	}
 	if b.borrowed[i].rate = l.Rate; l.Rate == 0 {
--- a/fleet/overload/detector.go
+++ b/fleet/overload/detector.go
@@ -96,7 +96,7 @@
 // NewJudge makes a detector that starts calm.
 func NewJudge(set Patience) (*Judge, error) {
 	if set.Enter < 0 || set.Leave < set.Enter {
-		return nil, fmt.Errorf("load condition: enter after %v, leave after %v: must not be negative, and leaving must not be quicker than entering",
+		return nil, fmt.Errorf("load condition: enter after %v, leave after %v: must not be negative, nor leave before enter",
 			set.Enter, set.Leave)
 	}
 	return &Judge{config: set}, nil
--- a/fleet/share/merge.go
+++ b/fleet/share/merge.go
@@ -100,13 +100,15 @@
 	}
 	for _, f := range p.Facts {
 		unwritten := f.Owner == s.settings.Me && (f.Inc > s.settings.Inc || f.Inc == s.settings.Inc && f.Seq > s.seq)
-		if f.Owner == "" || f.Topic == "" || len(f.Owner)+len(f.Topic) > maxBody || len(f.Body) > s.settings.Body || f.Age < 0 || unwritten {
+		if f.Owner == "" || f.Topic == "" || len(f.Owner)+len(f.Topic) > maxBody || len(f.Body) > s.settings.Body ||
+			f.Age < 0 || unwritten {
 			return fmt.Errorf("share: invalid fact %.40q of %.40q", f.Topic, f.Owner)
 		}
 	}
 	for _, c := range p.Counts {
 		k := countKey{c.Topic, c.Epoch, c.Owner, c.Inc}
-		unwritten := c.Owner == s.settings.Me && (c.Inc > s.settings.Inc || c.Inc == s.settings.Inc && c.N > s.counts[k] && c.Epoch >= s.minEpochs[c.Topic])
+		unwritten := c.Owner == s.settings.Me && (c.Inc > s.settings.Inc ||
+			c.Inc == s.settings.Inc && c.N > s.counts[k] && c.Epoch >= s.minEpochs[c.Topic])
 		if c.Owner == "" || c.Topic == "" || len(c.Owner)+len(c.Topic) > maxBody || unwritten {
 			return fmt.Errorf("share: invalid counter %.40q of %.40q", c.Topic, c.Owner)
 		}
--- a/fleet/share/store.go
+++ b/fleet/share/store.go
@@ -63,7 +63,8 @@
 
 // cmp orders the newest epochs and incarnations first, so that they are evicted last.
 func (a countKey) cmp(b countKey) int {
-	return cmp.Or(cmp.Compare(a.topic, b.topic), cmp.Compare(b.epoch, a.epoch), cmp.Compare(a.owner, b.owner), cmp.Compare(b.incarnation, a.incarnation))
+	return cmp.Or(cmp.Compare(a.topic, b.topic), cmp.Compare(b.epoch, a.epoch), cmp.Compare(a.owner, b.owner),
+		cmp.Compare(b.incarnation, a.incarnation))
 }
 
 type fact struct {
@@ -94,7 +95,8 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	return &Store{settings: set, now: now, facts: map[factKey]fact{}, counts: map[countKey]uint64{}, minEpochs: map[string]uint64{}}, nil
+	return &Store{settings: set, now: now, facts: map[factKey]fact{}, counts: map[countKey]uint64{},
+		minEpochs: map[string]uint64{}}, nil
 }
 
 // At advances the clock, which never goes back.
--- a/fleet/view/view.go
+++ b/fleet/view/view.go
@@ -274,7 +274,9 @@
 // Words begins a round and returns the heartbeat for each of the named instances.
 func (c *Core) Words(leaves bool, names []string) []Word {
 	c.round++
-	c.sent = slices.DeleteFunc(append(c.sent, sentRound{c.round, c.now}), func(x sentRound) bool { return c.now-x.at > c.settings.Stale })
+	c.sent = slices.DeleteFunc(append(c.sent, sentRound{c.round, c.now}), func(x sentRound) bool {
+		return c.now-x.at > c.settings.Stale
+	})
 	w := Word{From: c.settings.Me, Inc: c.settings.Inc, No: c.round, Instances: c.settings.Instances, Leaves: leaves}
 	for _, p := range c.peers {
 		if c.fresh(p) && w.Hears < c.settings.Instances-1 {
