--- a/fleet/overload/detector.go
+++ b/fleet/overload/detector.go
@@ -75,7 +75,7 @@
 	lossThreshold      = 0.05
 	stormRetryRatio    = 0.5 // retries per first attempt that make a storm
 	recoveryRetryRatio = 0.1
-	freshDemandRatio   = 1.5 // first attempts relative to the baseline: above it the demand is new, and no storm
+	freshDemandRatio   = 1.5  // first attempts relative to the baseline: above it the demand is new, and no storm
 	baselineWeight     = 0.02 // of a new report in the moving averages of the baseline
 )
 
--- a/fleet/schema/schema_test.go
+++ b/fleet/schema/schema_test.go
@@ -115,9 +115,9 @@
 	f.expectVersions(t, "later", 1)
 }
 
-// If a partition separates part of the fleet before a raise, no mixer raises the version, as the others may not understand
-// it: a majority alone is no sufficient reason.
-func TestPartitionBeforeRaise(t *testing.T) {
+// If a partition separates part of the fleet while a raise is pending, no mixer raises the version, as the others may not
+// understand it: a majority alone is no sufficient reason.
+func TestPartitionDuringRaise(t *testing.T) {
 	v12 := Range{1, 2}
 	f := newFleet(v12, v12, v12, v12, v12)
 	f.run(s)
