--- a/fleet/overload/budget.go
+++ b/fleet/overload/budget.go
@@ -19,15 +19,15 @@
 }
 
 // Check returns an error if no budget can work with the configuration.
-func (t *Terms) Check() error {
+func (c *Terms) Check() error {
 	switch {
-	case t.Rate <= 0 || t.Instances < 1 || t.Burst <= 0:
-		return fmt.Errorf("budget: rate %g, %d instances, burst %v: each must be above 0", t.Rate, t.Instances, t.Burst)
-	case t.Kept < 0 || t.Kept > 1:
-		return fmt.Errorf("budget: reserved share %g: must be between 0 and 1", t.Kept)
-	case t.Leap <= 0 || t.Lease < 4*t.Leap:
+	case c.Rate <= 0 || c.Instances < 1 || c.Burst <= 0:
+		return fmt.Errorf("budget: rate %g, %d instances, burst %v: each must be above 0", c.Rate, c.Instances, c.Burst)
+	case c.Kept < 0 || c.Kept > 1:
+		return fmt.Errorf("budget: reserved share %g: must be between 0 and 1", c.Kept)
+	case c.Leap <= 0 || c.Lease < 4*c.Leap:
 		return fmt.Errorf("budget: lease %v, longest clock step %v: the step must be above 0 and the lease at least four steps",
-			t.Lease, t.Leap)
+			c.Lease, c.Leap)
 	}
 	return nil
 }
@@ -100,13 +100,13 @@
 
 // NewBudget makes the budget of an instance that has just started. An earlier incarnation may have spent its share and
 // lent some of it, so the budget starts with no savings and treats everything lendable as lent for the time of one loan.
-func NewBudget(set Terms, me string, inc uint64, now time.Duration) (*Budget, error) {
-	if err := set.Check(); err != nil {
+func NewBudget(config Terms, name string, incarnation uint64, now time.Duration) (*Budget, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	b := &Budget{config: set, name: me, incarnation: inc, now: now, windowStart: now}
+	b := &Budget{config: config, name: name, incarnation: incarnation, now: now, windowStart: now}
 	// Loans granted before the restart are unknown: everything lendable counts as lent until it must have been returned.
-	if lendable := b.ownRate() * (1 - set.Kept); lendable > 0 {
+	if lendable := b.ownRate() * (1 - config.Kept); lendable > 0 {
 		b.lent = []lentLoan{{rate: lendable, left: b.lenderTerm()}}
 	}
 	return b, nil
@@ -190,11 +190,11 @@
 
 // Asks returns the loan requests to send now for the rate that this instance lacks, to the peers that report a spare rate,
 // the largest first. A peer that has yet to answer a request gets no other.
-func (b *Budget) Asks(spare map[string]Spare) (asks []Ask) {
+func (b *Budget) Asks(spare map[string]Spare) (requests []Ask) {
 	lack := b.demand*demandHeadroom - b.Rate()
 	names := make([]string, 0, len(spare))
 	for n := range spare {
-		if n != b.name && !slices.ContainsFunc(b.borrowed, func(o borrowedLoan) bool { return o.lender == n && o.rate == 0 }) {
+		if n != b.name && !slices.ContainsFunc(b.borrowed, func(l borrowedLoan) bool { return l.lender == n && l.rate == 0 }) {
 			names = append(names, n)
 		}
 	}
@@ -214,10 +214,10 @@
 		}
 		b.lastNumber++
 		b.borrowed = append(b.borrowed, borrowedLoan{lender: n, number: b.lastNumber, requested: rate, left: b.config.Lease})
-		asks = append(asks, Ask{From: b.name, Inc: b.incarnation, To: n, ToInc: spare[n].Inc, No: b.lastNumber, Rate: rate})
+		requests = append(requests, Ask{From: b.name, Inc: b.incarnation, To: n, ToInc: spare[n].Inc, No: b.lastNumber, Rate: rate})
 		lack -= rate
 	}
-	return asks
+	return requests
 }
 
 // Spare is the rate that a peer reports to have to spare, with its incarnation.
@@ -226,35 +226,35 @@
 	Rate float64
 }
 
-// Asked answers a loan request; may states whether the membership view allows this instance to grant loans. A duplicate
+// Asked answers a loan request; allowed states whether the membership view allows this instance to grant loans. A duplicate
 // request gets the same answer, and a lent rate is deducted from the moment it is granted.
-func (b *Budget) Asked(a Ask, may bool) (Loan, bool) {
-	if a.To != b.name || a.ToInc != b.incarnation || a.From == b.name || !(a.Rate > 0) {
+func (b *Budget) Asked(request Ask, allowed bool) (Loan, bool) {
+	if request.To != b.name || request.ToInc != b.incarnation || request.From == b.name || !(request.Rate > 0) {
 		return Loan{}, false
 	}
-	l := Loan{From: b.name, Inc: b.incarnation, To: a.From, ToInc: a.Inc, No: a.No}
+	loan := Loan{From: b.name, Inc: b.incarnation, To: request.From, ToInc: request.Inc, No: request.No}
 	if i := slices.IndexFunc(b.lent, func(x lentLoan) bool {
-		return x.borrower == a.From && x.incarnation == a.Inc && x.number == a.No
+		return x.borrower == request.From && x.incarnation == request.Inc && x.number == request.No
 	}); i >= 0 {
-		l.Rate = b.lent[i].rate
-		return l, true
+		loan.Rate = b.lent[i].rate
+		return loan, true
 	}
-	if rate := min(a.Rate, b.Spare()); may && rate > 0 && len(b.lent) < maxLoans {
-		b.lent = append(b.lent, lentLoan{a.From, a.Inc, a.No, rate, b.lenderTerm()})
+	if rate := min(request.Rate, b.Spare()); allowed && rate > 0 && len(b.lent) < maxLoans {
+		b.lent = append(b.lent, lentLoan{request.From, request.Inc, request.No, rate, b.lenderTerm()})
 		b.tokens = min(b.tokens, b.burst())
-		l.Rate = rate
+		loan.Rate = rate
 	}
-	return l, true
+	return loan, true
 }
 
 // Lent takes the answer to a loan request. It returns false if the answer is invalid or no longer awaited.
-func (b *Budget) Lent(l Loan) bool {
-	i := slices.IndexFunc(b.borrowed, func(o borrowedLoan) bool { return o.lender == l.From && o.number == l.No })
-	if i < 0 || l.To != b.name || l.ToInc != b.incarnation || b.borrowed[i].rate > 0 || l.Rate < 0 ||
-		l.Rate > b.borrowed[i].requested {
+func (b *Budget) Lent(loan Loan) bool {
+	i := slices.IndexFunc(b.borrowed, func(o borrowedLoan) bool { return o.lender == loan.From && o.number == loan.No })
+	if i < 0 || loan.To != b.name || loan.ToInc != b.incarnation || b.borrowed[i].rate > 0 || loan.Rate < 0 ||
+		loan.Rate > b.borrowed[i].requested {
 		return false
 	}
-	if b.borrowed[i].rate = l.Rate; l.Rate == 0 {
+	if b.borrowed[i].rate = loan.Rate; loan.Rate == 0 {
 		b.borrowed = slices.Delete(b.borrowed, i, i+1)
 	}
 	return true
--- a/fleet/overload/detector.go
+++ b/fleet/overload/detector.go
@@ -94,12 +94,12 @@
 }
 
 // NewJudge makes a detector that starts calm.
-func NewJudge(set Patience) (*Judge, error) {
-	if set.Enter < 0 || set.Leave < set.Enter {
+func NewJudge(config Patience) (*Judge, error) {
+	if config.Enter < 0 || config.Leave < config.Enter {
 		return nil, fmt.Errorf("load condition: enter after %v, leave after %v: must not be negative, nor leave before enter",
-			set.Enter, set.Leave)
+			config.Enter, config.Leave)
 	}
-	return &Judge{config: set}, nil
+	return &Judge{config: config}, nil
 }
 
 // Forget resets the condition to calm and keeps the learned baseline.
@@ -138,22 +138,22 @@
 	if asked == 0 {
 		return Calm
 	}
-	bound := func(x float64, in bool) float64 {
-		if in {
+	bound := func(x float64, active bool) float64 {
+		if active {
 			return x / 2
 		}
 		return x
 	}
-	out := outageCompleted
+	minCompleted := outageCompleted
 	if j.condition == Outage {
-		out *= 2
+		minCompleted *= 2
 	}
 	troubled := j.condition == Outage || j.condition == Storm || j.condition == Recovery
 	lost := r.lost() > bound(lossThreshold, j.condition != Calm)*asked
 	retryRatio := r.Again / max(r.First, 1e-9)
 	fresh := j.baselineFirst > 0 && r.First > freshDemandRatio*j.baselineFirst
 	switch {
-	case lost && r.Done < out*min(asked, max(j.baselineCompleted, r.Done)) || lost && r.Done == 0:
+	case lost && r.Done < minCompleted*min(asked, max(j.baselineCompleted, r.Done)) || lost && r.Done == 0:
 		return Outage
 	case lost && retryRatio > bound(stormRetryRatio, j.condition == Storm) && !fresh:
 		return Storm
--- a/fleet/overload/meter.go
+++ b/fleet/overload/meter.go
@@ -31,8 +31,8 @@
 }
 
 // Came counts an arriving scan. A tenant below 0 stands for no known tenant.
-func (m *Meter) Came(class, tenant, parts int, again bool) {
-	if again {
+func (m *Meter) Came(class, tenant, parts int, retry bool) {
+	if retry {
 		m.counts.Again++
 	} else {
 		m.counts.First++
@@ -43,8 +43,8 @@
 }
 
 // Ended counts the end of a scan, with the time since its arrival and its target latency.
-func (m *Meter) Ended(how End, took, target time.Duration) {
-	switch how {
+func (m *Meter) Ended(outcome End, took, target time.Duration) {
+	switch outcome {
 	case Done:
 		m.counts.Done++
 	case Turned:
@@ -52,7 +52,7 @@
 	case Failed:
 		m.counts.Failed++
 	}
-	if x, ok := pressure(took, target, how == Done); ok {
+	if x, ok := pressure(took, target, outcome == Done); ok {
 		m.counts.Pressure += x
 		m.pressureSamples++
 	}
--- a/fleet/overload/shedding.go
+++ b/fleet/overload/shedding.go
@@ -14,11 +14,11 @@
 	Within bool    // within the tenant's quota
 }
 
-// Divide returns the share of each bin to admit when only room parts a second can be served. The result depends on the
+// Divide returns the share of each bin to admit when only capacity parts a second can be served. The result depends on the
 // arguments alone, so that instances with the same data agree. All demand within the tenants' quotas precedes all demand
 // beyond them, and more valuable work precedes less valuable work; at most one bin is admitted partially. A tenant within
 // its quota is therefore never shed while another is served beyond its own.
-func Divide(bins []Bin, asked []float64, room float64) []float64 {
+func Divide(bins []Bin, demand []float64, capacity float64) []float64 {
 	order := make([]int, len(bins))
 	for i := range order {
 		order[i] = i
@@ -32,14 +32,14 @@
 	})
 	admitted := make([]float64, len(bins))
 	for _, i := range order {
-		demand := rateAt(asked, i)
+		rate := rateAt(demand, i)
 		switch {
-		case demand <= room:
+		case rate <= capacity:
 			admitted[i] = 1
-		case room > 0:
-			admitted[i] = room / demand
+		case capacity > 0:
+			admitted[i] = capacity / rate
 		}
-		room = max(0, room-demand)
+		capacity = max(0, capacity-rate)
 	}
 	return admitted
 }
@@ -57,9 +57,9 @@
 // Bin returns the index of a class and tenant. A tenant below 0 stands for no known tenant.
 func (k Kinds) Bin(class, tenant int) int { return class*(len(k.Quota)+1) + tenant + 1 }
 
-// Let divides room, in parts per second, among all demand and returns the share of each bin to admit. Quotas apply to a
+// Let divides capacity, in parts per second, among all demand and returns the share of each bin to admit. Quotas apply to a
 // tenant's demand over the whole fleet, whichever instances its clients reach.
-func (k Kinds) Let(sum Report, room float64) []float64 {
+func (k Kinds) Let(sum Report, capacity float64) []float64 {
 	value, order := make([]float64, len(k.Benefit)), make([]int, len(k.Benefit))
 	for c := range order {
 		scans, parts := 0.0, 0.0
@@ -71,7 +71,7 @@
 		}
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(value[b], value[a]) })
-	bins, asked := make([]Bin, 2*k.Len()), make([]float64, 2*k.Len())
+	bins, demand := make([]Bin, 2*k.Len()), make([]float64, 2*k.Len())
 	for t := -1; t < len(k.Quota); t++ {
 		quotaLeft := 0.0 // the tenant's most valuable work uses its quota first; without a tenant there is none
 		if t >= 0 {
@@ -86,14 +86,14 @@
 			}
 			quotaLeft = max(0, quotaLeft-scans)
 			bins[2*i], bins[2*i+1] = Bin{value[c], true}, Bin{value[c], false}
-			asked[2*i], asked[2*i+1] = within, parts-within
+			demand[2*i], demand[2*i+1] = within, parts-within
 		}
 	}
-	shares := Divide(bins, asked, room)
+	shares := Divide(bins, demand, capacity)
 	admitted := make([]float64, k.Len())
 	for i := range admitted {
-		if admitted[i] = 1; asked[2*i]+asked[2*i+1] > 0 {
-			admitted[i] = (shares[2*i]*asked[2*i] + shares[2*i+1]*asked[2*i+1]) / (asked[2*i] + asked[2*i+1])
+		if admitted[i] = 1; demand[2*i]+demand[2*i+1] > 0 {
+			admitted[i] = (shares[2*i]*demand[2*i] + shares[2*i+1]*demand[2*i+1]) / (demand[2*i] + demand[2*i+1])
 		}
 	}
 	return admitted
@@ -123,19 +123,19 @@
 func NewRoom(now time.Duration) *Room { return &Room{limit: math.Inf(1), now: now} }
 
 // See takes the fleet's condition and the sum of its reports, and returns the work that may be admitted per second.
-func (r *Room) See(now time.Duration, mood Mood, sum Report) float64 {
+func (r *Room) See(now time.Duration, condition Mood, sum Report) float64 {
 	dt := min(1, max(0, (now-r.now).Seconds()))
 	r.now = now
-	asked := 0.0
+	demand := 0.0
 	for _, x := range sum.Bins {
-		asked += x
+		demand += x
 	}
-	admitted := min(r.limit, asked)
+	admitted := min(r.limit, demand)
 	switch {
-	case mood == Calm || mood == Outage:
+	case condition == Calm || condition == Outage:
 		r.limit = math.Inf(1)
-	case mood != Recovery && sum.Carried < servedInFull*admitted && sum.Pressure > highPressure:
-		r.limit = max(minAdmittedShare*asked, admitted-shrinkRate*dt*(admitted-sum.Carried))
+	case condition != Recovery && sum.Carried < servedInFull*admitted && sum.Pressure > highPressure:
+		r.limit = max(minAdmittedShare*demand, admitted-shrinkRate*dt*(admitted-sum.Carried))
 	default:
 		// By chance alone, less is sometimes served than admitted. As long as scans are quick, capacity is not short: scans
 		// shed then would only be retried, and shedding itself would keep the storm going.
@@ -143,7 +143,7 @@
 		if sum.Pressure < lowPressure {
 			growth = fastGrowthRate
 		}
-		if r.limit *= 1 + growth*dt; r.limit > unlimitedHeadroom*asked {
+		if r.limit *= 1 + growth*dt; r.limit > unlimitedHeadroom*demand {
 			r.limit = math.Inf(1)
 		}
 	}
@@ -161,21 +161,21 @@
 // NewReturns makes a schedule with a phase from 0 to 1.
 func NewReturns(phase float64) *Returns { return &Returns{phase: phase} }
 
-// In returns the delay after which the next client should retry, between least and most, where rate is the number of
-// retries per second that this instance may schedule. It returns false if all times up to most are taken: no delay would
+// In returns the delay after which the next client should retry, between minDelay and maxDelay, where rate is the number of
+// retries per second that this instance may schedule. It returns false if all times up to maxDelay are taken: no delay would
 // then keep within the rate, and the client is best sent the longest one.
-func (r *Returns) In(now, least, most time.Duration, rate float64) (in time.Duration, ok bool) {
-	gap := most
+func (r *Returns) In(now, minDelay, maxDelay time.Duration, rate float64) (delay time.Duration, ok bool) {
+	gap := maxDelay
 	if rate > 0 {
-		gap = min(most, time.Duration(float64(time.Second)/rate))
+		gap = min(maxDelay, time.Duration(float64(time.Second)/rate))
 	}
-	if r.next < now+least {
-		r.next = now + least + time.Duration(r.phase*float64(gap))
+	if r.next < now+minDelay {
+		r.next = now + minDelay + time.Duration(r.phase*float64(gap))
 	}
-	if r.next > now+most {
-		return most, false
+	if r.next > now+maxDelay {
+		return maxDelay, false
 	}
-	in = r.next - now
+	delay = r.next - now
 	r.next += gap
-	return in, true
+	return delay, true
 }
--- a/fleet/schema/schema.go
+++ b/fleet/schema/schema.go
@@ -87,11 +87,11 @@
 }
 
 // New makes the state of an instance that speaks the lowest version it understands until it hears of a later epoch.
-func New(set Settings, now time.Duration) (*Core, error) {
-	if err := set.Check(); err != nil {
+func New(settings Settings, now time.Duration) (*Core, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &Core{settings: set, now: now, version: set.Own.low(), loweredAt: now - set.Rest, supportedSince: map[int]time.Duration{},
+	return &Core{settings: settings, now: now, version: settings.Own.low(), loweredAt: now - settings.Rest, supportedSince: map[int]time.Duration{},
 		results: map[string]*results{}, others: map[string]Said{}}, nil
 }
 
@@ -110,10 +110,10 @@
 // Others takes the announcements of all other instances whose data may be used, and the number of further instances that
 // are taken to be alive. Those may serve the same clients, and which versions they understand is unknown. A newer
 // version of the fleet is adopted; one that this instance does not understand is lowered at once.
-func (c *Core) Others(said map[string]Said, strange int) {
-	c.others, c.unknownPeers = maps.Clone(said), strange > 0
-	for _, n := range slices.Sorted(maps.Keys(said)) {
-		if s := said[n]; s.newer(c.Say()) {
+func (c *Core) Others(announcements map[string]Said, unknown int) {
+	c.others, c.unknownPeers = maps.Clone(announcements), unknown > 0
+	for _, n := range slices.Sorted(maps.Keys(announcements)) {
+		if s := announcements[n]; s.newer(c.Say()) {
 			if s.Version < c.version {
 				c.loweredAt = c.now
 			}
@@ -129,7 +129,7 @@
 	names := map[string]bool{}
 	for _, s := range list {
 		names[s.Name] = true
-		if b := c.results[s.Name]; b == nil || b.start != s.Start {
+		if r := c.results[s.Name]; r == nil || r.start != s.Start {
 			c.results[s.Name] = &results{s.Start, map[int]int{}} // results of an earlier process say nothing about this one
 		}
 	}
@@ -140,22 +140,22 @@
 // Answered records whether a searcher answered a part in a version. A searcher that repeatedly fails in a version that it
 // claims counts as not understanding it; a single answer shows that it does.
 func (c *Core) Answered(name string, v int, ok bool) {
-	b := c.results[name]
-	if b == nil || v <= Lowest {
+	r := c.results[name]
+	if r == nil || v <= Lowest {
 		return
 	}
 	if ok {
-		delete(b.failures, v)
-	} else if len(b.failures) < 16 || b.failures[v] > 0 {
-		b.failures[v]++
+		delete(r.failures, v)
+	} else if len(r.failures) < 16 || r.failures[v] > 0 {
+		r.failures[v]++
 	}
 	c.update()
 }
 
 // Understands reports whether a searcher understands a version, by its range and its results.
 func (c *Core) Understands(s *Searcher, v int) bool {
-	b := c.results[s.Name]
-	return s.Range.Has(v) && (b == nil || b.failures[v] < maxFailures)
+	r := c.results[s.Name]
+	return s.Range.Has(v) && (r == nil || r.failures[v] < maxFailures)
 }
 
 // hasReserve reports whether every shard has its reserve in a version. For a shard with fewer healthy searchers than the
@@ -234,8 +234,8 @@
 // Raise raises the fleet's version and reports whether it did. That requires that this instance is permitted to
 // (fleet/view's Raise, which takes a settled majority), that all others are heard and understand the version and every
 // shard has its reserve, both for the hold time, and that the fleet was not lowered recently.
-func (c *Core) Raise(may bool) bool {
-	if !may || c.unknownPeers || c.now-c.loweredAt < c.settings.Rest {
+func (c *Core) Raise(permitted bool) bool {
+	if !permitted || c.unknownPeers || c.now-c.loweredAt < c.settings.Rest {
 		return false
 	}
 	best := 0
--- a/fleet/share/merge.go
+++ b/fleet/share/merge.go
@@ -23,7 +23,7 @@
 // Tell encodes a piece of at most the given number of bytes. This instance's own entries come first, then those of other
 // owners, continuing where the previous piece stopped. This way all entries are sent in turn, and the data of a dead
 // instance still spreads.
-func (s *Store) Tell(most int) []byte {
+func (s *Store) Tell(maxSize int) []byte {
 	var p piece
 	size := 64
 	add := func(v any, include func()) bool {
@@ -31,7 +31,7 @@
 		if err != nil {
 			panic(err) // facts and counters always encode
 		}
-		if size += len(b) + 1; size > most {
+		if size += len(b) + 1; size > maxSize {
 			return false
 		}
 		include()
--- a/fleet/share/store.go
+++ b/fleet/share/store.go
@@ -91,11 +91,11 @@
 }
 
 // New makes an empty store.
-func New(set Settings, now time.Duration) (*Store, error) {
-	if err := set.Check(); err != nil {
+func New(settings Settings, now time.Duration) (*Store, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &Store{settings: set, now: now, facts: map[factKey]fact{}, counts: map[countKey]uint64{},
+	return &Store{settings: settings, now: now, facts: map[factKey]fact{}, counts: map[countKey]uint64{},
 		minEpochs: map[string]uint64{}}, nil
 }
 
@@ -185,4 +185,4 @@
 }
 
 // Held returns the number of facts and counters in the store, and of entries dropped for want of space.
-func (s *Store) Held() (facts, counts, full int) { return len(s.facts), len(s.counts), s.evicted }
+func (s *Store) Held() (facts, counts, evicted int) { return len(s.facts), len(s.counts), s.evicted }
--- a/fleet/view/view.go
+++ b/fleet/view/view.go
@@ -143,28 +143,28 @@
 }
 
 // New makes the view of an instance that has not heard any other.
-func New(set Settings, now time.Duration) (*Core, error) {
-	if err := set.Check(); err != nil {
+func New(settings Settings, now time.Duration) (*Core, error) {
+	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("view: %w", err)
 	}
-	c := &Core{settings: set, now: now, peers: map[string]*peer{}, majoritySince: -1}
+	c := &Core{settings: settings, now: now, peers: map[string]*peer{}, majoritySince: -1}
 	c.updateMajority()
 	return c, nil
 }
 
 // At advances the clock and reports whether the process was paused. A paused process must not act on its earlier view,
 // as the others may have moved on long ago: all heartbeats received before the pause are void.
-func (c *Core) At(now time.Duration) (slept bool) {
+func (c *Core) At(now time.Duration) (paused bool) {
 	if step := now - c.now; step > c.settings.Leap || step < 0 {
 		c.pauses++
 		for _, p := range c.peers {
 			p.void = true
 		}
-		c.sent, c.majoritySince, slept = nil, -1, true
+		c.sent, c.majoritySince, paused = nil, -1, true
 	}
 	c.now = now
 	c.updateMajority()
-	return slept
+	return paused
 }
 
 // Heard receives another instance's heartbeat. It returns false if the heartbeat is rejected: it is not later than the
@@ -272,25 +272,25 @@
 }
 
 // Words begins a round and returns the heartbeat for each of the named instances.
-func (c *Core) Words(leaves bool, names []string) []Word {
+func (c *Core) Words(leaving bool, names []string) []Word {
 	c.round++
 	c.sent = slices.DeleteFunc(append(c.sent, sentRound{c.round, c.now}), func(x sentRound) bool {
 		return c.now-x.at > c.settings.Stale
 	})
-	w := Word{From: c.settings.Me, Inc: c.settings.Inc, No: c.round, Instances: c.settings.Instances, Leaves: leaves}
+	w := Word{From: c.settings.Me, Inc: c.settings.Inc, No: c.round, Instances: c.settings.Instances, Leaves: leaving}
 	for _, p := range c.peers {
 		if c.fresh(p) && w.Hears < c.settings.Instances-1 {
 			w.Hears++
 		}
 	}
-	words := make([]Word, len(names))
+	heartbeats := make([]Word, len(names))
 	for i, n := range names {
-		words[i] = w
+		heartbeats[i] = w
 		if p := c.peers[n]; p != nil && c.fresh(p) {
-			words[i].Echo = Echo{p.incarnation, p.number}
+			heartbeats[i].Echo = Echo{p.incarnation, p.number}
 		}
 	}
-	return words
+	return heartbeats
 }
 
 // isMajority reports whether n instances are more than half of all.
@@ -342,4 +342,4 @@
 func (c *Core) May(r Right) bool { return allowed[c.Standing()][r] }
 
 // Counts returns the number of pauses noticed and of heartbeats rejected as invalid.
-func (c *Core) Counts() (sleeps, odd int) { return c.pauses, c.rejected }
+func (c *Core) Counts() (pauses, rejected int) { return c.pauses, c.rejected }
