--- a/fleet/fleetsim/check.go
+++ b/fleet/fleetsim/check.go
@@ -9,7 +9,7 @@
 
 // ledger is what the world knows of what was truly spent and counted.
 type ledger struct {
-	terms overload.Terms
+	terms overload.BudgetConfig
 	level float64 // what may be spent at once now, by all together
 	at    time.Duration
 	spent float64
@@ -60,10 +60,10 @@
 func (n *Node) check() {
 	w := n.w
 	apart := n.lost >= 0 && w.now-n.lost > w.stale+w.set.Beat+trip+w.net.late
-	if apart && (n.View.May(view.Grant) || n.View.May(view.Raise)) {
-		w.broke("views: %s stands with a majority (%v), and has heard none for %v", n.Name, n.View.Standing(), w.now-n.lost)
+	if apart && (n.View.Allows(view.Grant) || n.View.Allows(view.Raise)) {
+		w.broke("views: %s stands with a majority (%v), and has heard none for %v", n.Name, n.View.Connectivity(), w.now-n.lost)
 	}
-	if !n.View.May(view.Keep) || !n.View.May(view.Lower) {
+	if !n.View.Allows(view.UseOwnShare) || !n.View.Allows(view.Lower) {
 		w.broke("views: %s may not even live by its own share", n.Name)
 	}
 	for topic, truth := range w.probe.truth {
@@ -73,15 +73,15 @@
 		}
 		n.sums[topic] = sum
 	}
-	if facts, counts, _ := n.Store.Held(); facts > 8*w.set.Mixers || counts > 16*w.set.Mixers {
+	if facts, counts, _ := n.Store.Stats(); facts > 8*w.set.Mixers || counts > 16*w.set.Mixers {
 		w.broke("bounds: %s holds %d facts, %d counts", n.Name, facts, counts)
 	}
 }
 
 // granted checks a loan as it is made: by one that may.
 func (n *Node) granted() {
-	if !n.View.May(view.Grant) {
-		n.w.broke("views: %s lends while %v", n.Name, n.View.Standing())
+	if !n.View.Allows(view.Grant) {
+		n.w.broke("views: %s lends while %v", n.Name, n.View.Connectivity())
 	}
 }
 
@@ -92,7 +92,7 @@
 		if !n.up {
 			continue
 		}
-		if s := n.View.Standing(); s != view.Majority {
+		if s := n.View.Connectivity(); s != view.Majority {
 			w.broke("whole: %s stands %v", n.Name, s)
 		}
 		for topic, truth := range w.probe.truth {
--- a/fleet/fleetsim/load.go
+++ b/fleet/fleetsim/load.go
@@ -61,7 +61,7 @@
 	out     map[uint64]func(reader.End)
 	ids     uint64
 	dice    *rand.Rand
-	kinds   overload.Kinds
+	kinds   overload.BinLayout
 	got     map[string]*Got
 	colds   []cold
 	worst   float64 // the most that a cold searcher was sent in a span, in what pushes it over
--- a/fleet/fleetsim/mixer.go
+++ b/fleet/fleetsim/mixer.go
@@ -96,7 +96,7 @@
 	m.ids++
 	s := &scan{id: m.ids, class: c.class, at: m.n.w.now, done: done}
 	m.scans[s.id] = s
-	m.meter.Came(c.class, c.tenant, partsOf, again)
+	m.meter.ScanArrived(c.class, c.tenant, partsOf, again)
 	m.m.Scan(s.id, s.id, c.class, c.tenant, timeout, 0, partsOf, again)
 	for range partsOf {
 		if m.scans[s.id] == nil {
@@ -115,7 +115,7 @@
 }
 
 // end is a final answer: the one there is.
-func (m *mixer) end(id uint64, how overload.End, in time.Duration) {
+func (m *mixer) end(id uint64, how overload.ScanOutcome, in time.Duration) {
 	s := m.scans[id]
 	if s == nil {
 		m.n.w.broke("scans: %s answers a scan twice", m.n.Name)
@@ -123,8 +123,8 @@
 	}
 	delete(m.scans, id)
 	took := m.n.w.now - s.at
-	m.meter.Ended(how, took, target)
-	m.n.w.after(0, func() { s.done(how == overload.Done && took <= target, in) })
+	m.meter.ScanEnded(how, took, target)
+	m.n.w.after(0, func() { s.done(how == overload.Completed && took <= target, in) })
 }
 
 // Dispatch and the others below are the module's actions.
@@ -160,7 +160,7 @@
 		t := p.tries[no]
 		t.out = false
 		if out == brain.Pass {
-			m.meter.Carried()
+			m.meter.PartServed()
 		}
 		m.m.Returned(id, no, out, m.n.w.now-t.at)
 	})
@@ -177,15 +177,15 @@
 	})
 }
 
-func (m *mixer) Complete(id uint64, _ bool) { m.end(id, overload.Done, 0) }
+func (m *mixer) Complete(id uint64, _ bool) { m.end(id, overload.Completed, 0) }
 
 func (m *mixer) Throttle(id uint64, in time.Duration) {
 	if m.n.planted(plantSilence) && id%10 == 0 {
 		return
 	}
-	m.end(id, overload.Turned, in)
+	m.end(id, overload.Throttled, in)
 	if m.n.planted(plantAnswer) {
-		m.end(id, overload.Turned, in)
+		m.end(id, overload.Throttled, in)
 	}
 	if m.n.planted(plantAfter) {
 		for p, x := range m.parts {
@@ -214,7 +214,7 @@
 	if !ok {
 		return
 	}
-	if err := n.Report(n.mix.meter.Take(due)); err != nil {
+	if err := n.Report(n.mix.meter.TakeReport(due)); err != nil {
 		n.w.broke("%s can't tell its load: %v", n.Name, err)
 	}
 }
--- a/fleet/fleetsim/node.go
+++ b/fleet/fleetsim/node.go
@@ -32,7 +32,7 @@
 	wants  map[string]float64 // probes a second that it would make
 	owing  float64            // wished for and not spent yet
 	Probes float64            // spent
-	Mood   overload.Mood
+	Mood   overload.Condition
 	lost   time.Duration // since when it has not heard a majority, in truth; -1 if it does
 	sums   map[string]uint64
 	said   uint64 // the number of its last word
@@ -87,7 +87,7 @@
 func (n *Node) clock() {
 	at := n.w.now - n.born + n.jumped
 	n.Mind.At(at)
-	n.Probe.At(at)
+	n.Probe.Advance(at)
 }
 
 // beat tells all others what there is to tell, and goes on doing so while this life lasts.
@@ -100,7 +100,7 @@
 }
 
 func (n *Node) speak(leaves bool) {
-	n.Store.Say("spare", number(n.Probe.Spare()))
+	n.Store.SetFact("spare", number(n.Probe.Spare()))
 	if n.mix != nil {
 		n.report()
 	}
@@ -150,37 +150,37 @@
 	for _, x := range n.wants {
 		want += x
 	}
-	for n.owing = min(n.owing+want*step.Seconds(), want+1); n.owing >= 1 && n.Probe.Take(1); n.owing-- {
+	for n.owing = min(n.owing+want*step.Seconds(), want+1); n.owing >= 1 && n.Probe.Spend(1); n.owing-- {
 		n.Probes++
 		n.w.probe.take(n.w, 1)
 	}
-	if !n.View.May(view.Count) {
+	if !n.View.Allows(view.UseReports) {
 		return
 	}
-	spare := map[string]overload.Spare{}
-	n.Store.Read("spare", func(f share.Fact) {
+	spare := map[string]overload.PeerSpare{}
+	n.Store.EachFact("spare", func(f share.Fact) {
 		var x float64
-		if inc, ok := n.View.Proven(f.Owner); ok && inc == f.Inc && json.Unmarshal(f.Body, &x) == nil {
-			spare[f.Owner] = overload.Spare{Inc: inc, Rate: x}
+		if inc, ok := n.View.ConfirmedIncarnation(f.Owner); ok && inc == f.Inc && json.Unmarshal(f.Body, &x) == nil {
+			spare[f.Owner] = overload.PeerSpare{Inc: inc, Rate: x}
 		}
 	})
-	for _, a := range n.Probe.Asks(spare) {
+	for _, a := range n.Probe.LoanRequests(spare) {
 		if o, err := n.w.Find(a.To); err == nil {
 			n.w.send(n, o, len(encode(a)), func() { o.asked(a, n) })
 		}
 	}
 }
 
-func (n *Node) asked(a overload.Ask, from *Node) {
-	may := n.View.May(view.Grant) || n.planted(plantGrant)
-	l, ok := n.Probe.Asked(a, may)
+func (n *Node) asked(a overload.LoanRequest, from *Node) {
+	may := n.View.Allows(view.Grant) || n.planted(plantGrant)
+	l, ok := n.Probe.HandleRequest(a, may)
 	if !ok {
 		return
 	}
 	if l.Rate > 0 {
 		n.granted()
 	}
-	n.w.send(n, from, len(encode(l)), func() { from.Probe.Lent(l) })
+	n.w.send(n, from, len(encode(l)), func() { from.Probe.HandleLoan(l) })
 }
 
 // Kill ends it outright; Restart begins a new life, with nothing of the old one.
--- a/fleet/fleetsim/stories_test.go
+++ b/fleet/fleetsim/stories_test.go
@@ -98,7 +98,7 @@
 
 func (s *teller) stand(list, standing string) error {
 	return s.each(list, func(n *Node) error {
-		if got := n.View.Standing().String(); got != standing {
+		if got := n.View.Connectivity().String(); got != standing {
 			return fmt.Errorf("%s stands %s, not %s", n.Name, got, standing)
 		}
 		return nil
@@ -106,13 +106,13 @@
 }
 
 func (s *teller) may(list, right string, want bool) error {
-	r, ok := map[string]view.Right{"keep": view.Keep, "lower": view.Lower, "count": view.Count, "grant": view.Grant, "raise": view.Raise}[right]
+	r, ok := map[string]view.Permission{"keep": view.UseOwnShare, "lower": view.Lower, "count": view.UseReports, "grant": view.Grant, "raise": view.Raise}[right]
 	if !ok {
 		return fmt.Errorf("no right %q", right)
 	}
 	return s.each(list, func(n *Node) error {
-		if n.View.May(r) != want {
-			return fmt.Errorf("%s stands %v: may %s is %v", n.Name, n.View.Standing(), right, !want)
+		if n.View.Allows(r) != want {
+			return fmt.Errorf("%s stands %v: may %s is %v", n.Name, n.View.Connectivity(), right, !want)
 		}
 		return nil
 	})
--- a/fleet/fleetsim/world.go
+++ b/fleet/fleetsim/world.go
@@ -92,8 +92,8 @@
 	return set
 }
 
-func (w *World) terms() overload.Terms {
-	return overload.Terms{Rate: w.set.Probes, Burst: burst, Instances: w.set.Mixers, Kept: 0.25, Lease: w.set.Lease, Leap: w.leap}
+func (w *World) terms() overload.BudgetConfig {
+	return overload.BudgetConfig{Rate: w.set.Probes, Burst: burst, Instances: w.set.Mixers, ReservedShare: 0.25, Lease: w.set.Lease, MaxClockStep: w.leap}
 }
 
 func (w *World) after(d time.Duration, do func()) { w.q.Put(w.now+d, do) }
--- a/fleet/mind.go
+++ b/fleet/mind.go
@@ -18,7 +18,7 @@
 	Inc       uint64        // this start's incarnation, higher than the one before
 	Instances int           // how many run at the same time, at most
 	Beat      time.Duration // between rounds of words to all others
-	Kinds     overload.Kinds
+	Kinds     overload.BinLayout
 }
 
 // Times follow from the beat: some words may be lost before an instance counts as unheard, and a clock that was not looked
@@ -55,7 +55,7 @@
 
 // Message is what one instance tells another.
 type Message struct {
-	Word  view.Word       `json:"word"`
+	Word  view.Heartbeat  `json:"word"`
 	Piece json.RawMessage `json:"piece,omitempty"`
 }
 
@@ -84,13 +84,13 @@
 
 // Mind is one instance's.
 type Mind struct {
-	View  *view.Core
+	View  *view.View
 	Store *share.Store
 
 	set      Settings
 	now      time.Duration
-	judge    *overload.Judge
-	room     *overload.Room
+	judge    *overload.Detector
+	room     *overload.Capacity
 	own      overload.Report
 	reported time.Duration
 	next     int // of the others, who is told a piece
@@ -102,17 +102,17 @@
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	m := &Mind{set: set, now: now, room: overload.NewRoom(now), reported: now}
+	m := &Mind{set: set, now: now, room: overload.NewCapacity(now), reported: now}
 	var err error
-	if m.View, err = view.New(view.Settings{Me: set.Me, Inc: set.Inc, Instances: set.Instances, Stale: set.Stale(),
-		Settle: settleBeats * set.Beat, Leap: set.Leap()}, now); err != nil {
+	if m.View, err = view.New(view.Settings{Name: set.Me, Inc: set.Inc, Instances: set.Instances, StaleAfter: set.Stale(),
+		SettleTime: settleBeats * set.Beat, MaxClockStep: set.Leap()}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if m.Store, err = share.New(share.Settings{Me: set.Me, Inc: set.Inc, Facts: 8 * set.Instances, Tally: 16 * set.Instances,
-		Body: factMost}, now); err != nil {
+	if m.Store, err = share.New(share.Settings{Name: set.Me, Inc: set.Inc, MaxFacts: 8 * set.Instances, MaxCounts: 16 * set.Instances,
+		MaxBodySize: factMost}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if m.judge, err = overload.NewJudge(overload.Patience{Enter: enterBeats * set.Beat, Leave: leaveBeats * set.Beat}); err != nil {
+	if m.judge, err = overload.NewDetector(overload.DetectorConfig{Enter: enterBeats * set.Beat, Leave: leaveBeats * set.Beat}); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	return m, nil
@@ -121,15 +121,15 @@
 // At sets the clock; it is to be set every few beats at the least, or a sleep is taken for it.
 func (m *Mind) At(now time.Duration) {
 	m.now = now
-	m.View.At(now)
-	m.Store.At(now)
+	m.View.Advance(now)
+	m.Store.Advance(now)
 }
 
 // Speak begins a round of words, and gives a message to each of those named. All are told that this one lives, a few what
 // it knows, in turn: that goes on from there. A last word is told with all it knows.
 func (m *Mind) Speak(leaves bool, names []string) []Message {
-	piece := m.Store.Tell(pieceMost)
-	words := m.View.Words(leaves, names)
+	piece := m.Store.EncodePiece(pieceMost)
+	words := m.View.NextHeartbeats(leaves, names)
 	out := make([]Message, len(words))
 	for i := range words {
 		out[i].Word = words[i]
@@ -143,11 +143,11 @@
 
 // Heard takes a message. What comes with a word counts only if the word is proven to be no older than it may be.
 func (m *Mind) Heard(x Message) error {
-	if !m.View.Heard(x.Word) {
+	if !m.View.ReceiveHeartbeat(x.Word) {
 		m.odd++
 		return ErrWord
 	}
-	if _, ok := m.View.Proven(x.Word.From); !ok || len(x.Piece) == 0 {
+	if _, ok := m.View.ConfirmedIncarnation(x.Word.From); !ok || len(x.Piece) == 0 {
 		return nil
 	}
 	if err := m.Store.Merge(x.Piece); err != nil {
@@ -170,7 +170,7 @@
 	if err != nil {
 		return fmt.Errorf("fleet: report: %w", err)
 	}
-	if err := m.Store.Say(loadTopic, body); err != nil {
+	if err := m.Store.SetFact(loadTopic, body); err != nil {
 		return fmt.Errorf("fleet: report: %w", err)
 	}
 	return nil
@@ -178,26 +178,26 @@
 
 // Advice is what the module is to know of the fleet: the share of each kind of scan that there is room for, see
 // brain.Let; nil where nothing is known or there is room for all. An instance without a majority is on its own.
-func (m *Mind) Advice() (let []float64, mood overload.Mood, room float64) {
-	if !m.View.May(view.Count) {
-		m.judge.Forget()
-		m.room = overload.NewRoom(m.now)
+func (m *Mind) Advice() (let []float64, mood overload.Condition, room float64) {
+	if !m.View.Allows(view.UseReports) {
+		m.judge.Reset()
+		m.room = overload.NewCapacity(m.now)
 		return nil, overload.Calm, math.Inf(1)
 	}
 	sum := m.Sum()
-	mood = m.judge.See(m.now, sum)
-	if room = m.room.See(m.now, mood, sum); math.IsInf(room, 1) {
+	mood = m.judge.Update(m.now, sum)
+	if room = m.room.Update(m.now, mood, sum); math.IsInf(room, 1) {
 		return nil, mood, room
 	}
-	return m.set.Kinds.Let(sum, room), mood, room
+	return m.set.Kinds.AdmittedShares(sum, room), mood, room
 }
 
 // Sum is what the fleet saw: this instance, and all whose words are proven.
 func (m *Mind) Sum() (sum overload.Report) {
 	sum.Add(m.own)
-	m.Store.Read(loadTopic, func(f share.Fact) {
+	m.Store.EachFact(loadTopic, func(f share.Fact) {
 		var r overload.Report
-		inc, ok := m.View.Proven(f.Owner)
+		inc, ok := m.View.ConfirmedIncarnation(f.Owner)
 		if ok && inc == f.Inc && f.Age <= 2*reportBeats*m.set.Beat+m.set.Stale() && json.Unmarshal(f.Body, &r) == nil {
 			sum.Add(r)
 		}
--- a/fleet/mind_test.go
+++ b/fleet/mind_test.go
@@ -19,7 +19,7 @@
 	now   time.Duration
 }
 
-func together(t *testing.T, n int, kinds overload.Kinds) *group {
+func together(t *testing.T, n int, kinds overload.BinLayout) *group {
 	g := &group{}
 	for i := range n {
 		m, err := New(Settings{Me: fmt.Sprint(i), Inc: 1, Instances: n, Beat: beat, Kinds: kinds}, 0)
@@ -56,7 +56,7 @@
 
 // All come to the same advice from what each saw alone: one meets all of a tenant's flood, the others the rest.
 func TestTheSameAdviceForAll(t *testing.T) {
-	k := overload.Kinds{Benefit: []float64{1}, Quota: []float64{20, 20}}
+	k := overload.BinLayout{Benefit: []float64{1}, Quota: []float64{20, 20}}
 	g := together(t, 3, k)
 	g.run(t, 80, func(i int, m *Mind) {
 		if _, ok := m.Due(); !ok {
@@ -86,7 +86,7 @@
 }
 
 func TestMessagesNotBelieved(t *testing.T) {
-	g := together(t, 2, overload.Kinds{})
+	g := together(t, 2, overload.BinLayout{})
 	g.run(t, 3, func(int, *Mind) {})
 	m := g.minds[0]
 	if _, err := Read([]byte("{")); err == nil {
--- a/fleet/overload/budget.go
+++ b/fleet/overload/budget.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Terms configures a budget: how much the fleet may spend on one kind of operation (retries and hedges, probes, new
+// BudgetConfig configures a budget: how much the fleet may spend on one kind of operation (retries and hedges, probes, new
 // connections, list calls, parts for cold searchers). All instances of a fleet need the same values.
-type Terms struct {
-	Rate      float64       // per second, all instances together
-	Burst     time.Duration // an instance may save up its rate for this long
-	Instances int           // the maximum number that run at the same time
-	Kept      float64       // share of an instance's own rate that it never lends
-	Lease     time.Duration // lifetime of a loan
-	Leap      time.Duration // a clock step longer than this, or backwards, counts as a pause of the process
+type BudgetConfig struct {
+	Rate          float64       // per second, all instances together
+	Burst         time.Duration // an instance may save up its rate for this long
+	Instances     int           // the maximum number that run at the same time
+	ReservedShare float64       // share of an instance's own rate that it never lends
+	Lease         time.Duration // lifetime of a loan
+	MaxClockStep  time.Duration // a clock step longer than this, or backwards, counts as a pause of the process
 }
 
 // Check returns an error if no budget can work with the configuration.
-func (c *Terms) Check() error {
+func (c *BudgetConfig) Check() error {
 	switch {
 	case c.Rate <= 0 || c.Instances < 1 || c.Burst <= 0:
 		return fmt.Errorf("budget: rate %g, %d instances, burst %v: each must be above 0", c.Rate, c.Instances, c.Burst)
-	case c.Kept < 0 || c.Kept > 1:
-		return fmt.Errorf("budget: reserved share %g: must be between 0 and 1", c.Kept)
-	case c.Leap <= 0 || c.Lease < 4*c.Leap:
+	case c.ReservedShare < 0 || c.ReservedShare > 1:
+		return fmt.Errorf("budget: reserved share %g: must be between 0 and 1", c.ReservedShare)
+	case c.MaxClockStep <= 0 || c.Lease < 4*c.MaxClockStep:
 		return fmt.Errorf("budget: lease %v, longest clock step %v: the step must be above 0 and the lease at least four steps",
-			c.Lease, c.Leap)
+			c.Lease, c.MaxClockStep)
 	}
 	return nil
 }
 
-// Ask requests a loan from another instance. It may be lost, duplicated, delayed or reordered.
-type Ask struct {
+// LoanRequest requests a loan from another instance. It may be lost, duplicated, delayed or reordered.
+type LoanRequest struct {
 	From, To   string
 	Inc, ToInc uint64
 	No         uint64
 	Rate       float64
 }
 
-// Loan answers an Ask. It may be lost, duplicated, delayed or reordered.
+// Loan answers a LoanRequest. It may be lost, duplicated, delayed or reordered.
 type Loan struct {
 	From, To   string
 	Inc, ToInc uint64
@@ -73,11 +73,11 @@
 //
 //	Rate x span + Rate x Burst
 //
-// in any span, provided that At is called at least once per Leap, and before spending with the same clock reading. This
+// in any span, provided that Advance is called at least once per MaxClockStep, and before spending with the same clock reading. This
 // needs no vote, leader or consensus; the membership view only decides whether lending is useful. When an instance dies,
 // what it had borrowed returns to the lenders as the loans expire; its own share stays unspent.
 type Budget struct {
-	config      Terms
+	config      BudgetConfig
 	name        string
 	incarnation uint64
 	now         time.Duration
@@ -100,13 +100,13 @@
 
 // NewBudget makes the budget of an instance that has just started. An earlier incarnation may have spent its share and
 // lent some of it, so the budget starts with no savings and treats everything lendable as lent for the time of one loan.
-func NewBudget(config Terms, name string, incarnation uint64, now time.Duration) (*Budget, error) {
+func NewBudget(config BudgetConfig, name string, incarnation uint64, now time.Duration) (*Budget, error) {
 	if err := config.Check(); err != nil {
 		return nil, err
 	}
 	b := &Budget{config: config, name: name, incarnation: incarnation, now: now, windowStart: now}
 	// Loans granted before the restart are unknown: everything lendable counts as lent until it must have been returned.
-	if lendable := b.ownRate() * (1 - config.Kept); lendable > 0 {
+	if lendable := b.ownRate() * (1 - config.ReservedShare); lendable > 0 {
 		b.lent = []lentLoan{{rate: lendable, left: b.lenderTerm()}}
 	}
 	return b, nil
@@ -118,7 +118,7 @@
 // lenderTerm is how long the lender goes without a lent rate: the lease by the borrower's clock if that is slow, plus one
 // clock step that may go unnoticed.
 func (b *Budget) lenderTerm() time.Duration {
-	return time.Duration(float64(b.config.Lease)*maxClockDrift) + b.config.Leap
+	return time.Duration(float64(b.config.Lease)*maxClockDrift) + b.config.MaxClockStep
 }
 
 // Rate returns what this instance may currently spend per second.
@@ -133,12 +133,12 @@
 	return max(0, r)
 }
 
-// At advances the clock. After a pause the elapsed time is unknown: borrowed loans end at once, and lent loans keep their
+// Advance advances the clock. After a pause the elapsed time is unknown: borrowed loans end at once, and lent loans keep their
 // remaining time as if none had passed.
-func (b *Budget) At(now time.Duration) {
+func (b *Budget) Advance(now time.Duration) {
 	step := now - b.now
 	b.now = now
-	if step < 0 || step > b.config.Leap {
+	if step < 0 || step > b.config.MaxClockStep {
 		b.borrowed = nil
 		b.windowStart, b.requested = now, 0
 		b.tokens = min(b.tokens, b.burst())
@@ -166,8 +166,8 @@
 // burst is the most that may be saved up at the current rate.
 func (b *Budget) burst() float64 { return b.Rate() * b.config.Burst.Seconds() }
 
-// Take spends n if that much is available. Either way n counts as demand, which determines what is borrowed.
-func (b *Budget) Take(n float64) bool {
+// Spend spends n if that much is available. Either way n counts as demand, which determines what is borrowed.
+func (b *Budget) Spend(n float64) bool {
 	b.requested += n
 	if b.tokens < n {
 		return false
@@ -176,21 +176,21 @@
 	return true
 }
 
-// Want returns the recent demand per second, whether it was met or not.
-func (b *Budget) Want() float64 { return b.demand }
+// Demand returns the recent demand per second, whether it was met or not.
+func (b *Budget) Demand() float64 { return b.demand }
 
 // Spare returns the rate that could be lent now.
 func (b *Budget) Spare() float64 {
-	free := b.ownRate() * (1 - b.config.Kept)
+	free := b.ownRate() * (1 - b.config.ReservedShare)
 	for _, l := range b.lent {
 		free -= l.rate
 	}
 	return max(0, min(free, b.ownRate()-b.demand*demandHeadroom))
 }
 
-// Asks returns the loan requests to send now for the rate that this instance lacks, to the peers that report a spare rate,
+// LoanRequests returns the loan requests to send now for the rate that this instance lacks, to the peers that report a spare rate,
 // the largest first. A peer that has yet to answer a request gets no other.
-func (b *Budget) Asks(spare map[string]Spare) (requests []Ask) {
+func (b *Budget) LoanRequests(spare map[string]PeerSpare) (requests []LoanRequest) {
 	lack := b.demand*demandHeadroom - b.Rate()
 	names := make([]string, 0, len(spare))
 	for n := range spare {
@@ -214,21 +214,21 @@
 		}
 		b.lastNumber++
 		b.borrowed = append(b.borrowed, borrowedLoan{lender: n, number: b.lastNumber, requested: rate, left: b.config.Lease})
-		requests = append(requests, Ask{From: b.name, Inc: b.incarnation, To: n, ToInc: spare[n].Inc, No: b.lastNumber, Rate: rate})
+		requests = append(requests, LoanRequest{From: b.name, Inc: b.incarnation, To: n, ToInc: spare[n].Inc, No: b.lastNumber, Rate: rate})
 		lack -= rate
 	}
 	return requests
 }
 
-// Spare is the rate that a peer reports to have to spare, with its incarnation.
-type Spare struct {
+// PeerSpare is the rate that a peer reports to have to spare, with its incarnation.
+type PeerSpare struct {
 	Inc  uint64
 	Rate float64
 }
 
-// Asked answers a loan request; allowed states whether the membership view allows this instance to grant loans. A duplicate
+// HandleRequest answers a loan request; allowed states whether the membership view allows this instance to grant loans. A duplicate
 // request gets the same answer, and a lent rate is deducted from the moment it is granted.
-func (b *Budget) Asked(request Ask, allowed bool) (Loan, bool) {
+func (b *Budget) HandleRequest(request LoanRequest, allowed bool) (Loan, bool) {
 	if request.To != b.name || request.ToInc != b.incarnation || request.From == b.name || !(request.Rate > 0) {
 		return Loan{}, false
 	}
@@ -247,8 +247,8 @@
 	return loan, true
 }
 
-// Lent takes the answer to a loan request. It returns false if the answer is invalid or no longer awaited.
-func (b *Budget) Lent(loan Loan) bool {
+// HandleLoan takes the answer to a loan request. It returns false if the answer is invalid or no longer awaited.
+func (b *Budget) HandleLoan(loan Loan) bool {
 	i := slices.IndexFunc(b.borrowed, func(o borrowedLoan) bool { return o.lender == loan.From && o.number == loan.No })
 	if i < 0 || loan.To != b.name || loan.ToInc != b.incarnation || b.borrowed[i].rate > 0 || loan.Rate < 0 ||
 		loan.Rate > b.borrowed[i].requested {
--- a/fleet/overload/budget_test.go
+++ b/fleet/overload/budget_test.go
@@ -13,11 +13,11 @@
 
 const s = time.Second
 
-func testConfig(n int) Terms {
-	return Terms{Rate: 10 * float64(n), Burst: s, Instances: n, Kept: 0.25, Lease: 8 * s, Leap: s}
+func testConfig(n int) BudgetConfig {
+	return BudgetConfig{Rate: 10 * float64(n), Burst: s, Instances: n, ReservedShare: 0.25, Lease: 8 * s, MaxClockStep: s}
 }
 
-func newTestBudget(t *testing.T, config Terms, name string, incarnation uint64, now time.Duration) *Budget {
+func newTestBudget(t *testing.T, config BudgetConfig, name string, incarnation uint64, now time.Duration) *Budget {
 	b, err := NewBudget(config, name, incarnation, now)
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 
 // ledger records what all budgets spend, to check independently that no span exceeds the fleet's limit.
 type ledger struct {
-	config Terms
+	config BudgetConfig
 	at     []time.Duration
 	spent  []float64
 }
@@ -78,11 +78,11 @@
 	type message struct {
 		at   time.Duration
 		to   int
-		ask  *Ask
+		ask  *LoanRequest
 		loan *Loan
 	}
 	var inFlight []message
-	send := func(to string, ask *Ask, loan *Loan) {
+	send := func(to string, ask *LoanRequest, loan *Loan) {
 		i, _ := strconv.Atoi(to)
 		for range []int{1, 1, 1, 1, 2, 0}[rng.IntN(6)] {
 			delay := []time.Duration{s / 20, s / 20, s / 20, s, 6 * s}[rng.IntN(5)]
@@ -115,13 +115,13 @@
 				waiting = append(waiting, m)
 			case partitioned && m.to == 0:
 			case m.ask != nil:
-				b.At(clock(m.to))
-				if loan, ok := b.Asked(*m.ask, true); ok {
+				b.Advance(clock(m.to))
+				if loan, ok := b.HandleRequest(*m.ask, true); ok {
 					send(loan.To, nil, &loan)
 				}
 			default:
-				b.At(clock(m.to))
-				b.Lent(*m.loan)
+				b.Advance(clock(m.to))
+				b.HandleLoan(*m.loan)
 			}
 		}
 		inFlight = append(waiting, inFlight...)
@@ -129,18 +129,18 @@
 			if now < pausedUntil[i] {
 				continue
 			}
-			b.At(clock(i))
+			b.Advance(clock(i))
 			inject(b, false)
-			for greedy[i] && b.Take(1) {
+			for greedy[i] && b.Spend(1) {
 				l.record(now, 1)
 			}
-			spare := map[string]Spare{}
+			spare := map[string]PeerSpare{}
 			for j, o := range all {
 				if j != i && now >= pausedUntil[j] {
-					spare[fmt.Sprint(j)] = Spare{incarnations[j], o.Spare()}
+					spare[fmt.Sprint(j)] = PeerSpare{incarnations[j], o.Spare()}
 				}
 			}
-			for _, a := range b.Asks(spare) {
+			for _, a := range b.LoanRequests(spare) {
 				send(a.To, &a, nil)
 			}
 		}
@@ -180,7 +180,7 @@
 			for i := range b.lent { // the lender term stays as long as before
 				b.lent[i].left = min(b.lent[i].left, time.Duration(float64(b.config.Lease)*maxClockDrift)+s)
 			}
-			b.config.Leap = 1000 * s
+			b.config.MaxClockStep = 1000 * s
 		},
 		"more is saved than the burst allows":   func(b *Budget, _ bool) { b.config.Burst = 3 * s },
 		"each instance spends the fleet's rate": func(b *Budget, _ bool) { b.config.Instances = 1 },
@@ -203,16 +203,16 @@
 	a, b := newTestBudget(t, config, "a", 1, 0), newTestBudget(t, config, "b", 1, 0)
 	run := func(from, to time.Duration, alive bool) (spent float64) {
 		for now := from; now < to; now += s / 10 {
-			a.At(now)
+			a.Advance(now)
 			if !alive {
 				continue
 			}
-			for b.At(now); b.Take(1); {
+			for b.Advance(now); b.Spend(1); {
 				spent++
 			}
-			for _, x := range b.Asks(map[string]Spare{"a": {1, a.Spare()}}) {
-				if l, ok := a.Asked(x, true); ok {
-					b.Lent(l)
+			for _, x := range b.LoanRequests(map[string]PeerSpare{"a": {1, a.Spare()}}) {
+				if l, ok := a.HandleRequest(x, true); ok {
+					b.HandleLoan(l)
 				}
 			}
 		}
@@ -235,36 +235,36 @@
 	config := testConfig(2)
 	a, b := newTestBudget(t, config, "a", 1, 0), newTestBudget(t, config, "b", 1, 0)
 	for now := time.Duration(0); now < 12*s; now += s / 2 {
-		a.At(now)
-		b.At(now)
+		a.Advance(now)
+		b.Advance(now)
 		b.requested += 20
 	}
-	asks := b.Asks(map[string]Spare{"a": {1, 5}})
-	if len(asks) != 1 || len(b.Asks(map[string]Spare{"a": {1, 5}})) != 0 {
+	asks := b.LoanRequests(map[string]PeerSpare{"a": {1, 5}})
+	if len(asks) != 1 || len(b.LoanRequests(map[string]PeerSpare{"a": {1, 5}})) != 0 {
 		t.Fatalf("%+v", asks)
 	}
-	if l, ok := a.Asked(asks[0], false); !ok || l.Rate != 0 {
+	if l, ok := a.HandleRequest(asks[0], false); !ok || l.Rate != 0 {
 		t.Errorf("lent without permission: %+v", l)
 	}
-	l, _ := a.Asked(asks[0], true)
-	twice, _ := a.Asked(asks[0], true)
+	l, _ := a.HandleRequest(asks[0], true)
+	twice, _ := a.HandleRequest(asks[0], true)
 	if l != twice || a.Rate() != 10-l.Rate {
 		t.Errorf("duplicate request: %+v, %+v, rate %g", l, twice, a.Rate())
 	}
 	for _, bad := range []Loan{{From: "a", To: "b", ToInc: 2, No: 1, Rate: 1}, {From: "a", To: "b", ToInc: 1, No: 9, Rate: 1},
 		{From: "a", To: "b", ToInc: 1, No: 1, Rate: 50}, {From: "a", To: "b", ToInc: 1, No: 1, Rate: math.Inf(-1)}} {
-		if b.Lent(bad) {
+		if b.HandleLoan(bad) {
 			t.Errorf("accepted: %+v", bad)
 		}
 	}
-	if !b.Lent(l) || b.Lent(l) {
+	if !b.HandleLoan(l) || b.HandleLoan(l) {
 		t.Error("a loan must be accepted exactly once")
 	}
 	old := asks[0]
-	if old.ToInc = 7; func() bool { _, ok := a.Asked(old, true); return ok }() {
+	if old.ToInc = 7; func() bool { _, ok := a.HandleRequest(old, true); return ok }() {
 		t.Error("a request to an earlier incarnation is answered")
 	}
-	for _, config := range []Terms{{}, {Rate: 1, Instances: 1, Burst: s, Lease: s, Leap: s}, {Rate: 1, Instances: 1, Burst: s, Kept: 2, Lease: 9 * s, Leap: s}} {
+	for _, config := range []BudgetConfig{{}, {Rate: 1, Instances: 1, Burst: s, Lease: s, MaxClockStep: s}, {Rate: 1, Instances: 1, Burst: s, ReservedShare: 2, Lease: 9 * s, MaxClockStep: s}} {
 		if _, err := NewBudget(config, "a", 1, 0); err == nil {
 			t.Errorf("%+v is accepted", config)
 		}
--- a/fleet/overload/detector.go
+++ b/fleet/overload/detector.go
@@ -14,15 +14,15 @@
 	Turned   float64   `json:"t"` // scans throttled, on arrival or later
 	Failed   float64   `json:"x"` // scans abandoned, or given up by their clients
 	Pressure float64   `json:"p"` // time that scans took, as a multiple of the allowed time; above 1 they are late
-	Scans    []float64 `json:"s"` // scans requested, by bin (see Kinds)
+	Scans    []float64 `json:"s"` // scans requested, by bin (see BinLayout)
 	Bins     []float64 `json:"b"` // parts requested, by bin: the work
 	Carried  float64   `json:"c"` // parts that searchers served
 }
 
 // Add adds another report to r. The combined pressure is the mean weighted by the scans requested.
 func (r *Report) Add(o Report) {
-	if all := r.Asked() + o.Asked(); all > 0 {
-		r.Pressure = (r.Pressure*r.Asked() + o.Pressure*o.Asked()) / all
+	if all := r.Requested() + o.Requested(); all > 0 {
+		r.Pressure = (r.Pressure*r.Requested() + o.Pressure*o.Requested()) / all
 	}
 	r.First, r.Again, r.Done = r.First+o.First, r.Again+o.Again, r.Done+o.Done
 	r.Turned, r.Failed, r.Carried = r.Turned+o.Turned, r.Failed+o.Failed, r.Carried+o.Carried
@@ -45,26 +45,26 @@
 	return x[i]
 }
 
-// Asked returns the rate of all scans requested, first attempts and retries.
-func (r *Report) Asked() float64 { return r.First + r.Again }
+// Requested returns the rate of all scans requested, first attempts and retries.
+func (r *Report) Requested() float64 { return r.First + r.Again }
 
 func (r *Report) lost() float64 { return r.Turned + r.Failed }
 
-// Mood is the load condition of the fleet.
-type Mood uint8
+// Condition is the load condition of the fleet.
+type Condition uint8
 
 // The load conditions.
 const (
-	Calm     Mood = iota
-	Overload      // first attempts alone exceed what can be served
-	Outage        // hardly anything completes, compared with the scans requested and with what completed when calm
-	Storm         // most lost scans are retried: demand feeds on itself
-	Recovery      // scans complete again while retries still arrive
+	Calm       Condition = iota
+	Overload             // first attempts alone exceed what can be served
+	Outage               // hardly anything completes, compared with the scans requested and with what completed when calm
+	RetryStorm           // most lost scans are retried: demand feeds on itself
+	Recovery             // scans complete again while retries still arrive
 	moodCount
 )
 
 // String returns the condition's name.
-func (m Mood) String() string {
+func (m Condition) String() string {
 	return [...]string{"calm", "overload", "outage", "storm", "recovery", ""}[min(m, moodCount)]
 }
 
@@ -79,62 +79,62 @@
 	baselineWeight     = 0.02 // of a new report in the moving averages of the baseline
 )
 
-// Patience configures for how long symptoms must last before the condition changes: Enter for a worse condition, Leave
+// DetectorConfig configures for how long symptoms must last before the condition changes: Enter for a worse condition, Leave
 // for a return to calm or recovery.
-type Patience struct{ Enter, Leave time.Duration }
+type DetectorConfig struct{ Enter, Leave time.Duration }
 
-// Judge classifies the fleet's load condition from its reports, with hysteresis.
-type Judge struct {
-	config            Patience
-	condition         Mood
-	candidate         Mood          // what the latest reports indicate
+// Detector classifies the fleet's load condition from its reports, with hysteresis.
+type Detector struct {
+	config            DetectorConfig
+	condition         Condition
+	candidate         Condition     // what the latest reports indicate
 	candidateSince    time.Duration // since when they do
 	baselineFirst     float64       // first attempts per second when calm
 	baselineCompleted float64       // completed scans per second when calm
 }
 
-// NewJudge makes a detector that starts calm.
-func NewJudge(config Patience) (*Judge, error) {
+// NewDetector makes a detector that starts calm.
+func NewDetector(config DetectorConfig) (*Detector, error) {
 	if config.Enter < 0 || config.Leave < config.Enter {
 		return nil, fmt.Errorf("load condition: enter after %v, leave after %v: must not be negative, nor leave before enter",
 			config.Enter, config.Leave)
 	}
-	return &Judge{config: config}, nil
+	return &Detector{config: config}, nil
 }
 
-// Forget resets the condition to calm and keeps the learned baseline.
-func (j *Judge) Forget() { j.condition, j.candidate, j.candidateSince = Calm, Calm, 0 }
+// Reset resets the condition to calm and keeps the learned baseline.
+func (d *Detector) Reset() { d.condition, d.candidate, d.candidateSince = Calm, Calm, 0 }
 
-// Mood returns the current condition.
-func (j *Judge) Mood() Mood { return j.condition }
+// Condition returns the current condition.
+func (d *Detector) Condition() Condition { return d.condition }
 
-// See takes the sum of the fleet's reports and returns the resulting condition.
-func (j *Judge) See(now time.Duration, r Report) Mood {
-	indicated := j.classify(&r)
-	if indicated != j.candidate {
-		j.candidate, j.candidateSince = indicated, now
+// Update takes the sum of the fleet's reports and returns the resulting condition.
+func (d *Detector) Update(now time.Duration, r Report) Condition {
+	indicated := d.classify(&r)
+	if indicated != d.candidate {
+		d.candidate, d.candidateSince = indicated, now
 	}
-	wait := j.config.Enter
+	wait := d.config.Enter
 	if indicated == Calm || indicated == Recovery {
-		wait = j.config.Leave
+		wait = d.config.Leave
 	}
-	if indicated != j.condition && now-j.candidateSince >= wait {
-		j.condition = indicated
+	if indicated != d.condition && now-d.candidateSince >= wait {
+		d.condition = indicated
 	}
-	if j.condition == Calm && indicated == Calm && r.First > 0 {
-		if j.baselineFirst == 0 {
-			j.baselineFirst, j.baselineCompleted = r.First, r.Done
+	if d.condition == Calm && indicated == Calm && r.First > 0 {
+		if d.baselineFirst == 0 {
+			d.baselineFirst, d.baselineCompleted = r.First, r.Done
 		}
-		j.baselineFirst += baselineWeight * (r.First - j.baselineFirst)
-		j.baselineCompleted += baselineWeight * (r.Done - j.baselineCompleted)
+		d.baselineFirst += baselineWeight * (r.First - d.baselineFirst)
+		d.baselineCompleted += baselineWeight * (r.Done - d.baselineCompleted)
 	}
-	return j.condition
+	return d.condition
 }
 
 // classify returns the condition that a single report indicates. The thresholds of the current condition are halved, or
 // doubled for completed scans in an outage, so that it is harder to leave than to enter.
-func (j *Judge) classify(r *Report) Mood {
-	asked := r.Asked()
+func (d *Detector) classify(r *Report) Condition {
+	asked := r.Requested()
 	if asked == 0 {
 		return Calm
 	}
@@ -145,18 +145,18 @@
 		return x
 	}
 	minCompleted := outageCompleted
-	if j.condition == Outage {
+	if d.condition == Outage {
 		minCompleted *= 2
 	}
-	troubled := j.condition == Outage || j.condition == Storm || j.condition == Recovery
-	lost := r.lost() > bound(lossThreshold, j.condition != Calm)*asked
+	troubled := d.condition == Outage || d.condition == RetryStorm || d.condition == Recovery
+	lost := r.lost() > bound(lossThreshold, d.condition != Calm)*asked
 	retryRatio := r.Again / max(r.First, 1e-9)
-	fresh := j.baselineFirst > 0 && r.First > freshDemandRatio*j.baselineFirst
+	fresh := d.baselineFirst > 0 && r.First > freshDemandRatio*d.baselineFirst
 	switch {
-	case lost && r.Done < minCompleted*min(asked, max(j.baselineCompleted, r.Done)) || lost && r.Done == 0:
+	case lost && r.Done < minCompleted*min(asked, max(d.baselineCompleted, r.Done)) || lost && r.Done == 0:
 		return Outage
-	case lost && retryRatio > bound(stormRetryRatio, j.condition == Storm) && !fresh:
-		return Storm
+	case lost && retryRatio > bound(stormRetryRatio, d.condition == RetryStorm) && !fresh:
+		return RetryStorm
 	case troubled && (lost || retryRatio > recoveryRetryRatio):
 		return Recovery
 	case lost || r.Pressure > 1:
--- a/fleet/overload/detector_test.go
+++ b/fleet/overload/detector_test.go
@@ -17,49 +17,49 @@
 	for _, c := range []struct {
 		name    string
 		reports []Report
-		want    Mood
+		want    Condition
 	}{
 		{"calm", []Report{calm}, Calm},
 		{"nothing is asked for", []Report{{}}, Calm},
 		{"twice the demand, first tries", []Report{{First: 200, Again: 30, Done: 120, Turned: 110}}, Overload},
 		{"twice the demand, and all of it comes again", []Report{{First: 200, Again: 150, Done: 120, Turned: 230}}, Overload},
-		{"the usual demand, and what is lost comes again", []Report{{First: 100, Again: 120, Done: 80, Turned: 140}}, Storm},
+		{"the usual demand, and what is lost comes again", []Report{{First: 100, Again: 120, Done: 80, Turned: 140}}, RetryStorm},
 		{"nothing is done", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}}, Outage},
 		{"back, repeats to come", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}, {First: 100, Again: 40, Done: 138, Turned: 2}}, Recovery},
 		{"and over", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}, {First: 100, Again: 40, Done: 138, Turned: 2}, calm}, Calm},
 		{"late, though all is done", []Report{{First: 100, Done: 100, Pressure: 1.4}}, Overload},
 	} {
-		j, err := NewJudge(Patience{Enter: 2 * s, Leave: 4 * s})
+		j, err := NewDetector(DetectorConfig{Enter: 2 * s, Leave: 4 * s})
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Duration(0)
 		see := func(r Report, duration time.Duration) {
 			for end := now + duration; now < end; now += s {
-				j.See(now, r)
+				j.Update(now, r)
 			}
 		}
 		see(calm, 10*s)
 		for _, r := range c.reports {
-			if see(r, 2*s); len(c.reports) == 1 && c.want != Calm && j.Mood() != Calm {
-				t.Errorf("%s: %v without delay", c.name, j.Mood())
+			if see(r, 2*s); len(c.reports) == 1 && c.want != Calm && j.Condition() != Calm {
+				t.Errorf("%s: %v without delay", c.name, j.Condition())
 			}
 			see(r, 8*s)
 		}
-		if j.Mood() != c.want {
-			t.Errorf("%s: %v, want %v", c.name, j.Mood(), c.want)
+		if j.Condition() != c.want {
+			t.Errorf("%s: %v, want %v", c.name, j.Condition(), c.want)
 		}
 	}
 }
 
 // Near a threshold the condition does not change back and forth.
 func TestNoFlapping(t *testing.T) {
-	j, _ := NewJudge(Patience{Enter: 2 * s, Leave: 6 * s})
+	j, _ := NewDetector(DetectorConfig{Enter: 2 * s, Leave: 6 * s})
 	rng := rand.New(rand.NewPCG(1, 2))
 	changes, last := 0, Calm
 	for now := time.Duration(0); now < 600*s; now += s {
 		lost := 4 + 3*rng.Float64()
-		if m := j.See(now, Report{First: 100, Done: 100 - lost, Turned: lost}); m != last {
+		if m := j.Update(now, Report{First: 100, Done: 100 - lost, Turned: lost}); m != last {
 			changes, last = changes+1, m
 		}
 	}
@@ -80,11 +80,11 @@
 			asked = append(asked, rapid.Float64Range(0, 100).Draw(r, "asked"))
 		}
 		room := rapid.Float64Range(0, 300).Draw(r, "room")
-		admitted, sum, all := Divide(bins, asked, room), 0.0, 0.0
+		admitted, sum, all := AllocateCapacity(bins, asked, room), 0.0, 0.0
 		for i := range admitted {
 			sum, all = sum+admitted[i]*asked[i], all+asked[i]
 			for k := range admitted {
-				before := bins[i].Within && !bins[k].Within || bins[i].Within == bins[k].Within && bins[i].Worth > bins[k].Worth
+				before := bins[i].WithinQuota && !bins[k].WithinQuota || bins[i].WithinQuota == bins[k].WithinQuota && bins[i].Value > bins[k].Value
 				if before && admitted[i] < 1 && admitted[k] > 0 && asked[k] > 0 {
 					r.Fatalf("bin %d is shed, and %d behind it is admitted: %v %v %v", i, k, bins, asked, admitted)
 				}
@@ -99,12 +99,12 @@
 // With searchers that serve 100 parts a second whatever is admitted, the estimate settles near 100. It grows when they serve
 // more, and in an outage or when calm there is no limit.
 func TestCapacitySettles(t *testing.T) {
-	r := NewRoom(0)
+	r := NewCapacity(0)
 	admitted, servable := 300.0, 100.0
 	now := time.Duration(0)
 	settle := func() {
 		for end := now + 60*s; now < end; now += s / 4 {
-			admitted = min(300, r.See(now, Overload, Report{Carried: min(admitted, servable), Pressure: 0.5 + 0.5*min(1, admitted/servable), Bins: []float64{200, 100}}))
+			admitted = min(300, r.Update(now, Overload, Report{Carried: min(admitted, servable), Pressure: 0.5 + 0.5*min(1, admitted/servable), Bins: []float64{200, 100}}))
 		}
 	}
 	settle()
@@ -118,13 +118,13 @@
 	// By chance slightly less is served than admitted, and all of it quickly.
 	servable = 1000
 	for end := now + 30*s; now < end; now += s / 4 {
-		admitted = min(300, r.See(now, Storm, Report{Carried: 0.9 * admitted, Pressure: 0.3, Bins: []float64{200, 100}}))
+		admitted = min(300, r.Update(now, RetryStorm, Report{Carried: 0.9 * admitted, Pressure: 0.3, Bins: []float64{200, 100}}))
 	}
 	if admitted < 300 {
 		t.Errorf("%g admitted of 300, and capacity is not short", admitted)
 	}
-	for _, m := range []Mood{Outage, Calm} {
-		if x := r.See(now, m, Report{Bins: []float64{300}}); !math.IsInf(x, 1) {
+	for _, m := range []Condition{Outage, Calm} {
+		if x := r.Update(now, m, Report{Bins: []float64{300}}); !math.IsInf(x, 1) {
 			t.Errorf("%g in %v", x, m)
 		}
 	}
@@ -137,9 +137,9 @@
 	var retries []time.Duration
 	refused := 0
 	for i := range n {
-		r := NewReturns(float64(i) / n)
+		r := NewRetrySchedule(float64(i) / n)
 		for k := range throttled / n {
-			in, ok := r.In(time.Duration(k)*s/(throttled/n), s/2, 12*s, capacity/n)
+			in, ok := r.NextDelay(time.Duration(k)*s/(throttled/n), s/2, 12*s, capacity/n)
 			if retries = append(retries, time.Duration(k)*s/(throttled/n)+in); !ok {
 				refused++
 			}
@@ -157,11 +157,11 @@
 	if refused > 0 || float64(most) > 1.25*capacity {
 		t.Errorf("%d retries within a second, capacity for %g; %d got no time", most, capacity, refused)
 	}
-	r := NewReturns(0.5)
+	r := NewRetrySchedule(0.5)
 	for range 100 {
-		r.In(0, s, 2*s, 1)
+		r.NextDelay(0, s, 2*s, 1)
 	}
-	if in, ok := r.In(0, s, 2*s, 1); ok || in != 2*s {
+	if in, ok := r.NextDelay(0, s, 2*s, 1); ok || in != 2*s {
 		t.Errorf("%v %v", in, ok)
 	}
 }
@@ -169,24 +169,24 @@
 // A quota covers the tenant's demand over the whole fleet and is used by its most valuable work first; value counts per
 // part.
 func TestAdmittedShares(t *testing.T) {
-	k := Kinds{Benefit: []float64{2, 3}, Quota: []float64{10, 10}}
-	sum := Report{Scans: make([]float64, k.Len()), Bins: make([]float64, k.Len())}
+	layout := BinLayout{Benefit: []float64{2, 3}, Quota: []float64{10, 10}}
+	sum := Report{Scans: make([]float64, layout.Len()), Bins: make([]float64, layout.Len())}
 	set := func(class, tenant int, scans, parts float64) {
-		sum.Scans[k.Bin(class, tenant)], sum.Bins[k.Bin(class, tenant)] = scans, scans*parts
+		sum.Scans[layout.Bin(class, tenant)], sum.Bins[layout.Bin(class, tenant)] = scans, scans*parts
 	}
 	set(0, 0, 40, 1) // ten of these are within the quota; class 0 has a value of 2 per part, class 1 of 1
 	set(1, 0, 10, 3)
 	set(1, 1, 8, 3)
 	set(0, -1, 5, 1)
-	admitted := k.Let(sum, 10+24)
-	if admitted[k.Bin(0, 0)] != 0.25 || admitted[k.Bin(1, 1)] != 1 || admitted[k.Bin(1, 0)] != 0 || admitted[k.Bin(0, -1)] != 0 {
+	admitted := layout.AdmittedShares(sum, 10+24)
+	if admitted[layout.Bin(0, 0)] != 0.25 || admitted[layout.Bin(1, 1)] != 1 || admitted[layout.Bin(1, 0)] != 0 || admitted[layout.Bin(0, -1)] != 0 {
 		t.Errorf("%v", admitted)
 	}
 	// With more capacity, demand beyond the quotas is admitted by value, including that of no tenant.
-	if admitted = k.Let(sum, 10+24+35); admitted[k.Bin(0, 0)] != 1 || admitted[k.Bin(0, -1)] != 1 || admitted[k.Bin(1, 0)] != 0 {
+	if admitted = layout.AdmittedShares(sum, 10+24+35); admitted[layout.Bin(0, 0)] != 1 || admitted[layout.Bin(0, -1)] != 1 || admitted[layout.Bin(1, 0)] != 0 {
 		t.Errorf("%v", admitted)
 	}
-	if admitted = k.Let(Report{Scans: []float64{math.NaN(), -1}, Bins: []float64{math.Inf(-1)}}, 5); len(admitted) != k.Len() {
+	if admitted = layout.AdmittedShares(Report{Scans: []float64{math.NaN(), -1}, Bins: []float64{math.Inf(-1)}}, 5); len(admitted) != layout.Len() {
 		t.Errorf("%v", admitted)
 	}
 }
--- a/fleet/overload/meter.go
+++ b/fleet/overload/meter.go
@@ -2,67 +2,67 @@
 
 import "time"
 
-// End is how a scan ended.
-type End uint8
+// ScanOutcome is how a scan ended.
+type ScanOutcome uint8
 
 // The ways in which a scan ends.
 const (
-	Done   End = iota // completed
-	Turned            // throttled, on arrival or later
-	Failed            // abandoned, or given up by the client
+	Completed ScanOutcome = iota // completed
+	Throttled                    // throttled, on arrival or later
+	Failed                       // abandoned, or given up by the client
 )
 
 // Meter counts what one instance observes, for its reports.
 type Meter struct {
-	kinds           Kinds
+	layout          BinLayout
 	counts          Report // counts, not rates; Pressure holds the sum of the samples
 	pressureSamples float64
 }
 
 // NewMeter makes a meter with all counts at zero.
-func NewMeter(k Kinds) *Meter {
-	m := &Meter{kinds: k}
+func NewMeter(layout BinLayout) *Meter {
+	m := &Meter{layout: layout}
 	m.reset()
 	return m
 }
 
 func (m *Meter) reset() {
-	m.pressureSamples, m.counts = 0, Report{Scans: make([]float64, m.kinds.Len()), Bins: make([]float64, m.kinds.Len())}
+	m.pressureSamples, m.counts = 0, Report{Scans: make([]float64, m.layout.Len()), Bins: make([]float64, m.layout.Len())}
 }
 
-// Came counts an arriving scan. A tenant below 0 stands for no known tenant.
-func (m *Meter) Came(class, tenant, parts int, retry bool) {
+// ScanArrived counts an arriving scan. A tenant below 0 stands for no known tenant.
+func (m *Meter) ScanArrived(class, tenant, parts int, retry bool) {
 	if retry {
 		m.counts.Again++
 	} else {
 		m.counts.First++
 	}
-	bin := m.kinds.Bin(class, tenant)
+	bin := m.layout.Bin(class, tenant)
 	m.counts.Scans[bin]++
 	m.counts.Bins[bin] += float64(parts)
 }
 
-// Ended counts the end of a scan, with the time since its arrival and its target latency.
-func (m *Meter) Ended(outcome End, took, target time.Duration) {
+// ScanEnded counts the end of a scan, with the time since its arrival and its target latency.
+func (m *Meter) ScanEnded(outcome ScanOutcome, took, target time.Duration) {
 	switch outcome {
-	case Done:
+	case Completed:
 		m.counts.Done++
-	case Turned:
+	case Throttled:
 		m.counts.Turned++
 	case Failed:
 		m.counts.Failed++
 	}
-	if x, ok := pressure(took, target, outcome == Done); ok {
+	if x, ok := pressure(took, target, outcome == Completed); ok {
 		m.counts.Pressure += x
 		m.pressureSamples++
 	}
 }
 
-// Carried counts a part that a searcher served.
-func (m *Meter) Carried() { m.counts.Carried++ }
+// PartServed counts a part that a searcher served.
+func (m *Meter) PartServed() { m.counts.Carried++ }
 
-// Take returns what was counted over a span as rates, and resets the counts.
-func (m *Meter) Take(span time.Duration) Report {
+// TakeReport returns what was counted over a span as rates, and resets the counts.
+func (m *Meter) TakeReport(span time.Duration) Report {
 	r, s := m.counts, span.Seconds()
 	for _, x := range []*float64{&r.First, &r.Again, &r.Done, &r.Turned, &r.Failed, &r.Carried} {
 		*x /= s
--- a/fleet/schema/schema.go
+++ b/fleet/schema/schema.go
@@ -20,29 +20,29 @@
 func (r Range) low() int  { return max(r.Low, Lowest) }
 func (r Range) high() int { return max(r.High, r.low()) }
 
-// Has reports whether the range includes a version.
-func (r Range) Has(v int) bool { return v >= r.low() && v <= r.high() }
+// Contains reports whether the range includes a version.
+func (r Range) Contains(v int) bool { return v >= r.low() && v <= r.high() }
 
 // Settings configures the negotiation. All fields but Own must be the same for all instances.
 type Settings struct {
-	Own     Range
-	Reserve int           // healthy searchers of each shard that must understand a version, so that a part can be retried elsewhere
-	Hold    time.Duration // all must understand a version for this long before the fleet is raised to it
-	Rest    time.Duration // after being lowered, the fleet is not raised for this long
+	Own        Range
+	Reserve    int           // healthy searchers of each shard that must understand a version, so that a part can be retried elsewhere
+	RaiseDelay time.Duration // all must understand a version for this long before the fleet is raised to it
+	Cooldown   time.Duration // after being lowered, the fleet is not raised for this long
 }
 
 // Check returns an error if no instance can work with the settings.
 func (s *Settings) Check() error {
-	if s.Reserve < 1 || s.Hold < 0 || s.Rest < 0 {
-		return fmt.Errorf("schema: reserve %d, hold %v, rest %v: the reserve must be at least 1, the times must not be negative",
-			s.Reserve, s.Hold, s.Rest)
+	if s.Reserve < 1 || s.RaiseDelay < 0 || s.Cooldown < 0 {
+		return fmt.Errorf("schema: reserve %d, raise delay %v, cooldown %v: the reserve must be at least 1, the times must not be negative",
+			s.Reserve, s.RaiseDelay, s.Cooldown)
 	}
 	return nil
 }
 
-// Said is what each instance announces to the others: the versions that it understands, and the fleet's version as far as
+// Announcement is what each instance announces to the others: the versions that it understands, and the fleet's version as far as
 // it knows.
-type Said struct {
+type Announcement struct {
 	Own     Range  `json:"own"`
 	Epoch   uint64 `json:"epoch"`
 	Version int    `json:"version"`
@@ -51,17 +51,17 @@
 // newer reports whether s supersedes o as the fleet's version. The later epoch wins. If two instances changed the version
 // in the same epoch, the lower version wins, as any instance that understands the higher one
 // understands it too.
-func (s Said) newer(o Said) bool {
+func (s Announcement) newer(o Announcement) bool {
 	return cmp.Or(cmp.Compare(s.Epoch, o.Epoch), cmp.Compare(o.Version, s.Version)) > 0
 }
 
 // Searcher describes a searcher: its range as listed, the shards it holds, and whether parts can be sent to it.
 type Searcher struct {
-	Name   string
-	Start  uint64 // incarnation: differs after each restart
-	Range  Range
-	Shards []int
-	Sound  bool // healthy: parts can be sent to it
+	Name        string
+	Incarnation uint64 // incarnation: differs after each restart
+	Range       Range
+	Shards      []int
+	Healthy     bool // healthy: parts can be sent to it
 }
 
 // results holds what a searcher's responses show about the range it claims.
@@ -72,48 +72,50 @@
 
 const maxFailures = 3 // consecutive: from here on a version counts as not understood, whatever the list states
 
-// Core is one instance's state of the negotiation.
-type Core struct {
+// Negotiator is one instance's state of the negotiation.
+type Negotiator struct {
 	settings       Settings
 	now            time.Duration
 	epoch          uint64
 	version        int
-	loweredAt      time.Duration // the last known lowering; starts a Rest in the past, so that a raise is allowed
+	loweredAt      time.Duration // the last known lowering; starts a Cooldown in the past, so that a raise is allowed
 	supportedSince map[int]time.Duration
 	results        map[string]*results
 	searchers      []Searcher
-	others         map[string]Said
+	others         map[string]Announcement
 	unknownPeers   bool // some instances are taken to be alive whose range is unknown
 }
 
 // New makes the state of an instance that speaks the lowest version it understands until it hears of a later epoch.
-func New(settings Settings, now time.Duration) (*Core, error) {
+func New(settings Settings, now time.Duration) (*Negotiator, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &Core{settings: settings, now: now, version: settings.Own.low(), loweredAt: now - settings.Rest, supportedSince: map[int]time.Duration{},
-		results: map[string]*results{}, others: map[string]Said{}}, nil
+	return &Negotiator{settings: settings, now: now, version: settings.Own.low(), loweredAt: now - settings.Cooldown, supportedSince: map[int]time.Duration{},
+		results: map[string]*results{}, others: map[string]Announcement{}}, nil
 }
 
-// At advances the clock, which never goes back.
-func (c *Core) At(now time.Duration) { c.now = max(c.now, now) }
+// Advance advances the clock, which never goes back.
+func (c *Negotiator) Advance(now time.Duration) { c.now = max(c.now, now) }
 
-// Say returns the announcement to send to the others.
-func (c *Core) Say() Said { return Said{c.settings.Own, c.epoch, c.version} }
+// Announcement returns the announcement to send to the others.
+func (c *Negotiator) Announcement() Announcement {
+	return Announcement{c.settings.Own, c.epoch, c.version}
+}
 
 // Version returns the version that the fleet speaks, as far as this instance knows.
-func (c *Core) Version() int { return c.version }
+func (c *Negotiator) Version() int { return c.version }
 
 // Epoch returns the number of the change that led to the current version.
-func (c *Core) Epoch() uint64 { return c.epoch }
+func (c *Negotiator) Epoch() uint64 { return c.epoch }
 
-// Others takes the announcements of all other instances whose data may be used, and the number of further instances that
+// SetPeers takes the announcements of all other instances whose data may be used, and the number of further instances that
 // are taken to be alive. Those may serve the same clients, and which versions they understand is unknown. A newer
 // version of the fleet is adopted; one that this instance does not understand is lowered at once.
-func (c *Core) Others(announcements map[string]Said, unknown int) {
+func (c *Negotiator) SetPeers(announcements map[string]Announcement, unknown int) {
 	c.others, c.unknownPeers = maps.Clone(announcements), unknown > 0
 	for _, n := range slices.Sorted(maps.Keys(announcements)) {
-		if s := announcements[n]; s.newer(c.Say()) {
+		if s := announcements[n]; s.newer(c.Announcement()) {
 			if s.Version < c.version {
 				c.loweredAt = c.now
 			}
@@ -123,23 +125,23 @@
 	c.update()
 }
 
-// Searchers takes the list of searchers.
-func (c *Core) Searchers(list []Searcher) {
+// SetSearchers takes the list of searchers.
+func (c *Negotiator) SetSearchers(list []Searcher) {
 	c.searchers = slices.Clone(list)
 	names := map[string]bool{}
 	for _, s := range list {
 		names[s.Name] = true
-		if r := c.results[s.Name]; r == nil || r.start != s.Start {
-			c.results[s.Name] = &results{s.Start, map[int]int{}} // results of an earlier process say nothing about this one
+		if r := c.results[s.Name]; r == nil || r.start != s.Incarnation {
+			c.results[s.Name] = &results{s.Incarnation, map[int]int{}} // results of an earlier process say nothing about this one
 		}
 	}
 	maps.DeleteFunc(c.results, func(n string, _ *results) bool { return !names[n] })
 	c.update()
 }
 
-// Answered records whether a searcher answered a part in a version. A searcher that repeatedly fails in a version that it
+// RecordResult records whether a searcher answered a part in a version. A searcher that repeatedly fails in a version that it
 // claims counts as not understanding it; a single answer shows that it does.
-func (c *Core) Answered(name string, v int, ok bool) {
+func (c *Negotiator) RecordResult(name string, v int, ok bool) {
 	r := c.results[name]
 	if r == nil || v <= Lowest {
 		return
@@ -153,22 +155,22 @@
 }
 
 // Understands reports whether a searcher understands a version, by its range and its results.
-func (c *Core) Understands(s *Searcher, v int) bool {
+func (c *Negotiator) Understands(s *Searcher, v int) bool {
 	r := c.results[s.Name]
-	return s.Range.Has(v) && (r == nil || r.failures[v] < maxFailures)
+	return s.Range.Contains(v) && (r == nil || r.failures[v] < maxFailures)
 }
 
 // hasReserve reports whether every shard has its reserve in a version. For a shard with fewer healthy searchers than the
 // reserve, all of them must understand it.
-func (c *Core) hasReserve(v int) bool {
+func (c *Negotiator) hasReserve(v int) bool {
 	healthy, understanding := map[int]int{}, map[int]int{}
 	for i := range c.searchers {
 		s := &c.searchers[i]
 		for _, shard := range s.Shards {
-			if s.Sound {
+			if s.Healthy {
 				healthy[shard]++
 			}
-			if s.Sound && c.Understands(s, v) {
+			if s.Healthy && c.Understands(s, v) {
 				understanding[shard]++
 			}
 		}
@@ -182,12 +184,12 @@
 }
 
 // mixersSupport reports whether this instance and all others that it hears understand a version.
-func (c *Core) mixersSupport(v int) bool {
-	if !c.settings.Own.Has(v) {
+func (c *Negotiator) mixersSupport(v int) bool {
+	if !c.settings.Own.Contains(v) {
 		return false
 	}
 	for _, s := range c.others {
-		if !s.Own.Has(v) {
+		if !s.Own.Contains(v) {
 			return false
 		}
 	}
@@ -196,7 +198,7 @@
 
 // update lowers the version at once if it is no longer supported, and records since when higher versions are. Any instance
 // that notices may lower the version: in one that is not understood, scans fail or are misread.
-func (c *Core) update() {
+func (c *Negotiator) update() {
 	if !c.mixersSupport(c.version) || !c.hasReserve(c.version) {
 		if v, ok := c.lowerVersion(); ok {
 			c.epoch, c.version, c.loweredAt = c.epoch+1, v, c.now
@@ -215,7 +217,7 @@
 // lowerVersion returns the highest lower version that all mixers understand and that has its reserve. If none has, it
 // returns the highest that all mixers understand, provided that the current one is not: without a reserve, scans are
 // refused one by one in any version.
-func (c *Core) lowerVersion() (int, bool) {
+func (c *Negotiator) lowerVersion() (int, bool) {
 	best, ok := 0, false
 	for v := c.version - 1; v >= c.settings.Own.low(); v-- {
 		if !c.mixersSupport(v) {
@@ -233,14 +235,14 @@
 
 // Raise raises the fleet's version and reports whether it did. That requires that this instance is permitted to
 // (fleet/view's Raise, which takes a settled majority), that all others are heard and understand the version and every
-// shard has its reserve, both for the hold time, and that the fleet was not lowered recently.
-func (c *Core) Raise(permitted bool) bool {
-	if !permitted || c.unknownPeers || c.now-c.loweredAt < c.settings.Rest {
+// shard has its reserve, both for the raise delay, and that the fleet was not lowered recently.
+func (c *Negotiator) Raise(permitted bool) bool {
+	if !permitted || c.unknownPeers || c.now-c.loweredAt < c.settings.Cooldown {
 		return false
 	}
 	best := 0
 	for v, since := range c.supportedSince {
-		if c.now-since >= c.settings.Hold {
+		if c.now-since >= c.settings.RaiseDelay {
 			best = max(best, v)
 		}
 	}
@@ -252,31 +254,31 @@
 	return true
 }
 
-// Choose returns the version of a new scan: the highest, up to the fleet's version, that its client understands. A scan
+// ChooseVersion returns the version of a new scan: the highest, up to the fleet's version, that its client understands. A scan
 // that its client sends again within the retry window keeps the version of its first attempt (pinned, 0 for none). It
 // returns false if this instance may not speak any version that the client needs: the scan is refused at once, to be
 // retried.
-func (c *Core) Choose(client Range, pinned int) (v int, ok bool) {
+func (c *Negotiator) ChooseVersion(client Range, pinned int) (v int, ok bool) {
 	if pinned > 0 {
-		return pinned, c.settings.Own.Has(pinned) && client.Has(pinned)
+		return pinned, c.settings.Own.Contains(pinned) && client.Contains(pinned)
 	}
 	v = min(c.version, client.high())
-	return v, client.Has(v) && c.settings.Own.Has(v)
+	return v, client.Contains(v) && c.settings.Own.Contains(v)
 }
 
-// May reports whether a part of a scan in the given version may be sent to a searcher. All parts of a scan, in both steps
+// CanSend reports whether a part of a scan in the given version may be sent to a searcher. All parts of a scan, in both steps
 // and in every retry or hedge, are checked with the scan's one version.
-func (c *Core) May(name string, v int) bool {
+func (c *Negotiator) CanSend(name string, v int) bool {
 	i := slices.IndexFunc(c.searchers, func(s Searcher) bool { return s.Name == name })
-	return i >= 0 && c.searchers[i].Sound && c.Understands(&c.searchers[i], v)
+	return i >= 0 && c.searchers[i].Healthy && c.Understands(&c.searchers[i], v)
 }
 
-// Reaches reports whether each of the shards has a healthy searcher that understands a version. Otherwise a scan of them
+// CanServe reports whether each of the shards has a healthy searcher that understands a version. Otherwise a scan of them
 // is refused at once, and never sent in a version that could be misread.
-func (c *Core) Reaches(shards []int, v int) bool {
+func (c *Negotiator) CanServe(shards []int, v int) bool {
 	return !slices.ContainsFunc(shards, func(shard int) bool {
 		return !slices.ContainsFunc(c.searchers, func(s Searcher) bool {
-			return s.Sound && slices.Contains(s.Shards, shard) && c.Understands(&s, v)
+			return s.Healthy && slices.Contains(s.Shards, shard) && c.Understands(&s, v)
 		})
 	})
 }
--- a/fleet/schema/schema_test.go
+++ b/fleet/schema/schema_test.go
@@ -11,14 +11,14 @@
 const s = time.Second
 
 func testSettings(own Range) Settings {
-	return Settings{Own: own, Reserve: 2, Hold: 2 * s, Rest: 5 * s}
+	return Settings{Own: own, Reserve: 2, RaiseDelay: 2 * s, Cooldown: 5 * s}
 }
 
 // fleet is a set of mixers that exchange announcements, and six searchers that each hold two of four shards, so that each
 // shard has three holders.
 type fleet struct {
 	now            time.Duration
-	negotiators    []*Core
+	negotiators    []*Negotiator
 	up             []bool
 	side           []int // of a partition
 	otherSideIsOut bool  // mixers on the other side of a partition are taken for dead
@@ -35,7 +35,7 @@
 		f.negotiators, f.up, f.side = append(f.negotiators, c), append(f.up, true), append(f.side, 0)
 	}
 	for i := range 6 {
-		f.searchers = append(f.searchers, Searcher{Name: fmt.Sprint("r", i), Start: 1, Range: Range{1, 2}, Shards: []int{i % 4, (i + 2) % 4}, Sound: true})
+		f.searchers = append(f.searchers, Searcher{Name: fmt.Sprint("r", i), Incarnation: 1, Range: Range{1, 2}, Shards: []int{i % 4, (i + 2) % 4}, Healthy: true})
 	}
 	return f
 }
@@ -48,19 +48,19 @@
 			if !f.up[i] {
 				continue
 			}
-			c.At(f.now)
-			c.Searchers(f.searchers)
-			announcements, unknownPeers := map[string]Said{}, 0
+			c.Advance(f.now)
+			c.SetSearchers(f.searchers)
+			announcements, unknownPeers := map[string]Announcement{}, 0
 			for j, o := range f.negotiators {
 				switch {
 				case i == j || !f.up[j]:
 				case f.side[i] == f.side[j]:
-					announcements[fmt.Sprint(j)] = o.Say()
+					announcements[fmt.Sprint(j)] = o.Announcement()
 				case !f.otherSideIsOut:
 					unknownPeers++
 				}
 			}
-			c.Others(announcements, unknownPeers)
+			c.SetPeers(announcements, unknownPeers)
 			c.Raise(2*(len(announcements)+1) > len(f.negotiators))
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-// In a rolling upgrade the version is raised once, after every shard has had its reserve for the hold time; a rollback lowers
+// In a rolling upgrade the version is raised once, after every shard has had its reserve for the raise delay; a rollback lowers
 // it at once.
 func TestRollingUpgradeAndRollback(t *testing.T) {
 	v12 := Range{1, 2}
@@ -85,7 +85,7 @@
 	f.expectVersions(t, "half of the searchers upgraded", 1)
 	f.searchers[0].Range, f.searchers[1].Range = v12, v12
 	f.run(1500 * time.Millisecond)
-	f.expectVersions(t, "hold time not over", 1)
+	f.expectVersions(t, "raise delay not over", 1)
 	f.run(2 * s)
 	f.expectVersions(t, "enough searchers upgraded", 2)
 	f.searchers[0].Range, f.searchers[4].Range = Range{}, Range{}
@@ -143,26 +143,26 @@
 // restart its claim counts again.
 func TestSearcherWithWrongRange(t *testing.T) {
 	f := newFleet(Range{1, 2})
-	f.searchers[4].Sound = false // shards 0 and 2 have two healthy searchers left
+	f.searchers[4].Healthy = false // shards 0 and 2 have two healthy searchers left
 	f.run(4 * s)
 	f.expectVersions(t, "before", 2)
 	c := f.negotiators[0]
-	c.Answered("r0", 2, false)
-	c.Answered("r0", 2, false)
-	c.Answered("r0", 2, true)
-	c.Answered("r0", 2, false)
-	c.Answered("r0", 2, false)
-	if !c.May("r0", 2) || c.Version() != 2 {
+	c.RecordResult("r0", 2, false)
+	c.RecordResult("r0", 2, false)
+	c.RecordResult("r0", 2, true)
+	c.RecordResult("r0", 2, false)
+	c.RecordResult("r0", 2, false)
+	if !c.CanSend("r0", 2) || c.Version() != 2 {
 		t.Error("two consecutive failures are enough to reject the version")
 	}
-	c.Answered("r0", 2, false)
-	if c.May("r0", 2) || !c.May("r0", 1) || c.Version() != 1 {
+	c.RecordResult("r0", 2, false)
+	if c.CanSend("r0", 2) || !c.CanSend("r0", 1) || c.Version() != 1 {
 		t.Errorf("the searcher is still sent version 2, or the fleet speaks %d", c.Version())
 	}
-	if !c.Reaches([]int{0, 2}, 2) || c.Reaches([]int{7}, 1) {
+	if !c.CanServe([]int{0, 2}, 2) || c.CanServe([]int{7}, 1) {
 		t.Error("scans that began in version 2 must reach the other searcher, and a shard without searchers must not be reached")
 	}
-	f.searchers[0].Start = 2
+	f.searchers[0].Incarnation = 2
 	f.run(8 * s)
 	f.expectVersions(t, "restarted", 2)
 }
@@ -172,7 +172,7 @@
 	for _, order := range [][]int{{2, 3}, {3, 2}} {
 		c, _ := New(testSettings(Range{1, 3}), 0)
 		for _, v := range order {
-			c.Others(map[string]Said{"b": {Range{1, 3}, 4, v}}, 0)
+			c.SetPeers(map[string]Announcement{"b": {Range{1, 3}, 4, v}}, 0)
 		}
 		if c.Version() != 2 || c.Epoch() != 4 {
 			t.Errorf("after announcements %v: version %d in epoch %d", order, c.Version(), c.Epoch())
@@ -182,7 +182,7 @@
 
 func TestChoose(t *testing.T) {
 	c, _ := New(testSettings(Range{2, 3}), 0)
-	c.Others(map[string]Said{"b": {Range{1, 3}, 4, 3}}, 0)
+	c.SetPeers(map[string]Announcement{"b": {Range{1, 3}, 4, 3}}, 0)
 	for _, x := range []struct {
 		client    Range
 		pinned, v int
@@ -196,7 +196,7 @@
 		{Range{1, 3}, 2, 2, true, "a keyed scan sent again keeps its version"},
 		{Range{1, 5}, 4, 4, false, "a scan whose version this mixer does not understand is refused, not sent in another"},
 	} {
-		if v, ok := c.Choose(x.client, x.pinned); ok != x.ok || ok && v != x.v {
+		if v, ok := c.ChooseVersion(x.client, x.pinned); ok != x.ok || ok && v != x.v {
 			t.Errorf("%s: %d %v", x.name, v, ok)
 		}
 	}
@@ -223,15 +223,15 @@
 			case 0:
 				f.searchers[k].Range = Range{1, rapid.IntRange(1, 3).Draw(r, "range")}
 			case 1:
-				f.searchers[k].Sound = !f.searchers[k].Sound
+				f.searchers[k].Healthy = !f.searchers[k].Healthy
 			case 2:
 				f.side[i] = 1 - f.side[i]
 			case 3:
 				f.up[i] = !f.up[i]
 			case 4:
-				f.negotiators[i].Answered(fmt.Sprint("r", k), 2, rapid.Bool().Draw(r, "ok"))
+				f.negotiators[i].RecordResult(fmt.Sprint("r", k), 2, rapid.Bool().Draw(r, "ok"))
 			case 5:
-				f.searchers[k].Start++
+				f.searchers[k].Incarnation++
 			}
 			f.run(time.Duration(rapid.IntRange(1, 6).Draw(r, "seconds")) * s)
 			for i, c := range f.negotiators {
@@ -242,8 +242,8 @@
 					continue
 				}
 				for j, o := range f.negotiators {
-					if i != j && f.up[j] && f.side[i] == f.side[j] && o.Say() != (Said{o.settings.Own, c.epoch, c.version}) {
-						r.Fatalf("mixers %d and %d hear each other, but announce %+v and %+v", i, j, c.Say(), o.Say())
+					if i != j && f.up[j] && f.side[i] == f.side[j] && o.Announcement() != (Announcement{o.settings.Own, c.epoch, c.version}) {
+						r.Fatalf("mixers %d and %d hear each other, but announce %+v and %+v", i, j, c.Announcement(), o.Announcement())
 					}
 				}
 				if !c.mixersSupport(c.version) {
--- a/fleet/share/merge.go
+++ b/fleet/share/merge.go
@@ -20,10 +20,10 @@
 	maxAge       = 24 * time.Hour
 )
 
-// Tell encodes a piece of at most the given number of bytes. This instance's own entries come first, then those of other
+// EncodePiece encodes a piece of at most the given number of bytes. This instance's own entries come first, then those of other
 // owners, continuing where the previous piece stopped. This way all entries are sent in turn, and the data of a dead
 // instance still spreads.
-func (s *Store) Tell(maxSize int) []byte {
+func (s *Store) EncodePiece(maxSize int) []byte {
 	var p piece
 	size := 64
 	add := func(v any, include func()) bool {
@@ -50,7 +50,7 @@
 		f := s.facts[k]
 		x := Fact{k.owner, k.topic, f.incarnation, f.seq, s.now - f.writtenAt, []byte(f.body)}
 		put := func() bool { return add(x, func() { p.Facts = append(p.Facts, x) }) }
-		if k.owner == s.settings.Me {
+		if k.owner == s.settings.Name {
 			own = append(own, put)
 		} else {
 			others = append(others, put)
@@ -59,7 +59,7 @@
 	for _, k := range slices.SortedFunc(maps.Keys(s.counts), countKey.cmp) {
 		x := Count{k.topic, k.epoch, k.owner, k.incarnation, s.counts[k]}
 		put := func() bool { return add(x, func() { p.Counts = append(p.Counts, x) }) }
-		if k.owner == s.settings.Me {
+		if k.owner == s.settings.Name {
 			own = append(own, put)
 		} else {
 			others = append(others, put)
@@ -99,22 +99,22 @@
 		return fmt.Errorf("share: %w", err)
 	}
 	for _, f := range p.Facts {
-		unwritten := f.Owner == s.settings.Me && (f.Inc > s.settings.Inc || f.Inc == s.settings.Inc && f.Seq > s.seq)
-		if f.Owner == "" || f.Topic == "" || len(f.Owner)+len(f.Topic) > maxBody || len(f.Body) > s.settings.Body ||
+		unwritten := f.Owner == s.settings.Name && (f.Inc > s.settings.Inc || f.Inc == s.settings.Inc && f.Seq > s.seq)
+		if f.Owner == "" || f.Topic == "" || len(f.Owner)+len(f.Topic) > maxBody || len(f.Body) > s.settings.MaxBodySize ||
 			f.Age < 0 || unwritten {
 			return fmt.Errorf("share: invalid fact %.40q of %.40q", f.Topic, f.Owner)
 		}
 	}
 	for _, c := range p.Counts {
 		k := countKey{c.Topic, c.Epoch, c.Owner, c.Inc}
-		unwritten := c.Owner == s.settings.Me && (c.Inc > s.settings.Inc ||
+		unwritten := c.Owner == s.settings.Name && (c.Inc > s.settings.Inc ||
 			c.Inc == s.settings.Inc && c.N > s.counts[k] && c.Epoch >= s.minEpochs[c.Topic])
 		if c.Owner == "" || c.Topic == "" || len(c.Owner)+len(c.Topic) > maxBody || unwritten {
 			return fmt.Errorf("share: invalid counter %.40q of %.40q", c.Topic, c.Owner)
 		}
 	}
 	for topic, epoch := range p.MinEpochs {
-		s.Over(topic, epoch)
+		s.CloseEpochsBelow(topic, epoch)
 	}
 	for _, f := range p.Facts {
 		s.put(factKey{f.Topic, f.Owner}, fact{f.Inc, f.Seq, s.now - min(f.Age, maxAge), string(f.Body)})
--- a/fleet/share/store.go
+++ b/fleet/share/store.go
@@ -10,16 +10,16 @@
 
 // Settings configures a store. All stores of a fleet need the same limits.
 type Settings struct {
-	Me    string
-	Inc   uint64 // incarnation of this process, higher than that of the process before
-	Facts int    // the maximum number of facts; beyond it the last in key order are evicted
-	Tally int    // the same for counters
-	Body  int    // the maximum size of a fact, in bytes
+	Name        string
+	Inc         uint64 // incarnation of this process, higher than that of the process before
+	MaxFacts    int    // the maximum number of facts; beyond it the last in key order are evicted
+	MaxCounts   int    // the same for counters
+	MaxBodySize int    // the maximum size of a fact, in bytes
 }
 
 // Check returns an error if no store can work with the settings.
 func (s *Settings) Check() error {
-	if s.Me == "" || s.Facts < 1 || s.Tally < 1 || s.Body < 0 || s.Body > maxBody {
+	if s.Name == "" || s.MaxFacts < 1 || s.MaxCounts < 1 || s.MaxBodySize < 0 || s.MaxBodySize > maxBody {
 		return fmt.Errorf("share: need a name, at least 1 fact and counter, and a body size from 0 to %d bytes: %+v", maxBody, *s)
 	}
 	return nil
@@ -99,21 +99,21 @@
 		minEpochs: map[string]uint64{}}, nil
 }
 
-// At advances the clock, which never goes back.
-func (s *Store) At(now time.Duration) { s.now = max(s.now, now) }
+// Advance advances the clock, which never goes back.
+func (s *Store) Advance(now time.Duration) { s.now = max(s.now, now) }
 
-// Say writes a fact of this instance. It returns an error if the topic is empty or the body too long.
-func (s *Store) Say(topic string, body []byte) error {
-	if topic == "" || len(body) > s.settings.Body {
-		return fmt.Errorf("share: fact %q of %d bytes: need a topic and at most %d bytes", topic, len(body), s.settings.Body)
+// SetFact writes a fact of this instance. It returns an error if the topic is empty or the body too long.
+func (s *Store) SetFact(topic string, body []byte) error {
+	if topic == "" || len(body) > s.settings.MaxBodySize {
+		return fmt.Errorf("share: fact %q of %d bytes: need a topic and at most %d bytes", topic, len(body), s.settings.MaxBodySize)
 	}
 	s.seq++
-	s.put(factKey{topic, s.settings.Me}, fact{s.settings.Inc, s.seq, s.now, string(body)})
+	s.put(factKey{topic, s.settings.Name}, fact{s.settings.Inc, s.seq, s.now, string(body)})
 	return nil
 }
 
-// Read calls yield for each fact under a topic, with its age, in the order of the owners.
-func (s *Store) Read(topic string, yield func(Fact)) {
+// EachFact calls yield for each fact under a topic, with its age, in the order of the owners.
+func (s *Store) EachFact(topic string, yield func(Fact)) {
 	for _, k := range slices.SortedFunc(maps.Keys(s.facts), factKey.cmp) {
 		if f := s.facts[k]; k.topic == topic {
 			yield(Fact{Owner: k.owner, Topic: topic, Inc: f.incarnation, Seq: f.seq, Age: s.now - f.writtenAt, Body: []byte(f.body)})
@@ -126,7 +126,7 @@
 	if epoch < s.minEpochs[topic] {
 		return false
 	}
-	k := countKey{topic, epoch, s.settings.Me, s.settings.Inc}
+	k := countKey{topic, epoch, s.settings.Name, s.settings.Inc}
 	s.raise(k, s.counts[k]+n)
 	return true
 }
@@ -142,13 +142,13 @@
 	return n
 }
 
-// Over closes all epochs of a topic below the given one and drops their counters, here and, as the minimum spreads, in
+// CloseEpochsBelow closes all epochs of a topic below the given one and drops their counters, here and, as the minimum spreads, in
 // every store.
-func (s *Store) Over(topic string, epoch uint64) {
+func (s *Store) CloseEpochsBelow(topic string, epoch uint64) {
 	if epoch <= s.minEpochs[topic] {
 		return
 	}
-	if _, ok := s.minEpochs[topic]; !ok && len(s.minEpochs) >= s.settings.Tally {
+	if _, ok := s.minEpochs[topic]; !ok && len(s.minEpochs) >= s.settings.MaxCounts {
 		s.evicted++
 		return
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	s.facts[k] = f
-	if len(s.facts) > s.settings.Facts {
+	if len(s.facts) > s.settings.MaxFacts {
 		delete(s.facts, slices.MaxFunc(slices.Collect(maps.Keys(s.facts)), factKey.cmp))
 		s.evicted++
 	}
@@ -178,11 +178,11 @@
 		return
 	}
 	s.counts[k] = n
-	if len(s.counts) > s.settings.Tally {
+	if len(s.counts) > s.settings.MaxCounts {
 		delete(s.counts, slices.MaxFunc(slices.Collect(maps.Keys(s.counts)), countKey.cmp))
 		s.evicted++
 	}
 }
 
-// Held returns the number of facts and counters in the store, and of entries dropped for want of space.
-func (s *Store) Held() (facts, counts, evicted int) { return len(s.facts), len(s.counts), s.evicted }
+// Stats returns the number of facts and counters in the store, and of entries dropped for want of space.
+func (s *Store) Stats() (facts, counts, evicted int) { return len(s.facts), len(s.counts), s.evicted }
--- a/fleet/share/store_test.go
+++ b/fleet/share/store_test.go
@@ -12,7 +12,7 @@
 )
 
 func newTestStore(t interface{ Fatal(...any) }, name string, incarnation uint64, bound int) *Store {
-	s, err := New(Settings{Me: name, Inc: incarnation, Facts: bound, Tally: bound, Body: 64}, 0)
+	s, err := New(Settings{Name: name, Inc: incarnation, MaxFacts: bound, MaxCounts: bound, MaxBodySize: 64}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,14 +51,14 @@
 			s := all[i]
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
 			case 0:
-				s.Say(fmt.Sprint("f", rapid.IntRange(0, 2).Draw(r, "topic")), []byte(rapid.StringN(0, 4, 8).Draw(r, "body")))
+				s.SetFact(fmt.Sprint("f", rapid.IntRange(0, 2).Draw(r, "topic")), []byte(rapid.StringN(0, 4, 8).Draw(r, "body")))
 			case 1:
 				k := uint64(rapid.IntRange(1, 9).Draw(r, "n"))
 				if s.Add("c", 1, k) {
 					counted += k
 				}
 			case 2:
-				inFlight = append(inFlight, s.Tell(rapid.IntRange(100, 2000).Draw(r, "most")))
+				inFlight = append(inFlight, s.EncodePiece(rapid.IntRange(100, 2000).Draw(r, "most")))
 			case 3, 4:
 				if len(inFlight) > 0 { // the piece stays in flight, so that it may be delivered again
 					if err := s.Merge(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(r, "piece")]); err != nil && bound > 100 {
@@ -79,7 +79,7 @@
 		for range 3 {
 			for _, s := range all {
 				for range 4 {
-					b := s.Tell(1 << 16)
+					b := s.EncodePiece(1 << 16)
 					for _, o := range all {
 						if err := o.Merge(b); err != nil && bound > 100 {
 							r.Fatal(err)
@@ -92,7 +92,7 @@
 			if bound > 100 && !s.equal(all[0]) {
 				r.Fatalf("store %d holds\n%v %v, and the first\n%v %v", i, s.facts, s.counts, all[0].facts, all[0].counts)
 			}
-			if f, c, _ := s.Held(); f > bound || c > bound {
+			if f, c, _ := s.Stats(); f > bound || c > bound {
 				r.Fatalf("%d facts, %d counters held; %d allowed", f, c, bound)
 			}
 		}
@@ -106,10 +106,10 @@
 		for i := range 6 {
 			s := newTestStore(r, fmt.Sprint("m", i), uint64(1+i%2), 100)
 			for k := range 3 {
-				s.Say(fmt.Sprint("f", k), []byte{byte(i)})
+				s.SetFact(fmt.Sprint("f", k), []byte{byte(i)})
 				s.Add(fmt.Sprint("c", k), uint64(k), uint64(i+1))
 			}
-			bs = append(bs, s.Tell(1<<16))
+			bs = append(bs, s.EncodePiece(1<<16))
 		}
 		a, b := newTestStore(r, "a", 1, 7), newTestStore(r, "b", 1, 7)
 		for _, x := range bs {
@@ -129,18 +129,18 @@
 // counter still adds to the sum.
 func TestRestartKeepsCounters(t *testing.T) {
 	first, other := newTestStore(t, "a", 1, 100), newTestStore(t, "b", 1, 100)
-	first.Say("load", []byte("old"))
+	first.SetFact("load", []byte("old"))
 	first.Add("seen", 0, 5)
-	late := first.Tell(1 << 10)
+	late := first.EncodePiece(1 << 10)
 	restarted := newTestStore(t, "a", 2, 100)
-	restarted.Say("load", []byte("new"))
+	restarted.SetFact("load", []byte("new"))
 	restarted.Add("seen", 0, 2)
-	for _, b := range [][]byte{late, restarted.Tell(1 << 10), late} {
+	for _, b := range [][]byte{late, restarted.EncodePiece(1 << 10), late} {
 		if err := other.Merge(b); err != nil {
 			t.Fatal(err)
 		}
 	}
-	other.Read("load", func(f Fact) {
+	other.EachFact("load", func(f Fact) {
 		if string(f.Body) != "new" {
 			t.Errorf("%q", f.Body)
 		}
@@ -148,7 +148,7 @@
 	if n := other.Sum("seen", 0); n != 7 {
 		t.Errorf("sum %d, want 7", n)
 	}
-	other.Over("seen", 1)
+	other.CloseEpochsBelow("seen", 1)
 	other.Merge(late)
 	if n := other.Sum("seen", 0); n != 0 || other.Add("seen", 0, 1) {
 		t.Errorf("a closed epoch has %d", n)
@@ -158,14 +158,14 @@
 // The age of a fact grows at every store that passes it on and while it is stored; a duplicate does not lower it.
 func TestAges(t *testing.T) {
 	a, b, c := newTestStore(t, "a", 1, 9), newTestStore(t, "b", 1, 9), newTestStore(t, "c", 1, 9)
-	a.Say("x", nil)
-	a.At(2 * time.Second)
-	b.Merge(a.Tell(1 << 10))
-	b.At(3 * time.Second)
-	c.Merge(b.Tell(1 << 10))
-	c.At(time.Second)
-	c.Merge(b.Tell(1 << 10))
-	c.Read("x", func(f Fact) {
+	a.SetFact("x", nil)
+	a.Advance(2 * time.Second)
+	b.Merge(a.EncodePiece(1 << 10))
+	b.Advance(3 * time.Second)
+	c.Merge(b.EncodePiece(1 << 10))
+	c.Advance(time.Second)
+	c.Merge(b.EncodePiece(1 << 10))
+	c.EachFact("x", func(f Fact) {
 		if f.Age != 5*time.Second {
 			t.Errorf("%v old", f.Age)
 		}
@@ -174,8 +174,8 @@
 
 func TestInvalidPiecesAreRejected(t *testing.T) {
 	s := newTestStore(t, "a", 1, 9)
-	s.Say("x", []byte("mine"))
-	before := s.Tell(1 << 10)
+	s.SetFact("x", []byte("mine"))
+	before := s.EncodePiece(1 << 10)
 	for _, text := range []string{"", "[]", `{"f":[{"o":"a","t":"x","i":1,"s":9}]}`, `{"f":[{"o":"a","t":"x","i":2,"s":1}]}`,
 		`{"f":[{"o":"b","t":"","i":2}]}`, `{"f":[{"o":"b","t":"x","a":-1}]}`, `{"c":[{"t":"n","o":"a","i":1,"n":1}]}`,
 		`{"f":[{"o":"b","t":"x","b":"` + strings.Repeat("QUFB", 40) + `"}]}`, strings.Repeat(" ", maxPieceSize+1)} {
@@ -183,10 +183,10 @@
 			t.Errorf("%.60q is accepted", text)
 		}
 	}
-	if !bytes.Equal(before, s.Tell(1<<10)) {
+	if !bytes.Equal(before, s.EncodePiece(1<<10)) {
 		t.Error("an invalid piece changed the store")
 	}
-	if s.Say("x", make([]byte, 65)) == nil {
+	if s.SetFact("x", make([]byte, 65)) == nil {
 		t.Error("a fact that is too long is accepted")
 	}
 }
@@ -196,31 +196,31 @@
 	s, o := newTestStore(t, "a", 1, 500), newTestStore(t, "b", 1, 500)
 	for i := range 60 {
 		x := newTestStore(t, fmt.Sprint("x", i), 1, 500)
-		x.Say("load", []byte("some"))
-		s.Merge(x.Tell(1 << 10))
+		x.SetFact("load", []byte("some"))
+		s.Merge(x.EncodePiece(1 << 10))
 	}
 	for range 30 {
-		b := s.Tell(400)
+		b := s.EncodePiece(400)
 		if len(b) > 400 {
 			t.Fatalf("%d bytes", len(b))
 		}
 		o.Merge(b)
 	}
-	if facts, _, _ := o.Held(); facts != 60 {
+	if facts, _, _ := o.Stats(); facts != 60 {
 		t.Errorf("%d of 60 facts arrived", facts)
 	}
 }
 
 func FuzzMerge(f *testing.F) {
 	s := newTestStore(f, "a", 1, 9)
-	s.Say("x", []byte("mine"))
-	f.Add(s.Tell(1 << 10))
+	s.SetFact("x", []byte("mine"))
+	f.Add(s.EncodePiece(1 << 10))
 	f.Add([]byte(`{"l":{"c":3},"c":[{"t":"c","e":4,"o":"z","i":1,"n":2}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s := newTestStore(t, "a", 1, 9)
-		s.Say("x", []byte("mine"))
+		s.SetFact("x", []byte("mine"))
 		s.Merge(b)
-		if facts, counts, _ := s.Held(); facts > 9 || counts > 9 {
+		if facts, counts, _ := s.Stats(); facts > 9 || counts > 9 {
 			t.Errorf("%d facts, %d counters", facts, counts)
 		}
 	})
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -138,7 +138,7 @@
 // TestJSON covers what instances tell each other as JSON.
 func TestJSON(t *testing.T) {
 	t.Run("load-report", checkJSON[overload.Report]("load-report"))
-	t.Run("loan-request", checkJSON[overload.Ask]("loan-request"))
+	t.Run("loan-request", checkJSON[overload.LoanRequest]("loan-request"))
 	t.Run("loan", checkJSON[overload.Loan]("loan"))
 	t.Run("fleet-message", func(t *testing.T) {
 		m := filled[fleet.Message]()
--- a/mixer/ally.go
+++ b/mixer/ally.go
@@ -33,14 +33,14 @@
 	mind   *fleet.Mind
 	meter  *overload.Meter
 	others []string
-	stands view.Standing // as last logged
-	mood   overload.Mood
+	stands view.Connectivity // as last logged
+	mood   overload.Condition
 }
 
 func newAlly(c *Config, log *zap.Logger, o *owner, inc uint64, send func(string, []byte)) (*ally, error) {
 	set := &c.Settings.Brain
 	a := &ally{log: log.Named("fleet"), o: o, send: send, types: set.Types, beat: c.Ours.Fleet.Beat, start: time.Now()}
-	kinds := overload.Kinds{Quota: set.Quotas}
+	kinds := overload.BinLayout{Quota: set.Quotas}
 	for _, t := range set.Types {
 		kinds.Benefit = append(kinds.Benefit, t.Benefit)
 	}
@@ -60,7 +60,7 @@
 func (a *ally) Came(class, tenant, parts int, again bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.meter.Came(class, tenant, parts, again)
+	a.meter.ScanArrived(class, tenant, parts, again)
 }
 
 func (a *ally) Ended(kind attempt.Kind, class int, took time.Duration) {
@@ -69,17 +69,17 @@
 	how := overload.Failed
 	switch kind {
 	case attempt.Completed:
-		how = overload.Done
+		how = overload.Completed
 	case attempt.Throttled:
-		how = overload.Turned
+		how = overload.Throttled
 	}
-	a.meter.Ended(how, took, a.types[class].Target)
+	a.meter.ScanEnded(how, took, a.types[class].Target)
 }
 
 func (a *ally) Carried() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.meter.Carried()
+	a.meter.PartServed()
 }
 
 // View and Message come from the group. Who it says is gone is not told anything any more; that one lives is told by its
@@ -89,7 +89,7 @@
 	defer a.mu.Unlock()
 	for _, name := range a.others {
 		if _, ok := others[name]; !ok {
-			a.mind.View.Gone(name)
+			a.mind.View.ReportFailed(name)
 		}
 	}
 	a.others = slices.Sorted(maps.Keys(others))
@@ -120,7 +120,7 @@
 	a.mu.Lock()
 	a.mind.At(a.now())
 	if span, ok := a.mind.Due(); ok {
-		if err := a.mind.Report(a.meter.Take(span)); err != nil {
+		if err := a.mind.Report(a.meter.TakeReport(span)); err != nil {
 			a.log.Error("load not told", zap.Error(err))
 		}
 	}
@@ -136,7 +136,7 @@
 func (a *ally) advise() {
 	a.mu.Lock()
 	let, mood, room := a.mind.Advice()
-	stands, wasMood, wasStanding := a.mind.View.Standing(), a.mood, a.stands
+	stands, wasMood, wasStanding := a.mind.View.Connectivity(), a.mood, a.stands
 	a.mood, a.stands = mood, stands
 	a.mu.Unlock()
 	a.o.try(func() { a.o.Let(let) })
