--- a/fleet/overload/budget.go
+++ b/fleet/overload/budget.go
@@ -73,9 +73,9 @@
 //
 //	Rate x span + Rate x Burst
 //
-// in any span, provided that Advance is called at least once per MaxClockStep, and before spending with the same clock reading. This
-// needs no vote, leader or consensus; the membership view only decides whether lending is useful. When an instance dies,
-// what it had borrowed returns to the lenders as the loans expire; its own share stays unspent.
+// in any span, provided that Advance is called at least once per MaxClockStep, and before spending with the same clock
+// reading. This needs no vote, leader or consensus; the membership view only decides whether lending is useful. When an
+// instance dies, what it had borrowed returns to the lenders as the loans expire; its own share stays unspent.
 type Budget struct {
 	config      BudgetConfig
 	name        string
@@ -214,7 +214,8 @@
 		}
 		b.lastNumber++
 		b.borrowed = append(b.borrowed, borrowedLoan{lender: n, number: b.lastNumber, requested: rate, left: b.config.Lease})
-		requests = append(requests, LoanRequest{From: b.name, Inc: b.incarnation, To: n, ToInc: spare[n].Inc, No: b.lastNumber, Rate: rate})
+		requests = append(requests, LoanRequest{From: b.name, Inc: b.incarnation, To: n, ToInc: spare[n].Inc,
+			No: b.lastNumber, Rate: rate})
 		lack -= rate
 	}
 	return requests
@@ -226,8 +227,8 @@
 	Rate float64
 }
 
-// HandleRequest answers a loan request; allowed states whether the membership view allows this instance to grant loans. A duplicate
-// request gets the same answer, and a lent rate is deducted from the moment it is granted.
+// HandleRequest answers a loan request; allowed states whether the membership view allows this instance to grant loans.
+// A duplicate request gets the same answer, and a lent rate is deducted from the moment it is granted.
 func (b *Budget) HandleRequest(request LoanRequest, allowed bool) (Loan, bool) {
 	if request.To != b.name || request.ToInc != b.incarnation || request.From == b.name || !(request.Rate > 0) {
 		return Loan{}, false
--- a/fleet/overload/shedding.go
+++ b/fleet/overload/shedding.go
@@ -14,10 +14,10 @@
 	WithinQuota bool    // within the tenant's quota
 }
 
-// AllocateCapacity returns the share of each bin to admit when only capacity parts a second can be served. The result depends on the
-// arguments alone, so that instances with the same data agree. All demand within the tenants' quotas precedes all demand
-// beyond them, and more valuable work precedes less valuable work; at most one bin is admitted partially. A tenant within
-// its quota is therefore never shed while another is served beyond its own.
+// AllocateCapacity returns the share of each bin to admit when only capacity parts a second can be served. The result
+// depends on the arguments alone, so that instances with the same data agree. All demand within the tenants' quotas
+// precedes all demand beyond them, and more valuable work precedes less valuable work; at most one bin is admitted
+// partially. A tenant within its quota is therefore never shed while another is served beyond its own.
 func AllocateCapacity(bins []Bin, demand []float64, capacity float64) []float64 {
 	order := make([]int, len(bins))
 	for i := range order {
@@ -57,8 +57,8 @@
 // Bin returns the index of a class and tenant. A tenant below 0 stands for no known tenant.
 func (l BinLayout) Bin(class, tenant int) int { return class*(len(l.Quota)+1) + tenant + 1 }
 
-// AdmittedShares divides capacity, in parts per second, among all demand and returns the share of each bin to admit. Quotas apply to a
-// tenant's demand over the whole fleet, whichever instances its clients reach.
+// AdmittedShares divides capacity, in parts per second, among all demand and returns the share of each bin to admit.
+// Quotas apply to a tenant's demand over the whole fleet, whichever instances its clients reach.
 func (l BinLayout) AdmittedShares(sum Report, capacity float64) []float64 {
 	value, order := make([]float64, len(l.Benefit)), make([]int, len(l.Benefit))
 	for c := range order {
--- a/fleet/schema/schema.go
+++ b/fleet/schema/schema.go
@@ -26,7 +26,7 @@
 // Settings configures the negotiation. All fields but Own must be the same for all instances.
 type Settings struct {
 	Own        Range
-	Reserve    int           // healthy searchers of each shard that must understand a version, so that a part can be retried elsewhere
+	Reserve    int           // healthy searchers per shard that must understand a version, so that a part can be retried elsewhere
 	RaiseDelay time.Duration // all must understand a version for this long before the fleet is raised to it
 	Cooldown   time.Duration // after being lowered, the fleet is not raised for this long
 }
@@ -34,7 +34,7 @@
 // Check returns an error if no instance can work with the settings.
 func (s *Settings) Check() error {
 	if s.Reserve < 1 || s.RaiseDelay < 0 || s.Cooldown < 0 {
-		return fmt.Errorf("schema: reserve %d, raise delay %v, cooldown %v: the reserve must be at least 1, the times must not be negative",
+		return fmt.Errorf("schema: reserve %d, raise delay %v, cooldown %v: the reserve must be at least 1 and the times not negative",
 			s.Reserve, s.RaiseDelay, s.Cooldown)
 	}
 	return nil
@@ -91,8 +91,8 @@
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &Negotiator{settings: settings, now: now, version: settings.Own.low(), loweredAt: now - settings.Cooldown, supportedSince: map[int]time.Duration{},
-		results: map[string]*results{}, others: map[string]Announcement{}}, nil
+	return &Negotiator{settings: settings, now: now, version: settings.Own.low(), loweredAt: now - settings.Cooldown,
+		supportedSince: map[int]time.Duration{}, results: map[string]*results{}, others: map[string]Announcement{}}, nil
 }
 
 // Advance advances the clock, which never goes back.
--- a/fleet/view/view.go
+++ b/fleet/view/view.go
@@ -31,7 +31,8 @@
 	case s.SettleTime < 0:
 		return fmt.Errorf("settling time of a majority: %v; must not be negative", s.SettleTime)
 	case s.MaxClockStep <= 0 || s.MaxClockStep > s.StaleAfter:
-		return fmt.Errorf("longest clock step: %v; must be above 0 and at most the age of a stale heartbeat (%v)", s.MaxClockStep, s.StaleAfter)
+		return fmt.Errorf("longest clock step: %v; must be above 0 and at most the age of a stale heartbeat (%v)",
+			s.MaxClockStep, s.StaleAfter)
 	}
 	return nil
 }
