--- a/fleet/overload/budget_test.go
+++ b/fleet/overload/budget_test.go
@@ -50,8 +50,8 @@
 }
 
 // simulate lets budgets spend all they can under random faults derived from a seed: lost, duplicated and delayed
-// messages, partitions, pauses, restarts, and clocks that maxClockDrift or jump. It returns the highest ratio of the amount spent
-// to the amount allowed. inject is called on each budget at its start and after each step of its clock.
+// messages, partitions, pauses, restarts, and clocks that drift or jump. It returns the highest ratio of the amount spent to
+// the amount allowed. inject is called on each budget at its start and after each step of its clock.
 func simulate(seed uint64, inject func(b *Budget, first bool)) float64 {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	oneIn := func(n int) bool { return rng.IntN(n) == 0 }
@@ -76,17 +76,17 @@
 		start(i)
 	}
 	type message struct {
-		at   time.Duration
-		to   int
-		ask  *LoanRequest
-		loan *Loan
+		at      time.Duration
+		to      int
+		request *LoanRequest
+		loan    *Loan
 	}
 	var inFlight []message
-	send := func(to string, ask *LoanRequest, loan *Loan) {
+	send := func(to string, request *LoanRequest, loan *Loan) {
 		i, _ := strconv.Atoi(to)
 		for range []int{1, 1, 1, 1, 2, 0}[rng.IntN(6)] {
 			delay := []time.Duration{s / 20, s / 20, s / 20, s, 6 * s}[rng.IntN(5)]
-			inFlight = append(inFlight, message{now + delay, i, ask, loan})
+			inFlight = append(inFlight, message{now + delay, i, request, loan})
 		}
 	}
 	partitioned := false
@@ -114,9 +114,9 @@
 			case m.at > now || now < pausedUntil[m.to]:
 				waiting = append(waiting, m)
 			case partitioned && m.to == 0:
-			case m.ask != nil:
+			case m.request != nil:
 				b.Advance(clock(m.to))
-				if loan, ok := b.HandleRequest(*m.ask, true); ok {
+				if loan, ok := b.HandleRequest(*m.request, true); ok {
 					send(loan.To, nil, &loan)
 				}
 			default:
--- a/fleet/overload/detector.go
+++ b/fleet/overload/detector.go
@@ -60,12 +60,12 @@
 	Outage               // hardly anything completes, compared with the scans requested and with what completed when calm
 	RetryStorm           // most lost scans are retried: demand feeds on itself
 	Recovery             // scans complete again while retries still arrive
-	moodCount
+	conditionCount
 )
 
 // String returns the condition's name.
-func (m Condition) String() string {
-	return [...]string{"calm", "overload", "outage", "storm", "recovery", ""}[min(m, moodCount)]
+func (c Condition) String() string {
+	return [...]string{"calm", "overload", "outage", "storm", "recovery", ""}[min(c, conditionCount)]
 }
 
 // Thresholds between the conditions, as shares of the scans requested unless stated otherwise. A condition is left only
--- a/fleet/overload/detector_test.go
+++ b/fleet/overload/detector_test.go
@@ -20,46 +20,46 @@
 		want    Condition
 	}{
 		{"calm", []Report{calm}, Calm},
-		{"nothing is asked for", []Report{{}}, Calm},
-		{"twice the demand, first tries", []Report{{First: 200, Again: 30, Done: 120, Turned: 110}}, Overload},
-		{"twice the demand, and all of it comes again", []Report{{First: 200, Again: 150, Done: 120, Turned: 230}}, Overload},
-		{"the usual demand, and what is lost comes again", []Report{{First: 100, Again: 120, Done: 80, Turned: 140}}, RetryStorm},
-		{"nothing is done", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}}, Outage},
-		{"back, repeats to come", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}, {First: 100, Again: 40, Done: 138, Turned: 2}}, Recovery},
-		{"and over", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}, {First: 100, Again: 40, Done: 138, Turned: 2}, calm}, Calm},
-		{"late, though all is done", []Report{{First: 100, Done: 100, Pressure: 1.4}}, Overload},
+		{"no demand", []Report{{}}, Calm},
+		{"twice the demand, first attempts", []Report{{First: 200, Again: 30, Done: 120, Turned: 110}}, Overload},
+		{"twice the demand, and all lost scans are retried", []Report{{First: 200, Again: 150, Done: 120, Turned: 230}}, Overload},
+		{"the usual demand, and lost scans are retried", []Report{{First: 100, Again: 120, Done: 80, Turned: 140}}, RetryStorm},
+		{"hardly anything completes", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}}, Outage},
+		{"back, with retries to come", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}, {First: 100, Again: 40, Done: 138, Turned: 2}}, Recovery},
+		{"after the recovery", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}, {First: 100, Again: 40, Done: 138, Turned: 2}, calm}, Calm},
+		{"late, though all complete", []Report{{First: 100, Done: 100, Pressure: 1.4}}, Overload},
 	} {
-		j, err := NewDetector(DetectorConfig{Enter: 2 * s, Leave: 4 * s})
+		d, err := NewDetector(DetectorConfig{Enter: 2 * s, Leave: 4 * s})
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Duration(0)
 		see := func(r Report, duration time.Duration) {
 			for end := now + duration; now < end; now += s {
-				j.Update(now, r)
+				d.Update(now, r)
 			}
 		}
 		see(calm, 10*s)
 		for _, r := range c.reports {
-			if see(r, 2*s); len(c.reports) == 1 && c.want != Calm && j.Condition() != Calm {
-				t.Errorf("%s: %v without delay", c.name, j.Condition())
+			if see(r, 2*s); len(c.reports) == 1 && c.want != Calm && d.Condition() != Calm {
+				t.Errorf("%s: %v without delay", c.name, d.Condition())
 			}
 			see(r, 8*s)
 		}
-		if j.Condition() != c.want {
-			t.Errorf("%s: %v, want %v", c.name, j.Condition(), c.want)
+		if d.Condition() != c.want {
+			t.Errorf("%s: %v, want %v", c.name, d.Condition(), c.want)
 		}
 	}
 }
 
 // Near a threshold the condition does not change back and forth.
 func TestNoFlapping(t *testing.T) {
-	j, _ := NewDetector(DetectorConfig{Enter: 2 * s, Leave: 6 * s})
+	d, _ := NewDetector(DetectorConfig{Enter: 2 * s, Leave: 6 * s})
 	rng := rand.New(rand.NewPCG(1, 2))
 	changes, last := 0, Calm
 	for now := time.Duration(0); now < 600*s; now += s {
 		lost := 4 + 3*rng.Float64()
-		if m := j.Update(now, Report{First: 100, Done: 100 - lost, Turned: lost}); m != last {
+		if m := d.Update(now, Report{First: 100, Done: 100 - lost, Turned: lost}); m != last {
 			changes, last = changes+1, m
 		}
 	}
@@ -70,7 +70,7 @@
 
 // The admitted work fits the capacity, a bin is admitted only once all that precede it are, and demand within quotas
 // precedes demand beyond them.
-func TestDivide(t *testing.T) {
+func TestAllocateCapacity(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(r, "bins")
 		var bins []Bin
@@ -79,8 +79,8 @@
 			bins = append(bins, Bin{rapid.Float64Range(0.1, 5).Draw(r, "worth"), rapid.Bool().Draw(r, "within")})
 			asked = append(asked, rapid.Float64Range(0, 100).Draw(r, "asked"))
 		}
-		room := rapid.Float64Range(0, 300).Draw(r, "room")
-		admitted, sum, all := AllocateCapacity(bins, asked, room), 0.0, 0.0
+		capacity := rapid.Float64Range(0, 300).Draw(r, "room")
+		admitted, sum, all := AllocateCapacity(bins, asked, capacity), 0.0, 0.0
 		for i := range admitted {
 			sum, all = sum+admitted[i]*asked[i], all+asked[i]
 			for k := range admitted {
@@ -90,8 +90,8 @@
 				}
 			}
 		}
-		if math.Abs(sum-min(room, all)) > 1e-6 {
-			r.Fatalf("%g admitted, capacity for %g of %g", sum, room, all)
+		if math.Abs(sum-min(capacity, all)) > 1e-6 {
+			r.Fatalf("%g admitted, capacity for %g of %g", sum, capacity, all)
 		}
 	})
 }
--- a/fleet/view/view.go
+++ b/fleet/view/view.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// Connectivity is an instance's connectivity to the others.
+// Connectivity describes how much of the fleet an instance is in contact with.
 type Connectivity uint8
 
 // The degrees of connectivity.
@@ -47,12 +47,12 @@
 	Disagreeing                     // a majority is heard, but most do not hear this one or hear no majority themselves
 	Settling                        // a majority hear each other, but not for long enough yet
 	Majority                        // a majority have heard each other for the settling time
-	standingCount
+	connectivityCount
 )
 
 // String returns the name of the degree.
-func (s Connectivity) String() string {
-	return [...]string{"alone", "minority", "disagreeing", "settling", "majority", ""}[min(s, standingCount)]
+func (c Connectivity) String() string {
+	return [...]string{"alone", "minority", "disagreeing", "settling", "majority", ""}[min(c, connectivityCount)]
 }
 
 // Permission is a kind of action that may be permitted to an instance.
@@ -65,12 +65,12 @@
 	UseReports                    // use figures that the others report
 	Grant                         // grant others what it owns, and vote
 	Raise                         // advance the fleet: raise a version, cut over, agree
-	rightCount
+	permissionCount
 )
 
 // allowed lists the permissions by connectivity. Retreating is always allowed; granting and advancing need a settled
 // majority. A fleet of one instance is its own majority.
-var allowed = [standingCount][rightCount]bool{
+var allowed = [connectivityCount][permissionCount]bool{
 	Isolated:    {UseOwnShare: true, Lower: true},
 	Minority:    {UseOwnShare: true, Lower: true},
 	Disagreeing: {UseOwnShare: true, Lower: true},
@@ -95,8 +95,8 @@
 	return [...]string{"unknown", "alive", "suspect", "failed", "left", ""}[min(int(s), 5)]
 }
 
-// Heartbeat is a heartbeat. An instance sends one to each of the others in every round. Each is made for its receiver, so that
-// its size does not depend on the number of instances.
+// Heartbeat is the message by which an instance shows that it is alive. It sends one to each of the others in every round.
+// Each is made for its receiver, so that its size does not depend on the number of instances.
 type Heartbeat struct {
 	From      string `json:"from"`
 	Inc       uint64 `json:"inc"`
--- a/fleet/view/view_test.go
+++ b/fleet/view/view_test.go
@@ -42,7 +42,7 @@
 		silence    time.Duration // after that, without heartbeats
 		want       Connectivity
 	}{
-		{"nobody", nil, s, 0, Isolated},
+		{"none", nil, s, 0, Isolated},
 		{"one other", [][]string{{"b", "a"}}, s, 0, Minority},
 		{"two others, all hear each other", [][]string{{"b", "a", "c"}, {"c", "a", "b"}}, s, 0, Settling},
 		{"for long enough", [][]string{{"b", "a", "c"}, {"c", "a", "b"}}, 3 * s, 0, Majority},
