--- a/fleet/schema/schema.go
+++ b/fleet/schema/schema.go
@@ -40,46 +40,45 @@
 	return nil
 }
 
-// Announcement is what each instance announces to the others: the versions that it understands, and the fleet's version as far as
-// it knows.
+// Announcement is what each instance sends to the others: the versions that it understands, and the fleet's version as
+// far as it knows.
 type Announcement struct {
 	Own     Range  `json:"own"`
 	Epoch   uint64 `json:"epoch"`
 	Version int    `json:"version"`
 }
 
-// newer reports whether s supersedes o as the fleet's version. The later epoch wins. If two instances changed the version
-// in the same epoch, the lower version wins, as any instance that understands the higher one
-// understands it too.
-func (s Announcement) newer(o Announcement) bool {
-	return cmp.Or(cmp.Compare(s.Epoch, o.Epoch), cmp.Compare(o.Version, s.Version)) > 0
+// newer reports whether a supersedes o as the fleet's version. The later epoch wins. If two instances changed the version
+// in the same epoch, the lower version wins, as any instance that understands the higher one understands it too.
+func (a Announcement) newer(o Announcement) bool {
+	return cmp.Or(cmp.Compare(a.Epoch, o.Epoch), cmp.Compare(o.Version, a.Version)) > 0
 }
 
 // Searcher describes a searcher: its range as listed, the shards it holds, and whether parts can be sent to it.
 type Searcher struct {
 	Name        string
-	Incarnation uint64 // incarnation: differs after each restart
+	Incarnation uint64 // differs after each restart
 	Range       Range
 	Shards      []int
-	Healthy     bool // healthy: parts can be sent to it
+	Healthy     bool // parts can be sent to it
 }
 
 // results holds what a searcher's responses show about the range it claims.
 type results struct {
-	start    uint64
-	failures map[int]int // consecutive, by version
+	incarnation uint64
+	failures    map[int]int // consecutive, by version
 }
 
 const maxFailures = 3 // consecutive: from here on a version counts as not understood, whatever the list states
 
-// Negotiator is one instance's state of the negotiation.
+// Negotiator holds one instance's state of the version negotiation.
 type Negotiator struct {
 	settings       Settings
 	now            time.Duration
 	epoch          uint64
 	version        int
-	loweredAt      time.Duration // the last known lowering; starts a Cooldown in the past, so that a raise is allowed
-	supportedSince map[int]time.Duration
+	loweredAt      time.Duration         // the last known lowering; starts a Cooldown in the past, so that a raise is allowed
+	supportedSince map[int]time.Duration // by version above the current: since when all mixers and searchers support it
 	results        map[string]*results
 	searchers      []Searcher
 	others         map[string]Announcement
@@ -131,7 +130,7 @@
 	names := map[string]bool{}
 	for _, s := range list {
 		names[s.Name] = true
-		if r := c.results[s.Name]; r == nil || r.start != s.Incarnation {
+		if r := c.results[s.Name]; r == nil || r.incarnation != s.Incarnation {
 			c.results[s.Name] = &results{s.Incarnation, map[int]int{}} // results of an earlier process say nothing about this one
 		}
 	}
--- a/fleet/view/view.go
+++ b/fleet/view/view.go
@@ -131,7 +131,7 @@
 	at     time.Duration
 }
 
-// View is one instance's view.
+// View is one instance's view of which other instances are alive and in contact with it.
 type View struct {
 	settings      Settings
 	now           time.Duration
