--- a/fleet/share/merge.go
+++ b/fleet/factstore/merge.go
@@ -1,4 +1,4 @@
-package share
+package factstore
 
 import (
 	"encoding/json"
@@ -93,16 +93,16 @@
 func (s *Store) Merge(b []byte) error {
 	var p piece
 	if len(b) > maxPieceSize {
-		return fmt.Errorf("share: piece of %d bytes exceeds the limit of %d", len(b), maxPieceSize)
+		return fmt.Errorf("factstore: piece of %d bytes exceeds the limit of %d", len(b), maxPieceSize)
 	}
 	if err := json.Unmarshal(b, &p); err != nil {
-		return fmt.Errorf("share: %w", err)
+		return fmt.Errorf("factstore: %w", err)
 	}
 	for _, f := range p.Facts {
 		unwritten := f.Owner == s.settings.Name && (f.Inc > s.settings.Inc || f.Inc == s.settings.Inc && f.Seq > s.seq)
 		if f.Owner == "" || f.Topic == "" || len(f.Owner)+len(f.Topic) > maxBody || len(f.Body) > s.settings.MaxBodySize ||
 			f.Age < 0 || unwritten {
-			return fmt.Errorf("share: invalid fact %.40q of %.40q", f.Topic, f.Owner)
+			return fmt.Errorf("factstore: invalid fact %.40q of %.40q", f.Topic, f.Owner)
 		}
 	}
 	for _, c := range p.Counts {
@@ -110,7 +110,7 @@
 		unwritten := c.Owner == s.settings.Name && (c.Inc > s.settings.Inc ||
 			c.Inc == s.settings.Inc && c.N > s.counts[k] && c.Epoch >= s.minEpochs[c.Topic])
 		if c.Owner == "" || c.Topic == "" || len(c.Owner)+len(c.Topic) > maxBody || unwritten {
-			return fmt.Errorf("share: invalid counter %.40q of %.40q", c.Topic, c.Owner)
+			return fmt.Errorf("factstore: invalid counter %.40q of %.40q", c.Topic, c.Owner)
 		}
 	}
 	for topic, epoch := range p.MinEpochs {
--- a/fleet/share/store.go
+++ b/fleet/factstore/store.go
@@ -1,4 +1,4 @@
-package share
+package factstore
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 // Check returns an error if no store can work with the settings.
 func (s *Settings) Check() error {
 	if s.Name == "" || s.MaxFacts < 1 || s.MaxCounts < 1 || s.MaxBodySize < 0 || s.MaxBodySize > maxBody {
-		return fmt.Errorf("share: need a name, at least 1 fact and counter, and a body size from 0 to %d bytes: %+v", maxBody, *s)
+		return fmt.Errorf("factstore: need a name, at least 1 fact and counter, and a body size from 0 to %d bytes: %+v", maxBody, *s)
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 // SetFact writes a fact of this instance. It returns an error if the topic is empty or the body too long.
 func (s *Store) SetFact(topic string, body []byte) error {
 	if topic == "" || len(body) > s.settings.MaxBodySize {
-		return fmt.Errorf("share: fact %q of %d bytes: need a topic and at most %d bytes", topic, len(body), s.settings.MaxBodySize)
+		return fmt.Errorf("factstore: fact %q of %d bytes: need a topic and at most %d bytes", topic, len(body), s.settings.MaxBodySize)
 	}
 	s.seq++
 	s.put(factKey{topic, s.settings.Name}, fact{s.settings.Inc, s.seq, s.now, string(body)})
--- a/fleet/share/store_test.go
+++ b/fleet/factstore/store_test.go
@@ -1,4 +1,4 @@
-package share
+package factstore
 
 import (
 	"bytes"
--- a/fleet/fleetsim/node.go
+++ b/fleet/fleetsim/node.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"peathollow/fleet"
+	"peathollow/fleet/factstore"
 	"peathollow/fleet/overload"
-	"peathollow/fleet/share"
 	"peathollow/fleet/view"
 )
 
@@ -158,7 +158,7 @@
 		return
 	}
 	spare := map[string]overload.PeerSpare{}
-	n.Store.EachFact("spare", func(f share.Fact) {
+	n.Store.EachFact("spare", func(f factstore.Fact) {
 		var x float64
 		if inc, ok := n.View.ConfirmedIncarnation(f.Owner); ok && inc == f.Inc && json.Unmarshal(f.Body, &x) == nil {
 			spare[f.Owner] = overload.PeerSpare{Inc: inc, Rate: x}
--- a/fleet/mind.go
+++ b/fleet/mind.go
@@ -7,8 +7,8 @@
 	"math"
 	"time"
 
+	"peathollow/fleet/factstore"
 	"peathollow/fleet/overload"
-	"peathollow/fleet/share"
 	"peathollow/fleet/view"
 )
 
@@ -85,7 +85,7 @@
 // Mind is one instance's.
 type Mind struct {
 	View  *view.View
-	Store *share.Store
+	Store *factstore.Store
 
 	set      Settings
 	now      time.Duration
@@ -108,7 +108,7 @@
 		SettleTime: settleBeats * set.Beat, MaxClockStep: set.Leap()}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if m.Store, err = share.New(share.Settings{Name: set.Me, Inc: set.Inc, MaxFacts: 8 * set.Instances, MaxCounts: 16 * set.Instances,
+	if m.Store, err = factstore.New(factstore.Settings{Name: set.Me, Inc: set.Inc, MaxFacts: 8 * set.Instances, MaxCounts: 16 * set.Instances,
 		MaxBodySize: factMost}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -195,7 +195,7 @@
 // Sum is what the fleet saw: this instance, and all whose words are proven.
 func (m *Mind) Sum() (sum overload.Report) {
 	sum.Add(m.own)
-	m.Store.EachFact(loadTopic, func(f share.Fact) {
+	m.Store.EachFact(loadTopic, func(f factstore.Fact) {
 		var r overload.Report
 		inc, ok := m.View.ConfirmedIncarnation(f.Owner)
 		if ok && inc == f.Inc && f.Age <= 2*reportBeats*m.set.Beat+m.set.Stale() && json.Unmarshal(f.Body, &r) == nil {
--- a/fleet/schema/schema.go
+++ b/fleet/schema/schema.go
@@ -78,7 +78,7 @@
 	epoch          uint64
 	version        int
 	loweredAt      time.Duration         // the last known lowering; starts a Cooldown in the past, so that a raise is allowed
-	supportedSince map[int]time.Duration // by version above the current: since when all mixers and searchers support it
+	supportedSince map[int]time.Duration // by higher version: since when all mixers support it and every shard has its reserve
 	results        map[string]*results
 	searchers      []Searcher
 	others         map[string]Announcement
