--- a/fleet/overload/budget.go
+++ b/fleet/overload/budget.go
@@ -93,7 +93,7 @@
 const (
 	maxClockDrift   = 1.01 // ratio by which two clocks may differ over a lease
 	demandWindow    = time.Second
-	responseDivisor = 4    // a loan response is awaited for this fraction of the lease
+	responseDivisor = 4    // a response to a loan request is awaited for the lease divided by this
 	demandHeadroom  = 1.25 // rate to be available, as a multiple of the demand: below it one borrows, above it one lends
 	maxLoans        = 64   // pending loans, in each direction
 )
--- a/fleet/overload/shedding.go
+++ b/fleet/overload/shedding.go
@@ -161,9 +161,9 @@
 // NewRetrySchedule makes a schedule with a phase from 0 to 1.
 func NewRetrySchedule(phase float64) *RetrySchedule { return &RetrySchedule{phase: phase} }
 
-// NextDelay returns the delay after which the next client should retry, between minDelay and maxDelay, where rate is the number of
-// retries per second that this instance may schedule. It returns false if all times up to maxDelay are taken: no delay would
-// then keep within the rate, and the client is best sent the longest one.
+// NextDelay returns the delay after which the next client should retry, between minDelay and maxDelay, where rate is the
+// number of retries per second that this instance may schedule. It returns false if all times up to maxDelay are taken: no
+// delay would then keep within the rate, and the client is best sent the longest one.
 func (s *RetrySchedule) NextDelay(now, minDelay, maxDelay time.Duration, rate float64) (delay time.Duration, ok bool) {
 	gap := maxDelay
 	if rate > 0 {
--- a/fleet/schema/schema.go
+++ b/fleet/schema/schema.go
@@ -253,8 +253,8 @@
 	return true
 }
 
-// ChooseVersion returns the version of a new scan: the highest, up to the fleet's version, that its client understands. A scan
-// that its client sends again within the retry window keeps the version of its first attempt (pinned, 0 for none). It
+// ChooseVersion returns the version of a new scan: the highest, up to the fleet's version, that its client understands. A
+// scan that its client sends again within the retry window keeps the version of its first attempt (pinned, 0 for none). It
 // returns false if this instance may not speak any version that the client needs: the scan is refused at once, to be
 // retried.
 func (c *Negotiator) ChooseVersion(client Range, pinned int) (v int, ok bool) {
--- a/fleet/schema/schema_test.go
+++ b/fleet/schema/schema_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseVersion(t *testing.T) {
 	c, _ := New(testSettings(Range{2, 3}), 0)
 	c.SetPeers(map[string]Announcement{"b": {Range{1, 3}, 4, 3}}, 0)
 	for _, x := range []struct {
