--- a/fleet/overload/meter.go
+++ b/fleet/overload/meter.go
@@ -8,8 +8,8 @@
 // The ways in which a scan ends.
 const (
 	Completed ScanOutcome = iota
-	Throttled // on arrival or later
-	Failed    // abandoned, or given up by the client
+	Throttled             // on arrival or later
+	Failed                // abandoned, or given up by the client
 )
 
 // Meter counts what one instance observes, for its reports.
