--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -10,10 +10,10 @@
 )
 
 // vary draws settings that no single deployment has together.
-func vary(r *rand.Rand) Settings {
+func randomSettings(r *rand.Rand) Settings {
 	var ts []TableType
 	for range 3 {
-		t := table()
+		t := wholeTable()
 		t.Effect = Effect(r.Intn(3))
 		t.Need = []float64{1, 1, 0.7}[r.Intn(3)]
 		t.Floor = []float64{t.Need, 0.4}[r.Intn(2)]
@@ -34,58 +34,58 @@
 }
 
 // trouble changes something on the searcher side or the list.
-func trouble(w *world) {
-	i := w.r.Intn(len(w.srvs))
-	s := &w.srvs[i]
-	switch w.r.Intn(7) {
+func injectFault(sim *simulation) {
+	i := sim.random.Intn(len(sim.searchers))
+	s := &sim.searchers[i]
+	switch sim.random.Intn(7) {
 	case 0:
-		s.mood = Outcome(w.r.Intn(int(Undone)))
+		s.outcome = Outcome(sim.random.Intn(int(Undone)))
 	case 1:
-		s.mood, s.speed = Pass, 1
+		s.outcome, s.speed = Pass, 1
 	case 2:
-		s.speed = 1 + 20*w.r.Float64()
+		s.speed = 1 + 20*sim.random.Float64()
 	case 3:
-		w.tell(i, Draining, s.start)
+		sim.listSearcher(i, Draining, s.started)
 	case 4:
-		w.tell(i, Ready, w.now)
+		sim.listSearcher(i, Ready, sim.now)
 	case 5:
-		w.tell(i, Gone, s.start)
+		sim.listSearcher(i, Gone, s.started)
 	case 6:
-		w.list(Whole)
-		w.m.ListBegin(Failed)
+		sim.list(Whole)
+		sim.mixer.ListBegin(Failed)
 	}
 }
 
 func TestRulesHoldInAnyWeather(t *testing.T) {
 	f := func(seed int64) bool {
 		r := rand.New(rand.NewSource(seed))
-		w := newWorld(vary(r), seed, 2)
-		w.moody = true
-		for w.now < 20*time.Second && w.broken == "" {
-			w.run(time.Duration(5+r.Intn(60)) * tms)
+		sim := newWorld(randomSettings(r), seed, 2)
+		sim.randomOutcomes = true
+		for sim.now < 20*time.Second && sim.violation == "" {
+			sim.run(time.Duration(5+r.Intn(60)) * ms)
 			n := 1 + r.Intn(8)
-			ss, ws := even(n, 2*w.set.Cells)
+			ss, ws := evenParts(n, 2*sim.config.Cells)
 			if n > 1 && r.Intn(2) > 0 { // a heavy head
 				ws = append([]float64{0.5}, slices.Repeat([]float64{0.5 / float64(n-1)}, n-1)...)
 			}
 			cl := r.Intn(3)
-			id := w.scan(cl, time.Duration(float64(w.set.Types[cl].Timeout)*(0.1+0.9*r.Float64())), ss, ws)
+			id := sim.scan(cl, time.Duration(float64(sim.config.Types[cl].Timeout)*(0.1+0.9*r.Float64())), ss, ws)
 			if r.Intn(20) == 0 {
-				trouble(w)
+				injectFault(sim)
 			}
-			if sc := w.scans[id]; r.Intn(40) == 0 && !sc.ended {
-				w.over(sc)
-				w.m.Left(id)
+			if sc := sim.scans[id]; r.Intn(40) == 0 && !sc.ended {
+				sim.endParts(sc)
+				sim.mixer.Left(id)
 			}
 		}
-		w.run(4 * time.Second)
-		if w.broken == "" && (w.m.out != 0 || len(w.m.byID)+len(w.m.byNo) != 0) {
-			w.fail("%d out, %d known after the end", w.m.out, len(w.m.byID)+len(w.m.byNo))
+		sim.run(4 * time.Second)
+		if sim.violation == "" && (sim.mixer.inFlight != 0 || len(sim.mixer.byID)+len(sim.mixer.byNumber) != 0) {
+			sim.fail("%d out, %d known after the end", sim.mixer.inFlight, len(sim.mixer.byID)+len(sim.mixer.byNumber))
 		}
-		if w.broken != "" {
-			t.Logf("seed %d: %s", seed, w.broken)
+		if sim.violation != "" {
+			t.Logf("seed %d: %s", seed, sim.violation)
 		}
-		return w.broken == ""
+		return sim.violation == ""
 	}
 	if err := quick.Check(f, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
@@ -94,16 +94,16 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	day := func() string {
-		w := newWorld(vary(rand.New(rand.NewSource(5))), 5, 2)
-		w.moody = true
+		sim := newWorld(randomSettings(rand.New(rand.NewSource(5))), 5, 2)
+		sim.randomOutcomes = true
 		for range 200 {
-			load(w, 0, 5, 30*tms, 30*tms)
-			trouble(w)
+			load(sim, 0, 5, 30*ms, 30*ms)
+			injectFault(sim)
 		}
-		if w.broken != "" {
-			t.Error(w.broken)
+		if sim.violation != "" {
+			t.Error(sim.violation)
 		}
-		return strings.Join(w.log, "\n") + w.broken
+		return strings.Join(sim.log, "\n") + sim.violation
 	}
 	if a, b := day(), day(); a != b || a == "" {
 		t.Error("two runs of the same events differ")
@@ -111,111 +111,111 @@
 }
 
 // load sends scans of n parts at a steady pace, for a while.
-func load(w *world, cl, n int, every, during time.Duration) {
-	for end := w.now + during; w.now < end && w.broken == ""; w.run(every) {
-		ss, ws := even(n, 2*w.set.Cells)
-		w.scan(cl, w.set.Types[cl].Timeout, ss, ws)
+func load(sim *simulation, cl, n int, every, during time.Duration) {
+	for end := sim.now + during; sim.now < end && sim.violation == ""; sim.run(every) {
+		ss, ws := evenParts(n, 2*sim.config.Cells)
+		sim.scan(cl, sim.config.Types[cl].Timeout, ss, ws)
 	}
 }
 
 // settled is a world that a mixer has come to know, with nothing out.
-func settled() *world {
-	w := newWorld(settings(table()), 1, 2)
-	load(w, 0, 4, 50*tms, time.Second)
-	w.run(time.Second)
-	return w
+func warmWorld() *simulation {
+	sim := newWorld(settings(wholeTable()), 1, 2)
+	load(sim, 0, 4, 50*ms, time.Second)
+	sim.run(time.Second)
+	return sim
 }
 
-func partial() TableType {
-	t := table()
+func partialTable() TableType {
+	t := wholeTable()
 	t.Floor = 0.4
 	return t
 }
 
 func TestHeaviestGoFirstAndShareFollowsLatency(t *testing.T) {
-	w := newWorld(settings(partial()), 1, 2)
-	load(w, 0, 8, 50*tms, 3*time.Second)
-	if w.m.cls[0].share != 1 {
-		t.Fatalf("share %v on a quiet day", w.m.cls[0].share)
+	sim := newWorld(settings(partialTable()), 1, 2)
+	load(sim, 0, 8, 50*ms, 3*time.Second)
+	if sim.mixer.classes[0].share != 1 {
+		t.Fatalf("share %v on a quiet day", sim.mixer.classes[0].share)
 	}
-	w.speeds(40)
-	load(w, 0, 8, 50*tms, 3*time.Second)
-	if narrow := w.m.cls[0].share; narrow > 0.9 || narrow < 0.4 {
+	sim.setSpeeds(40)
+	load(sim, 0, 8, 50*ms, 3*time.Second)
+	if narrow := sim.mixer.classes[0].share; narrow > 0.9 || narrow < 0.4 {
 		t.Fatalf("share %v under load", narrow)
 	}
-	w.speeds(1)
-	w.run(5 * time.Second)
-	w.m.cls[0].share = 0.6
-	id := w.scan(0, time.Second, []int{0, 1, 2, 3}, []float64{0.1, 0.5, 0.15, 0.25})
+	sim.setSpeeds(1)
+	sim.run(5 * time.Second)
+	sim.mixer.classes[0].share = 0.6
+	id := sim.scan(0, time.Second, []int{0, 1, 2, 3}, []float64{0.1, 0.5, 0.15, 0.25})
 	sent := []int{}
-	for i, p := range w.scans[id].parts {
-		if len(w.parts[p].tries) > 0 {
+	for i, p := range sim.scans[id].parts {
+		if len(sim.parts[p].attempts) > 0 {
 			sent = append(sent, i)
 		}
 	}
 	if !slices.Equal(sent, []int{1, 3}) {
 		t.Errorf("sent %v of the parts, not the heaviest 0.6", sent)
 	}
-	w.run(15 * time.Second)
-	if w.m.cls[0].share < 0.99 {
-		t.Errorf("share %v long after the load", w.m.cls[0].share)
+	sim.run(15 * time.Second)
+	if sim.mixer.classes[0].share < 0.99 {
+		t.Errorf("share %v long after the load", sim.mixer.classes[0].share)
 	}
 }
 
 func TestReplicaOfLeastLatencyTimesPartsOut(t *testing.T) {
-	w := newWorld(settings(table()), 1, 1)
+	sim := newWorld(settings(wholeTable()), 1, 1)
 	for i, lat := range []float64{0.1, 0.25} { // cells 0 and 1 hold shard 0
-		w.m.srvs[i].lat = smooth{v: lat, heard: true}
+		sim.mixer.searchers[i].latency = ewma{value: lat, valid: true}
 	}
-	w.m.ListEnd(Changes)
+	sim.mixer.ListEnd(Changes)
 	for i, want := range []int32{0, 0, 1, 0} {
-		id := w.scan(0, 2*time.Second, []int{0}, []float64{1})
-		if got := w.m.parts.at[w.m.byID[w.scans[id].parts[0]]].tries[0].srv; got != want {
+		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
+		if got := sim.mixer.parts.at[sim.mixer.byID[sim.scans[id].parts[0]]].attempts[0].searcher; got != want {
 			t.Errorf("part %d went to %d, not %d", i, got, want)
 		}
 	}
-	if x := w.m.weigh(&w.m.srvs[2]); x != w.m.avg {
+	if x := sim.mixer.expectedLatency(&sim.mixer.searchers[2]); x != sim.mixer.averageLatency {
 		t.Errorf("an unheard replica weighs %v, not the average", x)
 	}
 }
 
 // Clients that suddenly wait less were taken for repeats and throttled for good (docs/incidents).
 func TestShortTriesAreServed(t *testing.T) {
-	w := newWorld(settings(table()), 1, 2)
-	load(w, 0, 3, 50*tms, time.Second)
-	w.log, w.set.Types[0].Timeout = nil, 400*tms // of the clients, not of the settings the mixer was told
-	load(w, 0, 3, 50*tms, time.Second)
-	if w.said("throttle") > 0 {
+	sim := newWorld(settings(wholeTable()), 1, 2)
+	load(sim, 0, 3, 50*ms, time.Second)
+	sim.log, sim.config.Types[0].Timeout = nil, 400*ms // of the clients, not of the settings the mixer was told
+	load(sim, 0, 3, 50*ms, time.Second)
+	if sim.logged("throttle") > 0 {
 		t.Error("a short first try was throttled")
 	}
 }
 
 // After a slow spell nothing was let in for ever: the remembered latency was never renewed (docs/incidents).
 func TestServiceComesBackAfterASlowSpell(t *testing.T) {
-	w := newWorld(settings(table()), 1, 2)
-	load(w, 0, 4, 50*tms, time.Second)
-	w.speeds(60)
-	load(w, 0, 4, 50*tms, 5*time.Second)
-	w.speeds(1)
-	w.run(3 * time.Second)
-	w.log = nil
-	load(w, 0, 4, 50*tms, time.Second)
-	w.run(time.Second)
-	if n := w.said("complete true"); n < 18 {
+	sim := newWorld(settings(wholeTable()), 1, 2)
+	load(sim, 0, 4, 50*ms, time.Second)
+	sim.setSpeeds(60)
+	load(sim, 0, 4, 50*ms, 5*time.Second)
+	sim.setSpeeds(1)
+	sim.run(3 * time.Second)
+	sim.log = nil
+	load(sim, 0, 4, 50*ms, time.Second)
+	sim.run(time.Second)
+	if n := sim.logged("complete true"); n < 18 {
 		t.Errorf("%d of 20 scans completed after the spell", n)
 	}
 }
 
 func TestSickSearcherIsLeftAlone(t *testing.T) {
 	for _, mood := range []Outcome{Fault, TooSlow, NoRoute, Cut} {
-		w := newWorld(settings(table()), 1, 2)
-		load(w, 0, 4, 50*tms, 2*time.Second)
-		w.srvs[0].mood = mood
-		load(w, 0, 4, 50*tms, time.Second)
-		w.log = nil
-		load(w, 0, 4, 50*tms, 2*time.Second)
-		w.run(2 * time.Second)
-		text := strings.Join(w.log, "\n") + "\n"
+		sim := newWorld(settings(wholeTable()), 1, 2)
+		load(sim, 0, 4, 50*ms, 2*time.Second)
+		sim.searchers[0].outcome = mood
+		load(sim, 0, 4, 50*ms, time.Second)
+		sim.log = nil
+		load(sim, 0, 4, 50*ms, 2*time.Second)
+		sim.run(2 * time.Second)
+		text := strings.Join(sim.log, "\n") + "\n"
 		if n := strings.Count(text, " 0\n"); n > 4 {
 			t.Errorf("outcome %d: %d parts to the sick searcher", mood, n)
 		}
@@ -226,20 +226,20 @@
 }
 
 func TestListIsAskedAgainAfterAnError(t *testing.T) {
-	s := settings(table())
+	s := settings(wholeTable())
 	s.AskFor = true
-	w := newWorld(s, 1, 1)
-	w.m.ListBegin(Failed)
-	w.run(100 * tms)
-	early := w.asked
-	if w.run(2 * time.Second); early != 1 || w.asked != 2 {
-		t.Errorf("asked %d, then %d times", early, w.asked)
+	sim := newWorld(s, 1, 1)
+	sim.mixer.ListBegin(Failed)
+	sim.run(100 * ms)
+	early := sim.subscribed
+	if sim.run(2 * time.Second); early != 1 || sim.subscribed != 2 {
+		t.Errorf("asked %d, then %d times", early, sim.subscribed)
 	}
 }
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	s := settings(partial())
-	idle := &still{}
+	s := settings(partialTable())
+	idle := &idleActions{}
 	m := New(s, idle, 0)
 	m.ListBegin(Whole)
 	for i := range 8 {
@@ -248,16 +248,16 @@
 	m.ListEnd(Whole)
 	id, now := uint64(0), time.Duration(0)
 	one := func() {
-		now += 100 * tms
+		now += 100 * ms
 		m.At(now)
 		id += 10
 		m.Scan(id, id, 0, -1, time.Second, 0, 5, false)
 		for k := range uint64(5) {
 			m.Part(id+1+k, id, int(k), 0.2)
 		}
-		m.At(now + 30*tms)
+		m.At(now + 30*ms)
 		for k := range uint64(5) {
-			m.Returned(id+1+k, 0, Pass, 30*tms)
+			m.Returned(id+1+k, 0, Pass, 30*ms)
 		}
 		m.Woke(0)
 	}
@@ -267,46 +267,46 @@
 	if n := testing.AllocsPerRun(500, one); n != 0 {
 		t.Errorf("%v allocations a scan", n)
 	}
-	if idle.done < 700 {
-		t.Errorf("%d scans completed", idle.done)
+	if idle.completed < 700 {
+		t.Errorf("%d scans completed", idle.completed)
 	}
 }
 
-type still struct{ done int }
+type idleActions struct{ completed int }
 
-func (s *still) Dispatch(uint64, int, time.Duration) {}
+func (s *idleActions) Dispatch(uint64, int, time.Duration) {}
 
-func (s *still) Cancel(uint64, int) {}
+func (s *idleActions) Cancel(uint64, int) {}
 
-func (s *still) Complete(uint64, bool) { s.done++ }
+func (s *idleActions) Complete(uint64, bool) { s.completed++ }
 
-func (s *still) Throttle(uint64, time.Duration) {}
+func (s *idleActions) Throttle(uint64, time.Duration) {}
 
-func (s *still) Abandon(uint64) {}
+func (s *idleActions) Abandon(uint64) {}
 
-func (s *still) Renew(int) {}
+func (s *idleActions) Renew(int) {}
 
-func (s *still) Tell([]byte) {}
+func (s *idleActions) Tell([]byte) {}
 
-func (s *still) Wake(time.Duration, uint64) {}
+func (s *idleActions) Wake(time.Duration, uint64) {}
 
-func (s *still) Subscribe() {}
+func (s *idleActions) Subscribe() {}
 
 // One tenant's flood took the room of the others.
 func TestFloodingTenantIsThrottledFirst(t *testing.T) {
-	s := settings(table())
+	s := settings(wholeTable())
 	s.Quotas = []float64{20, 5}
-	w := newWorld(s, 1, 2)
-	load(w, 0, 4, 50*tms, 2*time.Second)
-	w.speeds(12)
+	sim := newWorld(s, 1, 2)
+	load(sim, 0, 4, 50*ms, 2*time.Second)
+	sim.setSpeeds(12)
 	kept := [2]int{}
 	for i := range 600 {
 		tenant := min(1, i%20) ^ 1 // nineteen of twenty are tenant 0's
-		id := w.scanOf(0, tenant, 2*time.Second, []int{i % 8, (i + 1) % 8}, []float64{0.5, 0.5}, false)
-		if !w.scans[id].ended {
+		id := sim.scanOf(0, tenant, 2*time.Second, []int{i % 8, (i + 1) % 8}, []float64{0.5, 0.5}, false)
+		if !sim.scans[id].ended {
 			kept[tenant]++
 		}
-		w.run(10 * tms)
+		sim.run(10 * ms)
 	}
 	if many, few := float64(kept[0])/570, float64(kept[1])/30; few < many+0.1 || many > 0.9 {
 		t.Errorf("kept %.2f of the flood and %.2f of the small tenant", many, few)
@@ -316,16 +316,16 @@
 // Holders that were full or down for a moment used up a part's tries at once and lost the scan.
 func TestLastTryWaits(t *testing.T) {
 	for _, mood := range []Outcome{NoRoom, Fault} {
-		w := settled()
-		w.moods(mood)
-		w.log = nil
-		load(w, 0, 4, 20*tms, 60*tms)
-		id := w.scan(0, 2*time.Second, []int{0}, []float64{1})
-		w.run(60 * tms)
-		w.moods(Pass)
-		w.run(time.Second)
-		if w.scans[id].answered != 1 {
-			t.Errorf("outcome %d, not completed: %v", mood, w.log)
+		sim := warmWorld()
+		sim.setOutcomes(mood)
+		sim.log = nil
+		load(sim, 0, 4, 20*ms, 60*ms)
+		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
+		sim.run(60 * ms)
+		sim.setOutcomes(Pass)
+		sim.run(time.Second)
+		if sim.scans[id].answered != 1 {
+			t.Errorf("outcome %d, not completed: %v", mood, sim.log)
 		}
 	}
 }
@@ -333,26 +333,26 @@
 // In a jam copies of late parts went to holders just as late.
 func TestCopiesGoOnlyWhereItIsFaster(t *testing.T) {
 	for other, want := range map[float64]int{0.1: 0, 0.02: 1} {
-		w := newWorld(settings(table()), 1, 2)
-		for i := range w.srvs {
-			w.srvs[i].speed = 100
-			w.m.srvs[i].lat = smooth{v: 0.1, heard: true}
+		sim := newWorld(settings(wholeTable()), 1, 2)
+		for i := range sim.searchers {
+			sim.searchers[i].speed = 100
+			sim.mixer.searchers[i].latency = ewma{value: 0.1, valid: true}
 		}
-		w.m.lat = smooth{v: 0.1, heard: true}
-		w.m.ListEnd(Changes)
-		id := w.scan(0, 2*time.Second, []int{0}, []float64{1})
-		used := w.m.parts.at[w.m.byID[w.scans[id].parts[0]]].tries[0].srv
+		sim.mixer.latency = ewma{value: 0.1, valid: true}
+		sim.mixer.ListEnd(Changes)
+		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
+		used := sim.mixer.parts.at[sim.mixer.byID[sim.scans[id].parts[0]]].attempts[0].searcher
 		for range 100 { // meanwhile every searcher answers somebody
-			for i := range w.m.srvs {
-				s := &w.m.srvs[i]
-				s.since, s.heard = w.now, w.now
+			for i := range sim.mixer.searchers {
+				s := &sim.mixer.searchers[i]
+				s.quietSince, s.lastAnswer = sim.now, sim.now
 				if int32(i) != used {
-					s.lat.v = other
+					s.latency.value = other
 				}
 			}
-			w.run(5 * tms)
+			sim.run(5 * ms)
 		}
-		if n := len(w.agains); n != want {
+		if n := len(sim.retries); n != want {
 			t.Errorf("%d copies where others take %v", n, other)
 		}
 	}
--- a/brain/end.go
+++ b/brain/end.go
@@ -1,6 +1,6 @@
 package brain
 
-// When a scan ends, and with which answer; and what its length teaches the threshold.
+// When a scan ends and with which answer, and how its duration adjusts the threshold.
 
 import (
 	"cmp"
@@ -8,194 +8,197 @@
 	"time"
 )
 
-// collect is handed each return of a step, and the time.
-func collect(m *Mixer, si int32, r result) {
+// collectResults handles each outcome of a step, and the passing of time.
+func collectResults(m *Mixer, si int32, r result) {
 	sc := &m.scans.at[si]
 	if r.part >= 0 {
 		p := &m.parts.at[r.part]
 		switch {
-		case r.pass:
-			p.in = true
-			m.recall(p)
-			sc.got += p.weight
-			sc.pass++
-			sc.alone = false // what was kept back goes out with the next beat
-			m.mostIn(sc)
-		case p.live > 0:
+		case r.passed:
+			p.answered = true
+			m.cancelAttempts(p)
+			sc.answeredWeight += p.weight
+			sc.passed++
+			sc.probing = false // the parts held back are sent with the next tick
+			m.noteMostParts(sc)
+		case p.inFlight > 0:
 			return
 		default:
-			if r.cut {
-				sc.cuts++
-				m.wary = m.now + waryFor
+			if r.connectionLost {
+				sc.connectionsLost++
+				m.cautiousUntil = m.now + cautiousPeriod
 			}
-			m.again(r.part, sc)
+			m.retry(r.part, sc)
 		}
 	}
-	m.judge(si)
+	m.settle(si)
 }
 
-// timeLeft is how long an answer of the scan's parts is still of use.
+// timeLeft returns for how many seconds an answer to the scan's parts is still useful.
 func (m *Mixer) timeLeft(sc *scan) float64 {
 	until := sc.target
-	if m.now >= until || m.cls[sc.class].late && sc.got < m.floor(sc)-eps {
-		until = sc.end
+	if m.now >= until || m.classes[sc.class].lateCounts && sc.answeredWeight < m.floor(sc)-epsilon {
+		until = sc.deadline
 	}
 	return (until - m.now).Seconds()
 }
 
 func (m *Mixer) floor(sc *scan) float64 {
-	c := &m.cls[sc.class]
+	c := &m.classes[sc.class]
 	if sc.step > 0 && c.floor >= c.need {
 		return 1
 	}
 	return c.floor
 }
 
-// judge ends a step when it is whole, hopeless, or out of time.
-func (m *Mixer) judge(si int32) {
+// settle ends a step when it is complete, cannot succeed any more, or is out of time.
+func (m *Mixer) settle(si int32) {
 	sc := &m.scans.at[si]
-	c := &m.cls[sc.class]
-	need, floor := max(c.need, float64(sc.step)), m.floor(sc) // a second step needs all
-	pending := slices.ContainsFunc(sc.parts[sc.first:], func(pi int32) bool {
-		return !m.parts.at[pi].in && !m.parts.at[pi].lost
+	c := &m.classes[sc.class]
+	need, floor := max(c.need, float64(sc.step)), m.floor(sc) // a second step needs all its parts
+	pending := slices.ContainsFunc(sc.parts[sc.firstPart:], func(pi int32) bool {
+		return !m.parts.at[pi].answered && !m.parts.at[pi].lost
 	})
-	enough := sc.got >= floor-eps
+	enough := sc.answeredWeight >= floor-epsilon
 	switch {
-	case sc.got >= need-eps && (sc.step == 0 || !pending):
-		m.complete(si, sc.step == 0 || sc.whole && sc.pass == sc.expect)
-	case enough && (!pending || m.now >= m.cutAt(sc)):
-		m.complete(si, false)
-	case !pending, sc.kills, 1-sc.gone < floor-eps, m.now >= sc.end, !enough && !c.late && m.now >= sc.target:
+	case sc.answeredWeight >= need-epsilon && (sc.step == 0 || !pending):
+		m.completeStep(si, sc.step == 0 || sc.firstStepWhole && sc.passed == sc.expected)
+	case enough && (!pending || m.now >= m.partialDeadline(sc)):
+		m.completeStep(si, false)
+	case !pending, sc.harmful, 1-sc.lostWeight < floor-epsilon, m.now >= sc.deadline,
+		!enough && !c.lateCounts && m.now >= sc.target:
 		m.giveUp(si)
 	}
 }
 
-// cutAt is when a scan stops waiting for more than its floor.
-func (m *Mixer) cutAt(sc *scan) time.Duration {
-	c, at := &m.cls[sc.class], sc.target
-	if c.leaving > leaveSome {
-		at = min(at, sc.at+c.patience)
+// partialDeadline returns when a scan stops waiting for more than its floor.
+func (m *Mixer) partialDeadline(sc *scan) time.Duration {
+	c, at := &m.classes[sc.class], sc.target
+	if c.leaving > minLeavingShare {
+		at = min(at, sc.arrivedAt+c.patience)
 	}
-	if sc.step == 0 && c.second > 0 {
-		at -= time.Duration(2 * m.lat.v * float64(time.Second))
+	if sc.step == 0 && c.secondStep > 0 {
+		at -= time.Duration(2 * m.latency.value * float64(time.Second))
 	}
 	return at
 }
 
-// mostIn notes when most parts of a step are in, or at sick searchers as long as those are few. Against a few
-// hung searchers teaching that every scan is late. It could miss the first moments of a jam.
-func (m *Mixer) mostIn(sc *scan) {
-	n := float64(len(sc.parts) - sc.first)
-	if sc.most > 0 || sc.step > 0 || float64(sc.pass) < min(passShare*n, max(1, n-1)) {
+// noteMostParts records when most parts of a step are answered, or are at failing searchers as long as these are few. Without
+// the latter a few hung searchers would make every scan look late. It can miss the first moments of congestion.
+func (m *Mixer) noteMostParts(sc *scan) {
+	total := float64(len(sc.parts) - sc.firstPart)
+	if sc.mostPartsAt > 0 || sc.step > 0 || float64(sc.passed) < min(minPassedShare*total, max(1, total-1)) {
 		return
 	}
-	in := sc.pass
-	for _, pi := range sc.parts[sc.first:] {
-		if p := &m.parts.at[pi]; !p.in && len(p.tries) > 0 {
-			in += b2i(m.sick(&m.srvs[p.tries[len(p.tries)-1].srv]))
+	answered := sc.passed
+	for _, pi := range sc.parts[sc.firstPart:] {
+		if p := &m.parts.at[pi]; !p.answered && len(p.attempts) > 0 {
+			answered += boolToInt(m.failing(&m.searchers[p.attempts[len(p.attempts)-1].searcher]))
 		}
 	}
-	if float64(in) >= min(mostShare*n, max(1, n-1)) {
-		sc.most = m.now
+	if float64(answered) >= min(mostPartsShare*total, max(1, total-1)) {
+		sc.mostPartsAt = m.now
 	}
 }
 
-// most is how long most parts of the step took, till now if they are not in.
-func (m *Mixer) most(sc *scan) time.Duration { return cmp.Or(sc.most, m.now) - sc.at }
+// timeToMost returns how long most parts of the first step took, or the time so far if they aren't answered yet.
+func (m *Mixer) timeToMost(sc *scan) time.Duration {
+	return cmp.Or(sc.mostPartsAt, m.now) - sc.arrivedAt
+}
 
-// stretch moves the threshold. A scan that took much of its target shows the part latency at which its class
-// gets there; without such it drifts back to the target. Quick ones teach nothing: at low latency a wide scan
-// takes many by spread alone. What counts is when most parts were in: narrowing every scan does not help the
-// few at stuck searchers, in a pause or without holders.
-func (m *Mixer) stretch(sc *scan) {
-	c := &m.cls[sc.class]
+// adjustThreshold moves the threshold. A scan that took much of its target shows at which part latency its class comes near
+// the target; other scans move the threshold back towards the target. Quick scans don't lower it: at low latency a wide scan
+// takes many part latencies from variance alone. The time at which most parts were answered is used because narrowing all
+// scans doesn't help the few that wait for stuck searchers, during a pause or for shards without holders.
+func (m *Mixer) adjustThreshold(sc *scan) {
+	c := &m.classes[sc.class]
 	target := c.target.Seconds()
-	if d := m.most(sc).Seconds() / target; d > nearShare {
-		c.thr -= nearGain * max(0, c.thr-max(thrClear*m.fast.v, m.lat.v*nearShare/d))
+	if spent := m.timeToMost(sc).Seconds() / target; spent > nearTargetShare {
+		c.threshold -= thresholdGain * max(0, c.threshold-max(minThresholdRatio*m.bestLatency.value,
+			m.latency.value*nearTargetShare/spent))
 	} else {
-		c.thr += nearBack * (target - c.thr)
+		c.threshold += thresholdRecovery * (target - c.threshold)
 	}
 }
 
-func (m *Mixer) complete(si int32, whole bool) {
+func (m *Mixer) completeStep(si int32, whole bool) {
 	sc := &m.scans.at[si]
-	m.act.Complete(sc.id, whole)
-	c := &m.cls[sc.class]
-	m.impatience(c, m.now-sc.at, false)
-	if sc.step == 0 && c.second > 0 {
-		n := min(c.second, sc.pass)
-		sc.ran = m.ran(sc)
-		for _, pi := range sc.parts[sc.first:] {
-			m.close(pi)
+	m.actions.Complete(sc.id, whole)
+	c := &m.classes[sc.class]
+	m.observeClientWait(c, m.now-sc.arrivedAt, false)
+	if sc.step == 0 && c.secondStep > 0 {
+		secondParts := min(c.secondStep, sc.passed)
+		sc.firstStepRan = m.mayHaveRun(sc)
+		for _, pi := range sc.parts[sc.firstPart:] {
+			m.closePart(pi)
 		}
-		sc.first, sc.step, sc.whole = len(sc.parts), 1, whole
-		sc.expect, sc.got, sc.gone, sc.pass = n, 0, 0, 0
-		sc.next = gather
+		sc.firstPart, sc.step, sc.firstStepWhole = len(sc.parts), 1, whole
+		sc.expected, sc.answeredWeight, sc.lostWeight, sc.passed = secondParts, 0, 0, 0
+		sc.handle = gatherParts
 		return
 	}
-	m.finish(si)
+	m.finishScan(si)
 }
 
-// giveUp throttles where trying again is provably harmless, and abandons otherwise, at once.
+// giveUp ends a scan at once without an answer: it throttles where a repeat is provably harmless, and abandons otherwise.
 func (m *Mixer) giveUp(si int32) {
 	sc := &m.scans.at[si]
-	if m.cls[sc.class].effect != Replayable && m.ran(sc) {
-		m.act.Abandon(sc.id)
+	if m.classes[sc.class].effect != Replayable && m.mayHaveRun(sc) {
+		m.actions.Abandon(sc.id)
 	} else {
-		var in time.Duration
-		if m.advice {
-			in = min(m.retryMost, time.Duration((0.5+m.dice.roll(sc.id))*max(m.lat.v, 0.1)*float64(time.Second)))
-			if sc.kills || sc.full {
-				in = time.Duration((0.5 + 0.5*m.dice.roll(sc.id)) * float64(m.retryMost))
+		var retryAfter time.Duration
+		if m.retryAdvice {
+			retryAfter = min(m.maxRetryAfter, time.Duration((0.5+m.rng.uniform(sc.id))*max(m.latency.value, 0.1)*float64(time.Second)))
+			if sc.harmful || sc.metFull {
+				retryAfter = time.Duration((0.5 + 0.5*m.rng.uniform(sc.id)) * float64(m.maxRetryAfter))
 			}
 		}
-		m.act.Throttle(sc.id, in)
+		m.actions.Throttle(sc.id, retryAfter)
 	}
-	m.finish(si)
+	m.finishScan(si)
 }
 
-// ran tells whether any part sent so far may have run; what is not proved otherwise may.
-func (m *Mixer) ran(sc *scan) bool {
-	return sc.ran || slices.ContainsFunc(sc.parts[sc.first:], func(pi int32) bool {
-		_, ran := m.parts.at[pi].exposed()
+// mayHaveRun reports whether any part sent so far may have run. Without proof of the contrary it may have.
+func (m *Mixer) mayHaveRun(sc *scan) bool {
+	return sc.firstStepRan || slices.ContainsFunc(sc.parts[sc.firstPart:], func(pi int32) bool {
+		_, ran := m.parts.at[pi].firstExposure()
 		return ran
 	})
 }
 
-func (m *Mixer) finish(si int32) {
+func (m *Mixer) finishScan(si int32) {
 	sc := &m.scans.at[si]
-	if m.now > sc.at && m.mid > 0 {
-		m.cls[sc.class].ratio.add(min(ratioMost, m.most(sc).Seconds()/m.mid), gainLat)
-		m.stretch(sc)
+	if m.now > sc.arrivedAt && m.median > 0 {
+		m.classes[sc.class].latencyRatio.add(min(maxLatencyRatio, m.timeToMost(sc).Seconds()/m.median), latencyGain)
+		m.adjustThreshold(sc)
 	}
 	delete(m.byID, sc.id)
-	delete(m.byNo, sc.no)
-	for _, pi := range sc.parts[sc.first:] {
-		m.close(pi)
+	delete(m.byNumber, sc.number)
+	for _, pi := range sc.parts[sc.firstPart:] {
+		m.closePart(pi)
 	}
-	m.scans.drop(si)
+	m.scans.release(si)
 }
 
-// close marks a part's scan as over; its place is kept until its dispatches are back.
-func (m *Mixer) close(pi int32) {
+// closePart marks a part as ended. Its slot is kept until its attempts have returned.
+func (m *Mixer) closePart(pi int32) {
 	p := &m.parts.at[pi]
-	p.over = true
-	m.recall(p)
-	if p.live == 0 {
+	p.ended = true
+	m.cancelAttempts(p)
+	if p.inFlight == 0 {
 		delete(m.byID, p.id)
-		m.parts.drop(pi)
+		m.parts.release(pi)
 	}
 }
 
-// impatience learns how long clients wait, from those that left and those that still got an answer. An answer
-// from what is in, where that will do, goes out before most would leave: each that leaves is work for
-// nothing, and comes again. It could cut scans short whose clients would have waited.
-func (m *Mixer) impatience(c *class, waited time.Duration, left bool) {
-	if !left {
-		c.leaving *= 1 - leaveGain/2 // answered in time they stay, and would else be kept waiting again
+// observeClientWait estimates how long clients wait, from those that left and those that got an answer. A sufficient answer
+// is sent before most would leave: each that leaves wastes the work and repeats its scan. It can cut some scans short.
+func (m *Mixer) observeClientWait(c *class, waited time.Duration, clientLeft bool) {
+	if !clientLeft {
+		c.leaving *= 1 - leaveGain/2 // clients answered in time stay, and would otherwise be kept waiting again
 		return
 	}
-	c.leaving += leaveGain * (1 - c.leaving) // one that leaves is no sign
+	c.leaving += leaveGain * (1 - c.leaving) // a single client that leaves has little effect
 	if c.patience == 0 {
 		c.patience = waited
 	}
@@ -206,11 +209,11 @@
 	}
 }
 
-// Left tells that the client has gone.
+// Left reports that the client of a scan has gone.
 func (m *Mixer) Left(id uint64) {
 	if i, ok := m.byID[id]; ok && i < 0 {
 		sc := &m.scans.at[^i]
-		m.impatience(&m.cls[sc.class], m.now-sc.at, true)
-		m.finish(^i)
+		m.observeClientWait(&m.classes[sc.class], m.now-sc.arrivedAt, true)
+		m.finishScan(^i)
 	}
 }
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -1,170 +1,170 @@
 package brain
 
-// What returns say of searchers.
+// What the outcomes of dispatches show about searchers.
 
 import "time"
 
-// Returned tells how a dispatch ended.
-func (m *Mixer) Returned(id uint64, no int, out Outcome, took time.Duration) {
+// Returned reports the outcome of a dispatch.
+func (m *Mixer) Returned(id uint64, attemptNo int, outcome Outcome, took time.Duration) {
 	pi, ok := m.byID[id]
 	if !ok || pi < 0 {
 		return
 	}
 	p := &m.parts.at[pi]
-	if no >= len(p.tries) || !p.tries[no].out {
+	if attemptNo >= len(p.attempts) || !p.attempts[attemptNo].inFlight {
 		return
 	}
-	t := &p.tries[no]
-	t.out = false
-	p.live--
-	if out != Pass {
-		p.failAt = m.now
+	a := &p.attempts[attemptNo]
+	a.inFlight = false
+	p.inFlight--
+	if outcome != Pass {
+		p.failedAt = m.now
 	}
-	if out == Pass && no > 0 && p.live > 0 && !p.in {
-		m.extra.level += earnBack // a copy that overtook: lost parts earn further copies, a jam does not
+	if outcome == Pass && attemptNo > 0 && p.inFlight > 0 && !p.answered {
+		m.hedgeBudget.level += hedgeRefund // the hedge answered first: lost parts earn further hedges, congestion doesn't
 	}
-	t.never = out == NoRoom || out == NoRoute || out == Stale
-	m.learn(p, t, out, took)
-	if p.over {
-		m.close(pi)
-	} else if !p.in && !p.lost {
-		m.scans.at[p.scan].next(m, p.scan, result{part: pi, pass: out == Pass, cut: out == Cut})
+	a.neverRan = outcome == NoRoom || outcome == NoRoute || outcome == Stale
+	m.recordOutcome(p, a, outcome, took)
+	if p.ended {
+		m.closePart(pi)
+	} else if !p.answered && !p.lost {
+		m.scans.at[p.scan].handle(m, p.scan, result{part: pi, passed: outcome == Pass, connectionLost: outcome == Cut})
 	}
 }
 
-// learn takes from a return what it says of the searcher.
-func (m *Mixer) learn(p *part, t *try, out Outcome, took time.Duration) {
-	s := &m.srvs[t.srv]
-	s.parts--
-	m.out--
-	k := &m.calls.at[t.call]
-	if k.left--; k.left == 0 {
-		s.out--
-		if s.call == t.call {
-			s.call = -1
+// recordOutcome updates the statistics of the searcher and the mixer.
+func (m *Mixer) recordOutcome(p *part, a *attempt, outcome Outcome, took time.Duration) {
+	s := &m.searchers[a.searcher]
+	s.partsInFlight--
+	m.inFlight--
+	call := &m.calls.at[a.call]
+	if call.inFlight--; call.inFlight == 0 {
+		s.callsInFlight--
+		if s.openCall == a.call {
+			s.openCall = -1
 		}
-		m.calls.drop(t.call)
-	}
-	spared := t.off && out == Undone // for no fault of the searcher
-	lost := out == TooSlow || out == Undone && !spared || out == Cut
-	if lost || out == Pass {
-		was := m.idle[t.idle]
-		m.idle[t.idle] += idleGain * (float64(b2i(lost)) - was)
-		if lim := idleLost + 2*m.idle[0]; m.tells && t.idle > 0 && was <= lim && m.idle[t.idle] > lim {
-			m.act.Tell([]byte{byte(t.idle)})
+		m.calls.release(a.call)
+	}
+	byPolicy := a.cancelled && outcome == Undone // no fault of the searcher
+	lost := outcome == TooSlow || outcome == Undone && !byPolicy || outcome == Cut
+	if lost || outcome == Pass {
+		previous := m.idleLoss[a.idleStep]
+		m.idleLoss[a.idleStep] += idleLossGain * (float64(boolToInt(lost)) - previous)
+		if limit := maxIdleLoss + 2*m.idleLoss[0]; m.mayGossip && a.idleStep > 0 && previous <= limit &&
+			m.idleLoss[a.idleStep] > limit {
+			m.actions.Tell([]byte{byte(a.idleStep)})
 		}
 	}
 	if lost {
-		s.doubt = true
-		if m.lostIdle(t.idle) {
-			return // the connection's fault, neither slow nor sick
+		s.suspect = true
+		if m.losesIdle(a.idleStep) {
+			return // the connection failed; the searcher is neither slow nor failing
 		}
 	}
-	s.used = m.now
-	x := took.Seconds()
-	if t.strange && out != Stale {
-		m.strange.add(float64(b2i(out != Pass)), gainLat)
+	s.lastUsed = m.now
+	seconds := took.Seconds()
+	if a.untested && outcome != Stale {
+		m.untestedLoss.add(float64(boolToInt(outcome != Pass)), latencyGain)
 	}
-	switch out {
+	switch outcome {
 	case Pass:
-		m.passed++
-		s.doubt, s.idle = false, 0
-		if s.down {
-			// One that could not be reached and answers again has most likely just started, long before the list
-			// tells. Against pushing it over with all that waited for it; it could starve one that was only full.
-			s.back, s.down = m.now, false
-			s.cold = bucket{at: m.now, level: m.dice.roll(0)}
+		m.passedSinceTick++
+		s.suspect, s.idleStep = false, 0
+		if s.unreachable {
+			// An unreachable searcher that answers again has most likely just started, long before the list reports it. It
+			// counts as cold so that the parts waiting for it don't overload it. This can starve one that was only full.
+			s.reachableSince, s.unreachable = m.now, false
+			s.coldBudget = bucket{at: m.now, level: m.rng.uniform(0)}
 		}
-		if x < m.fast.v {
-			m.fast.add(x, gainLat)
+		if seconds < m.bestLatency.value {
+			m.bestLatency.add(seconds, latencyGain)
 		} else {
-			m.fast.add(x, gainLat/20)
+			m.bestLatency.add(seconds, latencyGain/20)
 		}
-		s.fails, s.since, s.heard, s.box = 0, m.now, m.now, 0
-		s.bad *= badGain
+		s.failures, s.quietSince, s.lastAnswer, s.ejectedUntil = 0, m.now, m.now, 0
+		s.failureRate *= failureRateGain
 	case Fault:
-		// A quick error must not read as a fast searcher.
-		s.since, s.heard = m.now, m.now
-		m.failed(s, 1)
-		x = max(x, m.weigh(s), m.avg)
+		// A quick error must not count as low latency.
+		s.quietSince, s.lastAnswer = m.now, m.now
+		m.recordFailure(s, 1)
+		seconds = max(seconds, m.expectedLatency(s), m.averageLatency)
 	case TooSlow, Undone:
-		if !s.lat.heard || x < s.lat.v {
+		if !s.latency.valid || seconds < s.latency.value {
 			return
 		}
-		if !spared && (t.at >= s.since || m.stuck(s)) {
-			m.failed(s, 0)
+		if !byPolicy && (a.sentAt >= s.quietSince || m.stuck(s)) {
+			m.recordFailure(s, 0)
 		}
 	case NoRoom:
-		s.since = m.now
-		if s.fullFrom <= s.heard {
-			s.fullFrom = m.now
+		s.quietSince = m.now
+		if s.fullSince <= s.lastAnswer {
+			s.fullSince = m.now
 		}
-		if !p.over {
-			m.scans.at[p.scan].full = true
+		if !p.ended {
+			m.scans.at[p.scan].metFull = true
 		}
-		// Parts wait a little for room: asking every holder at once would use up their tries and lose the scan.
-		s.full = m.now + time.Duration((0.5+m.dice.roll(p.id))*float64(boxFirst))
-		// A full searcher reads as one that just misses the target, no more, or nothing would go again.
-		x = max(x, m.cls[p.class].target.Seconds())
+		// Parts wait a little for capacity: trying every holder at once would use up their attempts and lose the scan.
+		s.fullUntil = m.now + time.Duration((0.5+m.rng.uniform(p.id))*float64(minEjection))
+		// A full searcher counts as one that just misses the target. With more, no part would be sent to it again.
+		seconds = max(seconds, m.classes[p.class].target.Seconds())
 	case Cut:
-		m.failed(s, 1)
+		m.recordFailure(s, 1)
 		return
 	case NoRoute:
-		s.down = true
-		m.failed(s, 0)
+		s.unreachable = true
+		m.recordFailure(s, 0)
 		return
 	case Stale:
 		return
 	}
-	old := s.lat
-	s.lat.add(x, gainSrv)
+	old := s.latency
+	s.latency.add(seconds, searcherLatencyGain)
 	if s.state == Ready {
-		m.latSum += s.lat.v - old.v
-		m.latHeard += b2i(!old.heard)
-	}
-	if m.lat.heard {
-		m.dev.add(min(clip*m.lat.v, max(x-m.lat.v, m.lat.v-x)), gainLat)
-		x = min(x, clip*m.lat.v)
-	}
-	m.lat.add(x, gainLat)
-	if m.mid == 0 {
-		m.mid = x
-	} else if x > m.mid {
-		m.mid *= stepMid
+		m.latencySum += s.latency.value - old.value
+		m.latencyCount += boolToInt(!old.valid)
+	}
+	if m.latency.valid {
+		m.deviation.add(min(maxSampleRatio*m.latency.value, max(seconds-m.latency.value, m.latency.value-seconds)), latencyGain)
+		seconds = min(seconds, maxSampleRatio*m.latency.value)
+	}
+	m.latency.add(seconds, latencyGain)
+	if m.median == 0 {
+		m.median = seconds
+	} else if seconds > m.median {
+		m.median *= medianStep
 	} else {
-		m.mid /= stepMid
+		m.median /= medianStep
 	}
-	m.average()
+	m.updateAverageLatency()
 }
 
-// Probed tells that a searcher was probed so long ago, by any mixer, and whether it answered. A load report
-// or a failure moves nothing: a probe is answered beside the queue, and fails where the way to one mixer is
-// at fault. An answer ends the wait at one that could not be reached, which else waits for a part to be
-// risked there.
+// Probed reports that any mixer probed a searcher that long ago, and whether it answered. Failures, and load reports of
+// reachable searchers, have no effect: a probe is answered outside the queue, and fails if the path to one mixer is at fault.
+// An answer makes an unreachable searcher usable again, for which a part would otherwise have to be risked.
 func (m *Mixer) Probed(i int, ago time.Duration, answered bool) {
-	if s := &m.srvs[i]; answered && s.down && m.now-ago > s.failAt {
-		s.back, s.down, s.box = m.now, false, 0
-		s.cold = bucket{at: m.now, level: m.dice.roll(0)}
+	if s := &m.searchers[i]; answered && s.unreachable && m.now-ago > s.lastFailure {
+		s.reachableSince, s.unreachable, s.ejectedUntil = m.now, false, 0
+		s.coldBudget = bucket{at: m.now, level: m.rng.uniform(0)}
 	}
 }
 
-// failed keeps off a searcher after more failures in a row than excused, longer each time, with chance lest
-// mixers come back in step. Parts of one call count once. One reset is excused, or resets leave nobody.
-func (m *Mixer) failed(s *srv, excused int) {
-	if s.failAt == m.now && s.fails > 0 {
+// recordFailure ejects a searcher after more consecutive failures than excused, for a growing time that is randomized so that
+// mixers don't return in step. Parts of one call count once. One reset is excused, or resets could leave no searcher at all.
+func (m *Mixer) recordFailure(s *searcher, excused int) {
+	if s.lastFailure == m.now && s.failures > 0 {
 		return
 	}
-	s.failAt = m.now
-	s.bad += badGain * (1 - s.bad)
-	if s.fails++; s.fails > excused {
-		wait := min(boxMost, boxFirst<<min(s.fails-excused, 5))
-		s.box = m.now + time.Duration((0.75+0.5*m.dice.roll(0))*float64(wait))
+	s.lastFailure = m.now
+	s.failureRate += failureRateGain * (1 - s.failureRate)
+	if s.failures++; s.failures > excused {
+		ejection := min(maxEjection, minEjection<<min(s.failures-excused, 5))
+		s.ejectedUntil = m.now + time.Duration((0.75+0.5*m.rng.uniform(0))*float64(ejection))
 	}
 }
 
-// average is what a searcher not heard from counts as.
-func (m *Mixer) average() {
-	if m.avg = m.lat.v; m.latHeard > 0 {
-		m.avg = m.latSum / float64(m.latHeard)
+// updateAverageLatency computes the latency assumed of searchers without an answer.
+func (m *Mixer) updateAverageLatency() {
+	if m.averageLatency = m.latency.value; m.latencyCount > 0 {
+		m.averageLatency = m.latencySum / float64(m.latencyCount)
 	}
 }
--- a/brain/pick.go
+++ b/brain/pick.go
@@ -1,6 +1,6 @@
 package brain
 
-// Which searcher takes a part: the replica rule, and what keeps searchers from being taken.
+// Choice of a searcher for a part: the replica rule, and what excludes searchers.
 
 import (
 	"math"
@@ -9,176 +9,175 @@
 	"time"
 )
 
-// hopeless is the exception for a hot heavy shard: a part no holder is expected to answer in time is left out
-// though heavy, if the rest stays above the narrowest share. Also against shards without a holder.
-func (m *Mixer) hopeless(p *part, sc *scan) bool {
-	best := m.pick(p, 1)
-	return m.orphan(p) || best >= 0 && m.weigh(&m.srvs[best]) > (m.cutAt(sc)-m.now).Seconds()
+// unlikelyInTime reports whether no holder of a part's shard is expected to answer in time, or there is no holder. Such a part
+// of a hot, heavy shard is omitted in spite of its weight if the rest stays above the minimum share.
+func (m *Mixer) unlikelyInTime(p *part, sc *scan) bool {
+	best := m.pickSearcher(p, 1)
+	return m.noHolder(p) || best >= 0 && m.expectedLatency(&m.searchers[best]) > (m.partialDeadline(sc)-m.now).Seconds()
 }
 
-// tie orders parts of one weight: by how soon the shard's best searcher should answer if asked for, else by the dice.
-func (m *Mixer) tie(p *part) float64 {
-	if m.soonest {
-		if i := m.pick(p, 1); i >= 0 {
-			return m.weigh(&m.srvs[i]) * float64(m.srvs[i].out+1)
+// tieBreak orders parts of equal weight: at random or, if configured, by the best searcher's expected answer time.
+func (m *Mixer) tieBreak(p *part) float64 {
+	if m.rankByExpectedAnswer {
+		if i := m.pickSearcher(p, 1); i >= 0 {
+			return m.expectedLatency(&m.searchers[i]) * float64(m.searchers[i].callsInFlight+1)
 		}
 	}
-	return m.dice.roll(p.id)
+	return m.rng.uniform(p.id)
 }
 
-// noRoom tells that every holder of a part's shard has turned parts away as full for a while: what waits for
-// one is best asked again later. For a moment a part waits. It could give up as they have just got room.
-func (m *Mixer) noRoom(p *part) bool {
-	some := false
+// allHoldersFull reports whether every holder of a part's shard has been refusing parts as full for a while, so that the
+// client should retry later; at first a part waits. It can give up just as a holder gets capacity.
+func (m *Mixer) allHoldersFull(p *part) bool {
+	found := false
 	for i := range m.holders(p.shard) {
-		if s := &m.srvs[i]; m.now >= s.full || m.now-s.fullFrom < boxFirst {
+		if s := &m.searchers[i]; m.now >= s.fullUntil || m.now-s.fullSince < minEjection {
 			return false
 		}
-		some = true
+		found = true
 	}
-	return some
+	return found
 }
 
-// idleFor says in which step of doubling a searcher's connection has lain idle; 0 is a new one or one in use.
-func (m *Mixer) idleFor(s *srv) int {
-	if s.used == LongAgo {
+// idleStep returns the doubling step of the time for which a searcher's connection has been idle; 0 means new or in use.
+func (m *Mixer) idleStep(s *searcher) int {
+	if s.lastUsed == LongAgo {
 		return 0
 	}
-	return min(len(m.idle)-1, bits.Len64(uint64((m.now-s.used)/idleUnit)))
+	return min(len(m.idleLoss)-1, bits.Len64(uint64((m.now-s.lastUsed)/idleUnit)))
 }
 
-// lostIdle tells that what is sent on connections idle for so long, or for less, is lately lost. Against any
-// dropped unseen, which show as silence or resets at sound searchers: the loss follows the idle time and ends
-// with a new connection. In a jam it may open connections without need, which costs a handshake each.
-func (m *Mixer) lostIdle(n int) bool {
-	return slices.ContainsFunc(m.idle[1:n+1], func(lost float64) bool { return lost > idleLost })
+// losesIdle reports whether parts sent on connections idle for this step or a shorter one were recently lost. Connections
+// silently dropped while idle show as silence or resets at healthy searchers: the loss depends on the idle time and ends with a
+// new connection. Under congestion connections may be opened without need, at the cost of a handshake each.
+func (m *Mixer) losesIdle(step int) bool {
+	return slices.ContainsFunc(m.idleLoss[1:step+1], func(lost float64) bool { return lost > maxIdleLoss })
 }
 
-// Heard takes what another mixer tells: that it loses what it sends on connections idle for so long. Against
-// all of many mixers losing a scan each to find out the same. Believed once some say so within seconds, as
-// one may be cut off or take hung searchers for it; it fades as a finding of this mixer's own would. It could
-// cost handshakes.
-func (m *Mixer) Heard(from int, news []byte) {
-	for _, n := range news {
-		if n == 0 || int(n) >= len(m.idle) {
+// Heard handles another mixer's report that it loses parts on connections idle for the given steps, so that not each of many
+// mixers has to lose a scan to find out. Several mixers must agree within seconds, since a single one may be partitioned or
+// mistake hung searchers for it. The loss decays like a measured one. It can cost unnecessary handshakes.
+func (m *Mixer) Heard(from int, gossip []byte) {
+	for _, n := range gossip {
+		if n == 0 || int(n) >= len(m.idleLoss) {
 			continue
 		}
-		r := &m.rumours[n]
-		if m.now-r.at > rumourFor {
-			r.tellers = 0
+		report := &m.idleReports[n]
+		if m.now-report.lastAt > reportLifetime {
+			report.reporters = 0
 		}
-		if r.tellers == 0 || r.from != from {
-			r.tellers++
+		if report.reporters == 0 || report.lastFrom != from {
+			report.reporters++
 		}
-		if r.from, r.at = from, m.now; r.tellers >= rumourMany {
-			m.idle[n] = max(m.idle[n], idleLost+idleGain)
+		if report.lastFrom, report.lastAt = from, m.now; report.reporters >= minReporters {
+			m.idleLoss[n] = max(m.idleLoss[n], maxIdleLoss+idleLossGain)
 		}
 	}
 }
 
-// fair is how many parts of a scan may ride in one call before the call weighs like another.
-func (m *Mixer) fair(sc *scan) int {
+// partsPerCallFor returns how many parts of a scan may share a call before the call counts as a further one.
+func (m *Mixer) partsPerCallFor(sc *scan) int {
 	n := 0
-	m.turn++
-	for _, pi := range sc.parts[sc.first:] {
+	m.holderCount++
+	for _, pi := range sc.parts[sc.firstPart:] {
 		for i := range m.holders(m.parts.at[pi].shard) {
-			n += b2i(m.srvs[i].turn != m.turn)
-			m.srvs[i].turn = m.turn
+			n += boolToInt(m.searchers[i].countedIn != m.holderCount)
+			m.searchers[i].countedIn = m.holderCount
 		}
 	}
-	return min(m.bundle, (len(sc.parts)-sc.first+max(n, 1)-1)/max(n, 1))
+	return min(m.partsPerCall, (len(sc.parts)-sc.firstPart+max(n, 1)-1)/max(n, 1))
 }
 
-// coldRoom guards against pushing over a searcher that has just started: what this mixer sends it in any
-// span stays under its share of what the searcher can take, judged by what others of its size were seen to
-// carry for this mixer and how busy they seem. Too little here harms as well: releases then leave few others.
-func (m *Mixer) coldRoom(s *srv) bool {
-	start := max(s.started, s.back)
-	if start == LongAgo || m.now-start >= m.coldFor+m.fallSpan {
+// coldBudgetAllows protects a searcher that has just started from overload: what this mixer sends it in any overload span
+// stays within the mixer's share of its capacity, estimated from what others of its size were seen to carry for this mixer and
+// from their utilization. Too small a budget does harm as well, since a release then leaves few other searchers.
+func (m *Mixer) coldBudgetAllows(s *searcher) bool {
+	start := max(s.started, s.reachableSince)
+	if start == LongAgo || m.now-start >= m.warmUp+m.overloadSpan {
 		return true
 	}
-	span := m.fallSpan.Seconds()
-	age := max(0, m.now-start-m.fallSpan) // the capacity at the start of the span, the least in it
-	warm := m.coldShare + (1-m.coldShare)*min(1, float64(age)/float64(m.coldFor))
-	// The others carry what they do at some share of their capacity; latency beside the best one tells which.
-	busy := math.Sqrt(max(busyLeast*busyLeast, 1-m.fast.v/max(m.lat.v, 1e-3)))
-	able := max(m.carried, m.served.v/busy) * min(1, s.weight/max(m.meanWeight, eps))
-	// Having seen little a mixer counts on its share of a core, not on some parts for itself: with many mixers
-	// those add up to more than the searcher can take. Dice set where each begins.
-	work := m.least.Seconds()
-	if m.fast.heard {
-		work = max(m.lat.v, m.fast.v)
+	span := m.overloadSpan.Seconds()
+	age := max(0, m.now-start-m.overloadSpan) // uses the capacity at the start of the span, its minimum
+	capacityShare := m.coldShare + (1-m.coldShare)*min(1, float64(age)/float64(m.warmUp))
+	// The others run at some fraction of their capacity, estimated from their latency relative to the best one.
+	utilization := math.Sqrt(max(minUtilization*minUtilization, 1-m.bestLatency.value/max(m.latency.value, 1e-3)))
+	capacity := max(m.peakSearcherRate, m.searcherRate.value/utilization) * min(1, s.weight/max(m.meanWeight, epsilon))
+	// A mixer with few samples assumes its share of a core rather than a minimum number of parts: over many mixers such
+	// minimums add up to more than the searcher can take. The random initial levels spread their starts.
+	work := m.minTarget.Seconds()
+	if m.bestLatency.valid {
+		work = max(m.latency.value, m.bestLatency.value)
 	}
-	budget := m.fallMult * warm * max(able, coreSure/(work*m.mixers)) * span
-	return s.cold.fill(m.now, coldPace*budget/span, max(1, (1-coldPace)*budget)) >= 1
+	budget := m.overloadMultiple * capacityShare * max(capacity, assumedCoreShare/(work*m.mixers)) * span
+	return s.coldBudget.refill(m.now, coldSteadyShare*budget/span, max(1, (1-coldSteadyShare)*budget)) >= 1
 }
 
-// weigh is a searcher's latency as the replica rule sees it.
-func (m *Mixer) weigh(s *srv) float64 {
-	// Those not heard from count as average, times the tries it lately takes to be heard by their like. Against
-	// sick searchers that each of many mixers would have to find for itself. It could crowd the few heard.
-	lat := m.avg / (1 - min(m.strange.v, strangeTop))
-	if s.lat.heard {
-		// Old news fades, or a searcher that was slow once would never be tried again.
-		idle := float64(m.now - s.heard)
-		lat += (s.lat.v - lat) * float64(fadeBack) / (idle + float64(fadeBack))
+// expectedLatency returns a searcher's latency as used by the replica rule.
+func (m *Mixer) expectedLatency(s *searcher) float64 {
+	// Searchers without an answer count as average, times the attempts that such ones recently needed. Otherwise each of
+	// many mixers would have to discover the failing ones by itself. It can crowd the few that have answered.
+	latency := m.averageLatency / (1 - min(m.untestedLoss.value, maxUntestedLoss))
+	if s.latency.valid {
+		// Old samples decay, otherwise a searcher that was slow once would never be used again.
+		quiet := float64(m.now - s.lastAnswer)
+		latency += (s.latency.value - latency) * float64(latencyDecay) / (quiet + float64(latencyDecay))
 	}
-	if s.parts > 0 {
-		lat = max(lat, (m.now - s.since).Seconds())
+	if s.partsInFlight > 0 {
+		latency = max(latency, (m.now - s.quietSince).Seconds())
 	}
-	return max(lat, 1e-3)
+	return max(latency, 1e-3)
 }
 
-// triesAt is how many dispatches a part is expected to take at a searcher, by what it lately lost. Against
-// those that fail some parts quickly, or fall silent by turns, and count as sound between. It could crowd
-// their neighbours.
-func (m *Mixer) triesAt(s *srv) float64 {
-	return 1 / (1 - s.bad*float64(fadeBad)/float64(m.now-s.failAt+fadeBad))
+// expectedAttempts estimates the attempts that a part needs at a searcher, from its recent failures. It covers searchers that
+// fail some parts quickly, or are unresponsive at times, and look healthy in between. It can crowd their neighbours.
+func (m *Mixer) expectedAttempts(s *searcher) float64 {
+	return 1 / (1 - s.failureRate*float64(failureRateDecay)/float64(m.now-s.lastFailure+failureRateDecay))
 }
 
-// stuck guards against a searcher that takes parts and answers none.
-func (m *Mixer) stuck(s *srv) bool { return s.parts > 0 && m.silent(m.now-s.since) }
+// stuck reports whether a searcher accepts parts but answers none.
+func (m *Mixer) stuck(s *searcher) bool { return s.partsInFlight > 0 && m.tooQuiet(m.now-s.quietSince) }
 
-// silent tells that nothing for so long is longer than a part takes.
-func (m *Mixer) silent(d time.Duration) bool {
-	return m.lat.heard && d.Seconds() > silentLats*m.lat.v+hedgeDevs*m.dev.v
+// tooQuiet reports whether a time without an answer is longer than a part normally takes.
+func (m *Mixer) tooQuiet(quiet time.Duration) bool {
+	return m.latency.valid && quiet.Seconds() > unresponsiveRatio*m.latency.value+lateDeviations*m.deviation.value
 }
 
-// sick tells of a searcher kept off after failures, but for one part at a time to try it, or of a silent
-// one; one that could not be reached waits behind sound holders till a list could have told of it, as a
-// mixer with few scans would else risk the connect time there in each. It could leave one that is back
-// unused while others are sound.
-func (m *Mixer) sick(s *srv) bool {
-	return m.now < s.box || s.fails > 0 && s.parts > 0 || m.stuck(s) || s.down && m.now-s.failAt < m.askEvery
+// failing reports whether a searcher is ejected after failures (one part at a time may probe it) or stuck. An unreachable
+// searcher ranks behind healthy holders until a list could have reported it, since a mixer with few scans would otherwise risk
+// the connect timeout in each of them. This can leave a recovered searcher unused while others are healthy.
+func (m *Mixer) failing(s *searcher) bool {
+	return m.now < s.ejectedUntil || s.failures > 0 && s.partsInFlight > 0 || m.stuck(s) ||
+		s.unreachable && m.now-s.lastFailure < m.listInterval
 }
 
-// pick applies the replica rule among the shard's holders; sound ones go first, ones tried already last.
-func (m *Mixer) pick(p *part, fair int) int32 {
+// pickSearcher applies the replica rule to the shard's holders: healthy ones come first, already attempted ones last. It
+// returns -1 if no holder can take the part now.
+func (m *Mixer) pickSearcher(p *part, maxParts int) int32 {
 	best, bestRank, bestCost := int32(-1), 9, 0.0
 	for i := range m.holders(p.shard) {
-		s := &m.srvs[i]
-		// One that cannot be reached is tried by one part at a time though nobody else be left: the others
-		// keep their tries, and it is not met by all of them in the moment that it is back.
-		if m.now < s.full || s.down && s.parts > 0 || !m.coldRoom(s) {
+		s := &m.searchers[i]
+		// An unreachable searcher gets one part at a time even if there is no other holder: the other parts keep their
+		// attempts, and it isn't met by all of them at the moment it recovers.
+		if m.now < s.fullUntil || s.unreachable && s.partsInFlight > 0 || !m.coldBudgetAllows(s) {
 			continue
 		}
 		rank := 0
-		if m.sick(s) {
+		if m.failing(s) {
 			rank = 1
 		}
-		for t := range p.tries {
-			if p.tries[t].srv == i {
+		for t := range p.attempts {
+			if p.attempts[t].searcher == i {
 				rank = max(rank, 2)
-				if p.tries[t].out {
+				if p.attempts[t].inFlight {
 					rank = 9
 				}
 			}
 		}
-		out := float64(s.out + 1)
-		if m.joins(s, fair) {
-			out--
+		queue := float64(s.callsInFlight + 1)
+		if m.joinsCall(s, maxParts) {
+			queue--
 		}
-		cost := m.near(s, m.weigh(s)*m.triesAt(s)*out/m.cls[p.class].target.Seconds())
+		cost := m.preferLocal(s, m.expectedLatency(s)*m.expectedAttempts(s)*queue/m.classes[p.class].target.Seconds())
 		if rank < bestRank || (rank == bestRank && cost < bestCost) {
 			best, bestRank, bestCost = i, rank, cost
 		}
@@ -186,15 +185,15 @@
 	return best
 }
 
-// near has a holder close by go first while its cost is a small share of the target: what crosses zones is slower and
-// dear, and a farther one is no use until the near one is crowded. It could let near ones fill before far ones are used.
-func (m *Mixer) near(s *srv, cost float64) float64 {
-	if cost > nearEnough {
-		return farthest + cost
+// preferLocal ranks a nearby holder first while its cost is a small fraction of the target: traffic between zones is slow and
+// expensive, and of no help until the near holder is crowded. It can fill near holders before distant ones are used.
+func (m *Mixer) preferLocal(s *searcher, cost float64) float64 {
+	if cost > localCostLimit {
+		return maxDistance + cost
 	}
-	return float64(s.far) + cost
+	return float64(s.distance) + cost
 }
 
-func (m *Mixer) joins(s *srv, n int) bool {
-	return s.call >= 0 && s.callAt == m.now && m.calls.at[s.call].total < n
+func (m *Mixer) joinsCall(s *searcher, maxParts int) bool {
+	return s.openCall >= 0 && s.openCallAt == m.now && m.calls.at[s.openCall].total < maxParts
 }
--- a/brain/send.go
+++ b/brain/send.go
@@ -1,6 +1,6 @@
 package brain
 
-// What is sent, again, late, and called off.
+// Dispatches, retries, hedges and cancellations.
 
 import (
 	"cmp"
@@ -8,231 +8,234 @@
 	"time"
 )
 
-// launch sends the heaviest parts up to the class's share, once for each step.
-func (m *Mixer) launch(si int32) {
+// sendParts sends a step's heaviest parts, up to the class's share. It runs once per step.
+func (m *Mixer) sendParts(si int32) {
 	sc := &m.scans.at[si]
-	sc.next = collect
-	c := &m.cls[sc.class]
-	ps := sc.parts[sc.first:]
-	slices.SortFunc(ps, func(a, b int32) int {
+	sc.handle = collectResults
+	c := &m.classes[sc.class]
+	parts := sc.parts[sc.firstPart:]
+	slices.SortFunc(parts, func(a, b int32) int {
 		x, y := &m.parts.at[a], &m.parts.at[b]
-		return cmp.Or(cmp.Compare(y.weight, x.weight), cmp.Compare(x.tie, y.tie))
+		return cmp.Or(cmp.Compare(y.weight, x.weight), cmp.Compare(x.tieBreak, y.tieBreak))
 	})
-	share, spare := 2.0, 0.0
+	share, omittable := 2.0, 0.0
 	if sc.step == 0 && c.floor < c.need {
-		share, spare = c.share, 1-c.least
+		share, omittable = c.share, 1-c.minShare
 	}
 	sent, sum := 0, 0.0
-	for _, pi := range ps {
+	for _, pi := range parts {
 		p := &m.parts.at[pi]
-		if hot := spare >= p.weight && m.hopeless(p, sc); hot || share < 1 && sum >= share-eps {
-			if hot {
-				spare -= p.weight
+		if omit := omittable >= p.weight && m.unlikelyInTime(p, sc); omit || share < 1 && sum >= share-epsilon {
+			if omit {
+				omittable -= p.weight
 			}
-			sc.gone += p.weight
-			m.close(pi)
+			sc.lostWeight += p.weight
+			m.closePart(pi)
 			continue
 		}
 		sum += p.weight
-		ps[sent] = pi
+		parts[sent] = pi
 		sent++
 	}
-	sc.parts = sc.parts[:sc.first+sent]
-	fair := m.fair(sc)
-	// While connections break, a repeat or a scan that meets much of the fleet goes out by one part until that
-	// has passed: it may be what kills searchers, and would take them all. It costs sound ones a part latency.
-	sc.alone = sc.step == 0 && m.now < m.wary && (sc.repeat || float64(sent) > wideShare*float64(m.ready))
-	for _, pi := range sc.parts[sc.first:] {
-		if sc.alone && pi != sc.parts[sc.first] {
+	sc.parts = sc.parts[:sc.firstPart+sent]
+	maxParts := m.partsPerCallFor(sc)
+	// While connections break, a repeat or a scan that reaches much of the fleet sends one part first and the rest once it has
+	// passed: it may crash searchers, and would take all of them down. This costs a harmless scan one part latency.
+	sc.probing = sc.step == 0 && m.now < m.cautiousUntil && (sc.repeat || float64(sent) > wideScanShare*float64(m.ready))
+	for _, pi := range sc.parts[sc.firstPart:] {
+		if sc.probing && pi != sc.parts[sc.firstPart] {
 			break
 		}
-		m.extra.level = min(extraBrim, m.extra.level+extraShare)
-		m.dispatch(pi, fair)
+		m.hedgeBudget.level = min(hedgeBurst, m.hedgeBudget.level+hedgeShare)
+		m.dispatch(pi, maxParts)
 	}
-	m.judge(si)
+	m.settle(si)
 }
 
-// dispatch sends a part, first or again; false if it may not go or nobody can take it now.
-func (m *Mixer) dispatch(pi int32, fair int) bool {
+// dispatch sends one attempt of a part. It returns false if the part may not be sent or no searcher can take it now.
+func (m *Mixer) dispatch(pi int32, maxParts int) bool {
 	p := &m.parts.at[pi]
 	sc := &m.scans.at[p.scan]
-	if !m.may(p, sc) {
+	if !m.mayDispatch(p, sc) {
 		return false
 	}
-	i := m.pick(p, fair)
+	i := m.pickSearcher(p, maxParts)
 	if i < 0 {
 		return false
 	}
-	s := &m.srvs[i]
-	again := len(p.tries) > 0
-	if again && len(p.tries) == m.cls[p.class].tries-1 && m.timeLeft(sc) > lastTry*m.avg &&
-		(m.sick(s) || m.now < p.failAt+boxFirst) {
-		// Holders that are down or full say so at once: against a part lost before one of them is back.
+	s := &m.searchers[i]
+	isRetry := len(p.attempts) > 0
+	if isRetry && len(p.attempts) == m.classes[p.class].maxAttempts-1 && m.timeLeft(sc) > lastAttemptRatio*m.averageLatency &&
+		(m.failing(s) || m.now < p.failedAt+minEjection) {
+		// Holders that are down or full fail at once; the part would be lost before one of them has recovered.
 		return false
 	}
-	if !m.joins(s, fair) {
-		s.call = m.calls.take()
-		m.calls.at[s.call] = call{}
-		s.callAt = m.now
-		s.out++
-	}
-	k := &m.calls.at[s.call]
-	k.total++
-	k.left++
-	if s.parts == 0 {
-		s.since = m.now
-		if s.idle = m.idleFor(s); s.doubt || m.lostIdle(s.idle) {
-			m.act.Renew(int(i))
-			s.doubt, s.idle = false, 0
+	if !m.joinsCall(s, maxParts) {
+		s.openCall = m.calls.alloc()
+		m.calls.at[s.openCall] = call{}
+		s.openCallAt = m.now
+		s.callsInFlight++
+	}
+	call := &m.calls.at[s.openCall]
+	call.total++
+	call.inFlight++
+	if s.partsInFlight == 0 {
+		s.quietSince = m.now
+		if s.idleStep = m.idleStep(s); s.suspect || m.losesIdle(s.idleStep) {
+			m.actions.Renew(int(i))
+			s.suspect, s.idleStep = false, 0
 		}
 	}
-	s.parts++
-	m.out++
-	s.cold.level--
-	if again {
-		m.agains.Add(m.now, m.budSpan)
-	}
-	// Not waited for to the end: in a jam the queues would fill with what is too late in any case.
-	until := sc.end
-	if m.now < sc.target && !m.patient {
-		if until = sc.target; m.cls[sc.class].late {
-			until = sc.end - time.Duration(lateCut*float64(sc.end-sc.target))
+	s.partsInFlight++
+	m.inFlight++
+	s.coldBudget.level--
+	if isRetry {
+		m.retries.Add(m.now, m.budgetSpan)
+	}
+	// Not until the deadline: under congestion the queues would fill with work that is too late in any case.
+	until := sc.deadline
+	if m.now < sc.target && !m.waitToDeadline {
+		if until = sc.target; m.classes[sc.class].lateCounts {
+			until = sc.deadline - time.Duration(lateCutoffShare*float64(sc.deadline-sc.target))
 		}
 	}
-	p.tries = append(p.tries, try{srv: i, call: s.call, at: m.now, idle: s.idle, out: true,
-		strange: !s.lat.heard || m.now-s.heard > fadeBack})
-	s.used = m.now
-	p.live++
-	m.act.Dispatch(p.id, int(i), max(until, m.now+m.round))
+	p.attempts = append(p.attempts, attempt{searcher: i, call: s.openCall, sentAt: m.now, idleStep: s.idleStep, inFlight: true,
+		untested: !s.latency.valid || m.now-s.lastAnswer > latencyDecay})
+	s.lastUsed = m.now
+	p.inFlight++
+	m.actions.Dispatch(p.id, int(i), max(until, m.now+m.granularity))
 	return true
 }
 
-// may holds the rules on sending a part.
-func (m *Mixer) may(p *part, sc *scan) bool {
-	if p.over || p.in || p.lost || len(p.tries) >= m.cls[p.class].tries || m.now >= sc.end {
+// mayDispatch checks the rules for sending a part: attempts, safety of repeats, and budget.
+func (m *Mixer) mayDispatch(p *part, sc *scan) bool {
+	if p.ended || p.answered || p.lost || len(p.attempts) >= m.classes[p.class].maxAttempts || m.now >= sc.deadline {
 		return false
 	}
-	if len(p.tries) == 0 {
+	if len(p.attempts) == 0 {
 		return true
 	}
-	c := &m.cls[p.class]
-	from, ran := p.exposed()
+	c := &m.classes[p.class]
+	since, ran := p.firstExposure()
 	switch {
-	case p.live > 0 && !m.copies, ran && !m.repeatable(c, from, 2):
+	case p.inFlight > 0 && !m.mayHedge, ran && !m.mayRepeat(c, since, 2):
 		return false
 	}
 	if m.budgeted {
-		room := m.budFree + m.budShare*float64(m.taken.Low(m.now, m.budSpan))
-		return float64(m.agains.High(m.now, m.budSpan)+1) <= room
+		allowed := m.budgetFree + m.budgetShare*float64(m.requests.Low(m.now, m.budgetSpan))
+		return float64(m.retries.High(m.now, m.budgetSpan)+1) <= allowed
 	}
-	return m.spare == nil || m.spare(p.shard, sc.end)
+	return m.budgetAllows == nil || m.budgetAllows(p.shard, sc.deadline)
 }
 
-// repeatable tells whether a part that may have run since then may go again, that many rounds from now.
-func (m *Mixer) repeatable(c *class, since time.Duration, rounds int) bool {
-	return c.effect == Replayable || c.effect == Keyed && m.now-since < c.window-time.Duration(rounds)*m.round
+// mayRepeat reports whether a part that may have run since then may be sent again, with a margin of that many rounds.
+func (m *Mixer) mayRepeat(c *class, since time.Duration, rounds int) bool {
+	return c.effect == Replayable || c.effect == Keyed && m.now-since < c.repeatWindow-time.Duration(rounds)*m.granularity
 }
 
-// exposed is when the first dispatch went out that is not proved never to have run, if there is one.
-func (p *part) exposed() (at time.Duration, ran bool) {
-	for i := range p.tries {
-		if t := &p.tries[i]; !t.never {
-			return t.at, true
+// firstExposure returns when the first attempt that isn't proved not to have run was sent, if there is one.
+func (p *part) firstExposure() (at time.Duration, ran bool) {
+	for i := range p.attempts {
+		if a := &p.attempts[i]; !a.neverRan {
+			return a.sentAt, true
 		}
 	}
 	return 0, false
 }
 
-// again sends a part that failed, or that was kept back, to a holder, if that can still help.
-func (m *Mixer) again(pi int32, sc *scan) {
+// retry sends a part that failed or was held back, if that can still help, and otherwise may mark it as lost.
+func (m *Mixer) retry(pi int32, sc *scan) {
 	p := &m.parts.at[pi]
-	// A scan cut off while no part has passed may itself kill searchers, one a dispatch. Its parts wait for
-	// a pass; with none to wait for, two cuts end it. Crashes leave some to pass, but hardly of two or three.
-	if (sc.alone || sc.cuts > 0) && sc.pass == 0 && len(sc.parts)-sc.first > 1 {
-		if slices.ContainsFunc(sc.parts[sc.first:], func(i int32) bool { return m.parts.at[i].live > 0 }) {
+	// A scan that loses connections while no part has passed may crash searchers, one per dispatch. Its parts wait for a pass;
+	// if none is in flight, two losses end it. Of unrelated crashes some parts survive, but seldom in scans of two or three.
+	if (sc.probing || sc.connectionsLost > 0) && sc.passed == 0 && len(sc.parts)-sc.firstPart > 1 {
+		if slices.ContainsFunc(sc.parts[sc.firstPart:], func(i int32) bool { return m.parts.at[i].inFlight > 0 }) {
 			return
 		}
-		sc.kills = sc.cuts > 1
+		sc.harmful = sc.connectionsLost > 1
 	}
-	if !sc.kills && m.timeLeft(sc) > m.avg && m.dispatch(pi, 1) {
+	if !sc.harmful && m.timeLeft(sc) > m.averageLatency && m.dispatch(pi, 1) {
 		return
 	}
-	_, ran := p.exposed()
-	if m.noRoom(p) || sc.kills || len(p.tries) >= m.cls[p.class].tries || ran && m.cls[p.class].effect == NonReplayable || m.starved(p, sc) {
+	_, ran := p.firstExposure()
+	if m.allHoldersFull(p) || sc.harmful || len(p.attempts) >= m.classes[p.class].maxAttempts ||
+		ran && m.classes[p.class].effect == NonReplayable || m.resourcesUnlikely(p, sc) {
 		p.lost = true
-		sc.gone += p.weight
+		sc.lostWeight += p.weight
 	}
 }
 
-// starved tells that a part waits for what hardly comes in time: a searcher where the list names none, or, once it failed, room
-// in the budget. Told early, its client is back in time. Either could come a moment later.
-func (m *Mixer) starved(p *part, sc *scan) bool {
-	if m.spare == nil || (m.now-sc.at).Seconds() < starveShare*m.cls[sc.class].target.Seconds() {
+// resourcesUnlikely reports whether a part waits in vain for a holder, where the list has none, or after a failure for retry
+// budget. Giving up early lets the client retry in time. Either resource could become available a moment later.
+func (m *Mixer) resourcesUnlikely(p *part, sc *scan) bool {
+	if m.budgetAllows == nil || (m.now-sc.arrivedAt).Seconds() < maxResourceWaitShare*m.classes[sc.class].target.Seconds() {
 		return false
 	}
-	return m.orphan(p) || len(p.tries) > 0 && !m.spare(p.shard, sc.end)
+	return m.noHolder(p) || len(p.attempts) > 0 && !m.budgetAllows(p.shard, sc.deadline)
 }
 
-// tend looks after a scan that waits: parts nobody took yet, and parts that are late.
-func (m *Mixer) tend(si int32) {
+// reviewScan retries the parts of a pending scan that have no attempt in flight, and hedges late ones.
+func (m *Mixer) reviewScan(si int32) {
 	sc := &m.scans.at[si]
-	m.mostIn(sc)
-	if !sc.taught && m.most(sc).Seconds() > nearShare*m.cls[sc.class].target.Seconds() {
-		sc.taught = true
-		m.stretch(sc)
-	}
-	if m.timeLeft(sc) > m.avg {
-		for _, pi := range sc.parts[sc.first:] {
-			if p := &m.parts.at[pi]; p.in || p.lost {
+	m.noteMostParts(sc)
+	if !sc.adjusted && m.timeToMost(sc).Seconds() > nearTargetShare*m.classes[sc.class].target.Seconds() {
+		sc.adjusted = true
+		m.adjustThreshold(sc)
+	}
+	if m.timeLeft(sc) > m.averageLatency {
+		for _, pi := range sc.parts[sc.firstPart:] {
+			if p := &m.parts.at[pi]; p.answered || p.lost {
 				continue
-			} else if p.live == 0 {
-				m.again(pi, sc)
-			} else if sc.cuts == 0 || sc.pass > 0 {
-				m.hasten(pi)
+			} else if p.inFlight == 0 {
+				m.retry(pi, sc)
+			} else if sc.connectionsLost == 0 || sc.passed > 0 {
+				m.hedge(pi)
 			}
 		}
 	}
-	sc.next(m, si, result{part: -1})
+	sc.handle(m, si, result{part: -1})
 }
 
-// hasten sends a late part elsewhere too, or, where copies are barred, calls it off to do so.
-func (m *Mixer) hasten(pi int32) {
+// hedge sends a second attempt of a late part to another searcher or, where second copies aren't allowed, cancels the first
+// one so that the part can be retried.
+func (m *Mixer) hedge(pi int32) {
 	p := &m.parts.at[pi]
-	t := &p.tries[len(p.tries)-1]
-	s := &m.srvs[t.srv]
+	a := &p.attempts[len(p.attempts)-1]
+	s := &m.searchers[a.searcher]
 	stuck := m.stuck(s)
-	late := (m.now - t.at).Seconds() >= m.lat.v+hedgeDevs*m.dev.v
-	if !m.lat.heard || !late && !stuck || m.extra.level < 1 || p.live > 1 {
-		return // also when all holders are slow alike: a second copy only adds to the jam
+	late := (m.now - a.sentAt).Seconds() >= m.latency.value+lateDeviations*m.deviation.value
+	if !m.latency.valid || !late && !stuck || m.hedgeBudget.level < 1 || p.inFlight > 1 {
+		return // nor if all holders are equally slow: a second copy only adds to the congestion
 	}
-	i := m.pick(p, 1)
-	if i < 0 || !stuck && m.weigh(s) < hedgeWorse*m.weigh(&m.srvs[i]) {
+	i := m.pickSearcher(p, 1)
+	if i < 0 || !stuck && m.expectedLatency(s) < hedgeMinRatio*m.expectedLatency(&m.searchers[i]) {
 		return
 	}
-	if m.copies {
+	if m.mayHedge {
 		if m.dispatch(pi, 1) {
-			m.extra.level--
+			m.hedgeBudget.level--
 		}
-	} else if o := &m.srvs[i]; stuck && m.cancels && len(p.tries) < m.cls[p.class].tries &&
-		m.repeatable(&m.cls[p.class], p.tries[0].at, 4) && !m.sick(o) && m.weigh(s) > silentLats*m.weigh(o) {
-		// Calling off gives up a place in a queue, and what runs may go on: only for a sound holder that is clearly
-		// quicker. Else a jam or a lost room, which leave none, would be fed with the same work again.
-		m.act.Cancel(p.id, len(p.tries)-1)
-		m.extra.level--
+	} else if other := &m.searchers[i]; stuck && m.mayCancel && len(p.attempts) < m.classes[p.class].maxAttempts &&
+		m.mayRepeat(&m.classes[p.class], p.attempts[0].sentAt, 4) && !m.failing(other) &&
+		m.expectedLatency(s) > unresponsiveRatio*m.expectedLatency(other) {
+		// Cancelling gives up a queue place, and a running attempt may go on, so it needs a healthy, clearly quicker holder.
+		// Congestion, or a lost room of searchers, leaves none; otherwise it would be fed with the same work again.
+		m.actions.Cancel(p.id, len(p.attempts)-1)
+		m.hedgeBudget.level--
 	}
 }
 
-// recall calls off what is still out of a part that needs it no more: it frees places in the queues of
-// searchers that heed it. Not where copies are barred: there a mixer on sockets waits for proof of each. Nor
-// at a searcher that has fallen silent: how that ends tells whether it can be reached.
-func (m *Mixer) recall(p *part) {
-	if !m.copies || !m.cancels {
+// cancelAttempts cancels the attempts in flight of a part that no longer needs them, which frees queue places at searchers
+// that support it. It does nothing where second copies aren't allowed, because a mixer on sockets then waits for proof of each
+// cancellation, nor at an unresponsive searcher, whose outcome shows whether it can be reached.
+func (m *Mixer) cancelAttempts(p *part) {
+	if !m.mayHedge || !m.mayCancel {
 		return
 	}
-	for no := range p.tries {
-		if t := &p.tries[no]; t.out && !t.off && !m.silent(m.now-max(t.at, m.srvs[t.srv].since)) {
-			t.off = true
-			m.act.Cancel(p.id, no)
+	for no := range p.attempts {
+		if a := &p.attempts[no]; a.inFlight && !a.cancelled && !m.tooQuiet(m.now-max(a.sentAt, m.searchers[a.searcher].quietSince)) {
+			a.cancelled = true
+			m.actions.Cancel(p.id, no)
 		}
 	}
 }
--- a/brain/state.go
+++ b/brain/state.go
@@ -8,234 +8,234 @@
 	"peathollow/sliding"
 )
 
-// The records that brain.go works on; nothing is decided here.
+// The state that the policy works on. No decisions are made in this file.
 
 type class struct {
-	target, timeout, window time.Duration
-	stretch, benefit        float64
-	late                    bool // an answer after the target still earns something
-	effect                  Effect
-	need, floor, least      float64 // least: the narrowest share
-	second                  int
-	thr                     float64 // seconds; part latency above it narrows the share
-	share                   float64
-	tries                   int           // dispatches that a part may take
-	ratio                   smooth        // a scan's time in part latencies
-	size                    smooth        // parts of a scan
-	leaving                 float64       // share of scans whose client left
-	patience                time.Duration // after which a quarter of those that leave have left
-	tryMax                  float64       // longest try seen, as a share of the time-out
-	short                   smooth        // share of first tries that were shorter
+	target, timeout, repeatWindow time.Duration
+	stretch, benefit              float64
+	lateCounts                    bool // an answer after the target still has value
+	effect                        Effect
+	need, floor, minShare         float64 // minShare: lower limit of share
+	secondStep                    int
+	threshold                     float64 // part latency in seconds above which share decreases
+	share                         float64
+	maxAttempts                   int           // dispatches allowed per part
+	latencyRatio                  ewma          // a scan's time in part latencies
+	size                          ewma          // parts per scan
+	leaving                       float64       // share of scans whose client left
+	patience                      time.Duration // time after which a quarter of the clients that leave have left
+	longestLeft                   float64       // longest remaining time of an arriving scan, as a share of the timeout
+	shortAttempts                 ewma          // share of first attempts with a shorter remaining time
 }
 
-type srv struct {
-	state    Standing
-	cell     int
-	weight   float64
-	started  time.Duration
-	back     time.Duration // when it answered again after it could not be reached
-	down     bool          // could not be reached since it last answered
-	lat      smooth
-	heard    time.Duration // last answer
-	since    time.Duration // last sign of life, or when the first of the present parts went out
-	out      int           // calls out
-	parts    int           // parts out
-	used     time.Duration // its connection's last use by this mixer
-	idle     int           // how long it had lain idle before this use, in steps of doubling
-	doubt    bool          // its connection last lost something
-	fails    int           // failures since the last answer
-	failAt   time.Duration
-	bad      float64       // how often it is held to fail
-	box      time.Duration // not used before this if another will do
-	full     time.Duration // not used before this at all
-	fullFrom time.Duration // its first refusal as full since it last answered
-	cold     bucket
-	call     int32 // call that is still open in this round
-	callAt   time.Duration
-	listed   bool
-	turn     int // the last count of holders that met it
-	far      int // 0 close by, 1 farther, 2 farthest
+type searcher struct {
+	state          Standing
+	shard          int
+	weight         float64
+	started        time.Duration
+	reachableSince time.Duration // when it answered again after having been unreachable
+	unreachable    bool          // a connect failed since the last answer
+	latency        ewma
+	lastAnswer     time.Duration
+	quietSince     time.Duration // last sign of activity, or when the first of the parts in flight was sent
+	callsInFlight  int
+	partsInFlight  int
+	lastUsed       time.Duration // last use of its connection by this mixer
+	idleStep       int           // doubling step of the connection's idle time before its present use
+	suspect        bool          // the last outcome on its connection was a loss
+	failures       int           // since the last answer
+	lastFailure    time.Duration
+	failureRate    float64       // estimated share of failures
+	ejectedUntil   time.Duration // not used earlier if there is another holder
+	fullUntil      time.Duration // not used earlier at all
+	fullSince      time.Duration // first refusal as full since the last answer
+	coldBudget     bucket
+	openCall       int32 // call that parts of the same batch may still join, or -1
+	openCallAt     time.Duration
+	listed         bool
+	countedIn      int // the last holderCount in which it was counted
+	distance       int // 0 near, 1 farther, 2 farthest
 }
 
 type call struct {
-	total, left int
+	total, inFlight int
 }
 
-type try struct {
-	srv, call int32
-	at        time.Duration
-	idle      int // how long the connection had lain idle, in steps of doubling
-	out       bool
-	off       bool // called off
-	strange   bool // sent to a searcher not lately heard from
-	never     bool // proved never to have run
+type attempt struct {
+	searcher, call int32
+	sentAt         time.Duration
+	idleStep       int // doubling step of the connection's idle time
+	inFlight       bool
+	cancelled      bool
+	untested       bool // sent to a searcher without a recent answer
+	neverRan       bool // proved not to have run
 }
 
 type part struct {
-	id     uint64
-	scan   int32
-	class  int32
-	shard  int
-	weight float64
-	tie    float64
-	tries  []try
-	live   int           // tries out
-	in     bool          // its answer counts
-	lost   bool          // nothing more will come of it
-	over   bool          // its scan has ended
-	failAt time.Duration // when a dispatch last came back without an answer
+	id       uint64
+	scan     int32
+	class    int32
+	shard    int
+	weight   float64
+	tieBreak float64
+	attempts []attempt
+	inFlight int           // attempts in flight
+	answered bool          // its answer counts
+	lost     bool          // given up
+	ended    bool          // its scan or step has ended
+	failedAt time.Duration // last outcome without an answer
 }
 
 type scan struct {
-	id, no    uint64
-	class     int32
-	tenant    int32
-	at        time.Duration
-	target    time.Duration
-	end       time.Duration
-	expect    int
-	step      int
-	repeat    bool
-	whole     bool          // the first step's answer was
-	most      time.Duration // when most parts of the first step were in
-	taught    bool          // has moved the threshold while in hand
-	ran       bool          // a part of the first step may have run
-	parts     []int32
-	first     int // where the present step's parts begin
-	got, gone float64
-	pass      int
-	cuts      int  // parts whose connection broke
-	kills     bool // and nothing else came of it
-	full      bool // a part met a full searcher
-	alone     bool // one part is out first
-	next      step
+	id, number                 uint64
+	class                      int32
+	tenant                     int32
+	arrivedAt                  time.Duration
+	target                     time.Duration
+	deadline                   time.Duration
+	expected                   int
+	step                       int
+	repeat                     bool
+	firstStepWhole             bool          // the first step's answer was whole
+	mostPartsAt                time.Duration // when most parts of the first step were answered
+	adjusted                   bool          // has adjusted the threshold while pending
+	firstStepRan               bool          // a part of the first step may have run
+	parts                      []int32
+	firstPart                  int // index of the current step's first part
+	answeredWeight, lostWeight float64
+	passed                     int
+	connectionsLost            int  // parts whose connection was lost
+	harmful                    bool // suspected to crash searchers: connections were lost and no part passed
+	metFull                    bool // a part met a full searcher
+	probing                    bool // a single part is sent first
+	handle                     stepHandler
 }
 
-// rumour is what other mixers tell of connections idle for one step of doubling.
-type rumour struct {
-	from, tellers int
-	at            time.Duration
+// idleReport collects the reports of other mixers on connections idle for one step.
+type idleReport struct {
+	lastFrom, reporters int
+	lastAt              time.Duration
 }
 
-// result is what a step is handed.
+// result is the event passed to a stepHandler.
 type result struct {
-	part int32 // -1 when only time has passed
-	pass bool
-	cut  bool // the connection broke
+	part           int32 // -1 if only time has passed
+	passed         bool
+	connectionLost bool
 }
 
-type step func(m *Mixer, si int32, r result)
+type stepHandler func(m *Mixer, si int32, r result)
 
-// Mixer is all that one instance knows: what it holds and has seen, and figures derived from its settings.
+// Mixer is the dispatch policy of one routing instance: pending scans, statistics, and values derived from its settings.
 type Mixer struct {
-	act        Actions
-	now        time.Duration
-	dice       dice
-	cls        []class
-	srvs       []srv
-	cells      [][]int32
-	scans      slab[scan]
-	parts      slab[part]
-	calls      slab[call]
-	byID       map[uint64]int32 // parts and scans; scans as ^place
-	byNo       map[uint64]int32
-	lat        smooth  // part latency, seconds
-	mid        float64 // its median
-	dev        smooth  // its mean deviation
-	avg        float64 // what a searcher not heard from counts as
-	latSum     float64 // of searchers that may be sent to and were heard from
-	latHeard   int     // how many
-	turn       int     // counts of holders made
-	meanWeight float64 // of the searchers that may be sent to
-	out        int     // parts out
-	ready      int     // searchers that may be sent to
-	rate       smooth  // passes a second
-	quick      smooth  // the same, over a fraction of a second
-	peak       float64 // the most of that, forgotten slowly
-	fast       smooth  // latency of the quickest parts
-	served     smooth  // passes a second and ready searcher, over seconds
-	carried    float64 // the most of that, forgotten slowly
-	passed     int     // passes since the last beat
-	known      int     // passes since start
-	benefit    smooth  // of a scan
-	size       smooth  // parts of a scan
-	beatAt     time.Duration
-	wary       time.Duration // till then connections broke lately
-	strange    smooth        // share lost at searchers not lately heard from
-	idle       [8]float64    // share lost on connections that had lain idle, by steps of doubling
-	extra      bucket
-	taken      sliding.Window
-	agains     sliding.Window
-
-	reach, bundle, tries              int
-	copies, advice, budgeted, cancels bool
-	tells                             bool
-	rumours                           [8]rumour
-	round, retryMost, askEvery, askAt time.Duration
-	askBack                           time.Duration
-	coldFor, fallSpan                 time.Duration
-	coldShare, fallMult, mixers       float64
-	least                             time.Duration // shortest target time
-	budFree, budShare                 float64
-	budSpan                           time.Duration
-	quota                             []float64
-	tenants                           []bucket
-	let                               []float64 // see Let; empty where no fleet says anything
-	soonest                           bool
-	few                               float64
-	patient                           bool
-	spare                             func(shard int, until time.Duration) bool
+	actions          Actions
+	now              time.Duration
+	rng              rng
+	classes          []class
+	searchers        []searcher
+	shards           [][]int32
+	scans            slab[scan]
+	parts            slab[part]
+	calls            slab[call]
+	byID             map[uint64]int32 // indices of parts, and of scans as ^index
+	byNumber         map[uint64]int32
+	latency          ewma    // part latency, seconds
+	median           float64 // of the part latency
+	deviation        ewma    // mean deviation of the part latency
+	averageLatency   float64 // assumed of searchers without an answer
+	latencySum       float64 // over ready searchers that have answered
+	latencyCount     int     // number of those
+	holderCount      int     // number of counts of holders made
+	meanWeight       float64 // over ready searchers
+	inFlight         int     // parts in flight
+	ready            int     // searchers that accept parts
+	passRate         ewma    // passes per second
+	recentRate       ewma    // passes per second, over a fraction of a second
+	peakRate         float64 // recent peak of recentRate, decaying
+	bestLatency      ewma    // latency of the quickest parts
+	searcherRate     ewma    // passes per second and ready searcher, over seconds
+	peakSearcherRate float64 // recent peak of searcherRate, decaying
+	passedSinceTick  int
+	passedTotal      int  // passes since the start
+	meanBenefit      ewma // per scan
+	meanSize         ewma // parts per scan
+	lastTick         time.Duration
+	cautiousUntil    time.Duration // end of the cautious period after a lost connection
+	untestedLoss     ewma          // share of losses at searchers without a recent answer
+	idleLoss         [8]float64    // share of losses on idle connections, by doubling step of the idle time
+	hedgeBudget      bucket
+	requests         sliding.Window
+	retries          sliding.Window
+
+	shardSpan, partsPerCall, maxAttempts                  int
+	mayHedge, retryAdvice, budgeted, mayCancel            bool
+	mayGossip                                             bool
+	idleReports                                           [8]idleReport
+	granularity, maxRetryAfter, listInterval, subscribeAt time.Duration
+	subscribeBackoff                                      time.Duration
+	warmUp, overloadSpan                                  time.Duration
+	coldShare, overloadMultiple, mixers                   float64
+	minTarget                                             time.Duration // shortest target of all table types
+	budgetFree, budgetShare                               float64
+	budgetSpan                                            time.Duration
+	quotas                                                []float64
+	quotaBuckets                                          []bucket
+	admission                                             []float64 // see Let; empty if the fleet has set none
+	rankByExpectedAnswer                                  bool
+	inFlightAllowance                                     float64
+	waitToDeadline                                        bool
+	budgetAllows                                          func(shard int, until time.Duration) bool
 }
 
-// Grow adds table types and cells to those told at the start, for a mixer whose configuration changes while it runs.
-// What is known stays; the first of the new types has the index that is returned.
-func (m *Mixer) Grow(types []TableType, cells int) int {
-	first := len(m.cls)
+// Grow adds table types and shards to those of the settings, for a configuration that changes while the process runs. State is
+// kept. It returns the index of the first new type.
+func (m *Mixer) Grow(types []TableType, shards int) int {
+	first := len(m.classes)
 	for _, t := range types {
-		m.least = min(cmp.Or(m.least, t.Target), t.Target)
-		m.cls = append(m.cls, class{target: t.Target, timeout: t.Timeout, window: t.RepeatWindow,
-			stretch: t.Stretch, benefit: max(t.Benefit, eps), late: t.LateShare > 0, effect: t.Effect, need: t.Need,
-			floor: t.Floor, least: t.Floor + floorSpare*(t.Need-t.Floor), second: t.SecondStep,
-			thr: t.Target.Seconds(), share: 1, tries: max(1, cmp.Or(t.Tries, m.tries))})
+		m.minTarget = min(cmp.Or(m.minTarget, t.Target), t.Target)
+		m.classes = append(m.classes, class{target: t.Target, timeout: t.Timeout, repeatWindow: t.RepeatWindow,
+			stretch: t.Stretch, benefit: max(t.Benefit, epsilon), lateCounts: t.LateShare > 0, effect: t.Effect, need: t.Need,
+			floor: t.Floor, minShare: t.Floor + minShareMargin*(t.Need-t.Floor), secondStep: t.SecondStep,
+			threshold: t.Target.Seconds(), share: 1, maxAttempts: max(1, cmp.Or(t.Tries, m.maxAttempts))})
 	}
-	m.cells = append(m.cells, make([][]int32, cells)...)
+	m.shards = append(m.shards, make([][]int32, shards)...)
 	return first
 }
 
-// Let tells how much of each kind of scan the fleet as one has room for: shares by table type, and in each by tenant,
-// first of those with none. Nothing, or shares of 1, change nothing.
-func (m *Mixer) Let(shares []float64) { m.let = shares }
+// Let sets the share of each kind of scan that the fleet as a whole has capacity for: by table type, and within each by
+// tenant, preceded by the share of scans without a tenant. An empty slice, or shares of 1, admit everything.
+func (m *Mixer) Let(shares []float64) { m.admission = shares }
 
-// letIn looks up what Let told.
-func (m *Mixer) letIn(sc *scan) float64 {
-	if i := int(sc.class)*(len(m.quota)+1) + int(sc.tenant) + 1; i < len(m.let) && int(sc.tenant) < len(m.quota) {
-		return m.let[i]
+// admittedShare returns the share set with Let for a scan's table type and tenant.
+func (m *Mixer) admittedShare(sc *scan) float64 {
+	if i := int(sc.class)*(len(m.quotas)+1) + int(sc.tenant) + 1; i < len(m.admission) && int(sc.tenant) < len(m.quotas) {
+		return m.admission[i]
 	}
 	return 1
 }
 
-// unknown is a searcher of which nothing is known.
-func (m *Mixer) unknown() srv {
-	return srv{call: -1, state: Gone, started: LongAgo, back: LongAgo, used: LongAgo,
-		cold: bucket{at: m.now, level: m.dice.roll(0)}}
+// newSearcher returns the state of a searcher about which nothing is known.
+func (m *Mixer) newSearcher() searcher {
+	return searcher{openCall: -1, state: Gone, started: LongAgo, reachableSince: LongAgo, lastUsed: LongAgo,
+		coldBudget: bucket{at: m.now, level: m.rng.uniform(0)}}
 }
 
-// Forget gives back the index of a searcher that is gone and has nothing out: it may be another's next.
-func (m *Mixer) Forget(i int) { m.srvs[i] = m.unknown() }
+// Forget releases the index of a searcher that is gone and has no parts in flight. The index may be reused for another one.
+func (m *Mixer) Forget(i int) { m.searchers[i] = m.newSearcher() }
 
-// orphan tells that the list names nobody for a part's shard.
-func (m *Mixer) orphan(p *part) bool {
+// noHolder reports whether the list names no searcher for a part's shard.
+func (m *Mixer) noHolder(p *part) bool {
 	for range m.holders(p.shard) {
 		return false
 	}
 	return true
 }
 
-// holders walks the searchers that may be sent a shard's parts.
+// holders iterates over the ready searchers that hold a shard.
 func (m *Mixer) holders(shard int) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
-		for j := range min(m.reach, len(m.cells)) {
-			for _, i := range m.cells[(shard+j)%len(m.cells)] {
+		for j := range min(m.shardSpan, len(m.shards)) {
+			for _, i := range m.shards[(shard+j)%len(m.shards)] {
 				if !yield(i) {
 					return
 				}
@@ -244,5 +244,5 @@
 	}
 }
 
-// Far tells how far a searcher is: 0 close by, 1 farther, 2 farthest. Without it all count as close by.
-func (m *Mixer) Far(i, far int) { m.srvs[i].far = far }
+// Far sets a searcher's distance: 0 near, 1 farther, 2 farthest. The default is near.
+func (m *Mixer) Far(i, far int) { m.searchers[i].distance = far }
--- a/brain/types.go
+++ b/brain/types.go
@@ -1,23 +1,33 @@
-// Package brain decides, for one mixer, what becomes of every scan it takes.
+// Package brain implements the dispatch policy of a routing instance (mixer): it decides whether each scan is admitted, which
+// searchers get its parts, when parts are retried, hedged or cancelled, and when the scan ends. It reads no clock and does no
+// I/O.
+//
+// The owner creates one Mixer per routing instance with New, sets its clock with At before each batch of events, and passes
+// events in the order in which they arrive: list entries, scans and their parts, outcomes of dispatches, wake-ups. The policy
+// responds by calling the Actions given to New, before the event method returns.
+//
+// This file holds the interface, state.go the state, slab.go helpers. The decisions are made in brain.go (events and ticks),
+// admit.go (admission), pick.go (choice of a searcher), send.go (dispatches, retries, hedges and cancellations), end.go (when
+// and how a scan ends) and learn.go (what outcomes show about searchers).
 package brain
 
 import "time"
 
-// Outcome says how one dispatch ended.
+// Outcome is the result of one dispatch.
 type Outcome uint8
 
 const (
 	Pass    Outcome = iota
-	Fault           // may have run
-	NoRoom          // never ran
-	TooSlow         // may have run, may still be running
-	NoRoute         // never ran
-	Cut             // may have run
-	Undone          // called off by us; may have run
+	Fault           // an error was returned; may have run
+	NoRoom          // refused as full; never ran
+	TooSlow         // no answer in time; may have run, may still be running
+	NoRoute         // no connection; never ran
+	Cut             // the connection broke; may have run
+	Undone          // cancelled by the policy; may have run
 	Stale           // never left this mixer
 )
 
-// Effect says what a repeat of a part does.
+// Effect is the effect of running a part more than once.
 type Effect uint8
 
 const (
@@ -26,7 +36,7 @@
 	NonReplayable
 )
 
-// ListMode says what a searcher list holds.
+// ListMode is the kind of a searcher list update.
 type ListMode uint8
 
 const (
@@ -36,7 +46,7 @@
 	Failed
 )
 
-// Standing is what the list says of a searcher.
+// Standing is the state of a searcher according to the list.
 type Standing uint8
 
 const (
@@ -45,52 +55,58 @@
 	Gone
 )
 
-// LongAgo stands for a start that the list does not date.
+// LongAgo is the start time of a searcher that the list doesn't date.
 const LongAgo = time.Duration(-1 << 62)
 
-// TableType holds the settings of one table type.
+// TableType holds the settings of one table type. Need and Floor are coverages: sums of the weights of answered parts.
 type TableType struct {
-	Target, Timeout, RepeatWindow time.Duration
-	LateShare, Benefit            float64
-	Stretch                       float64
+	Target, Timeout, RepeatWindow time.Duration // RepeatWindow: how long a part with a key may be sent again
+	LateShare, Benefit            float64       // LateShare: value of an answer after the target; Benefit: value of a scan
+	Stretch                       float64       // how much of a scan's announced work is added to its target
 	Effect                        Effect
-	Need, Floor                   float64
-	SecondStep                    int
-	Tries                         int // dispatches that a part may take; 0: Settings.MaxTries
+	Need, Floor                   float64 // of a whole answer, and of any answer
+	SecondStep                    int     // parts in the second step; 0: there is none
+	Tries                         int     // dispatches allowed per part; 0: Settings.MaxTries
 }
 
-// Settings is what a mixer is told at its start; it is not kept.
+// Settings holds the parameters of New.
 type Settings struct {
 	Seed                              uint64
-	Me, Mixers                        int
+	Me, Mixers                        int // index of this mixer, and number of mixers
 	Types                             []TableType
-	Quotas                            []float64 // scans a second within each tenant's share, all mixers together
-	Cells, Reach, PartsPerCall        int
+	Quotas                            []float64 // scans per second within each tenant's share, over all mixers
+	Cells, Reach, PartsPerCall        int       // Reach: a shard is held by searchers of this many consecutive shards, from its own
 	MaxTries                          int
-	SecondCopies, RetryAdvice, AskFor bool
+	SecondCopies, RetryAdvice, AskFor bool // whether hedging, advice on retries and a subscription to the list are used
 	MayCancel, MayTell                bool
-	MaxRetryIn, Round, AskEvery       time.Duration
-	ColdFor, FallSpan                 time.Duration
-	ColdShare, FallMultiple           float64
-	Budgeted                          bool
-	BudgetFree, BudgetShare           float64
+	MaxRetryIn, Round, AskEvery       time.Duration // limit of the advice, interval between events, interval between lists
+	ColdFor, FallSpan                 time.Duration // a searcher is cold for ColdFor; FallSpan: span in which it can be overloaded
+	ColdShare, FallMultiple           float64       // capacity at the start; multiple of the capacity that overloads in FallSpan
+	Budgeted                          bool          // whether this mixer limits its own retries as follows
+	BudgetFree, BudgetShare           float64       // retries allowed in BudgetSpan: BudgetFree + BudgetShare*requests
 	BudgetSpan                        time.Duration
-	Patient                           bool                                      // what is out is waited for to the end: breaking off what runs is dear
-	Few                               float64                                   // scans in hand that say nothing of a jam: where mixers are many, each sees little
-	Soonest                           bool                                      // equal shards are ranked by how soon their best searcher should answer
-	Spare                             func(shard int, until time.Duration) bool // whether the fleet's budget has room for a further dispatch; nil: always
+
+	// Patient lets dispatches run until the scan's deadline, for systems in which aborting a running one is expensive.
+	Patient bool
+	// Few is the number of scans in flight that are no sign of congestion. Where there are many mixers, each sees few scans.
+	Few float64
+	// Soonest orders parts of equal weight by the expected answer time of their best searcher.
+	Soonest bool
+	// Spare reports whether the fleet's retry budget allows another dispatch. Nil allows every dispatch.
+	Spare func(shard int, until time.Duration) bool
 }
 
-// Actions is what a mixer can have done. Ids are those it was handed; searchers are the indices of its lists.
-// A part is never sent to a searcher at which a dispatch of it is out.
+// Actions is implemented by the owner to carry out the policy's decisions. Ids are those passed in with Scan and Part;
+// searchers are given by their indices in the list. A part is never sent to a searcher at which one of its dispatches is in
+// flight.
 type Actions interface {
-	Dispatch(part uint64, srv int, until time.Duration)
-	Cancel(part uint64, try int)
+	Dispatch(part uint64, searcher int, until time.Duration)
+	Cancel(part uint64, attempt int)
 	Complete(scan uint64, whole bool)
-	Throttle(scan uint64, retryIn time.Duration)
+	Throttle(scan uint64, retryAfter time.Duration)
 	Abandon(scan uint64)
-	Renew(srv int) // what is sent next goes out on a new connection
+	Renew(searcher int) // use a new connection for the next dispatch
 	Wake(at time.Duration, token uint64)
 	Subscribe()
-	Tell(news []byte) // to all other mixers; only where Settings.MayTell
+	Tell(idleSteps []byte) // to all other mixers; only if Settings.MayTell
 }
--- a/brain/wait_test.go
+++ b/brain/wait_test.go
@@ -13,22 +13,22 @@
 		sick  bool
 		want  int
 	}{"sound and quick": {0.04, false, 1}, "sound and slow": {0.5, false, 0}, "sick": {0.04, true, 0}} {
-		s := settings(table())
+		s := settings(wholeTable())
 		s.SecondCopies = false
-		w := newWorld(s, 1, 1)
-		w.m.lat, w.m.dev = smooth{v: 0.04, heard: true}, smooth{v: 0.01, heard: true}
-		for i := range w.m.srvs {
-			w.m.srvs[i].lat, w.m.srvs[i].heard = smooth{v: 0.04, heard: true}, w.now
+		sim := newWorld(s, 1, 1)
+		sim.mixer.latency, sim.mixer.deviation = ewma{value: 0.04, valid: true}, ewma{value: 0.01, valid: true}
+		for i := range sim.mixer.searchers {
+			sim.mixer.searchers[i].latency, sim.mixer.searchers[i].lastAnswer = ewma{value: 0.04, valid: true}, sim.now
 		}
-		w.m.srvs[0].lat.v, w.m.srvs[1].lat.v = 0.01, c.other
+		sim.mixer.searchers[0].latency.value, sim.mixer.searchers[1].latency.value = 0.01, c.other
 		if c.sick {
-			w.m.srvs[1].box = w.now + time.Minute
+			sim.mixer.searchers[1].ejectedUntil = sim.now + time.Minute
 		}
-		w.srvs[0].mood = TooSlow
-		w.scan(0, 2*time.Second, []int{0}, []float64{1})
-		w.run(700 * tms)
-		if n := w.said("cancel"); n != c.want || w.broken != "" {
-			t.Errorf("%s: called off %d times: %v %s", name, n, w.log, w.broken)
+		sim.searchers[0].outcome = TooSlow
+		sim.scan(0, 2*time.Second, []int{0}, []float64{1})
+		sim.run(700 * ms)
+		if n := sim.logged("cancel"); n != c.want || sim.violation != "" {
+			t.Errorf("%s: called off %d times: %v %s", name, n, sim.log, sim.violation)
 		}
 	}
 }
@@ -36,22 +36,22 @@
 // A quarter of the searchers takes parts and answers none. Their silence was taken for the time a part takes, and
 // scans that could do without them were turned away from idle ones.
 func TestSilentSearchersDoNotShutTheDoor(t *testing.T) {
-	set := settings(partial())
+	set := settings(partialTable())
 	set.Reach = 1
-	w := newWorld(set, 3, 2)
-	w.speeds(10)
-	w.srvs[0].mood, w.srvs[4].mood = TooSlow, TooSlow // both of one cell
+	sim := newWorld(set, 3, 2)
+	sim.setSpeeds(10)
+	sim.searchers[0].outcome, sim.searchers[4].outcome = TooSlow, TooSlow // both of one cell
 	turned := 0
 	for range 60 {
-		ss, ws := even(4, 4)
-		id := w.scan(0, 2*time.Second, ss, ws)
-		if _, taken := w.m.byNo[id]; !taken {
+		ss, ws := evenParts(4, 4)
+		id := sim.scan(0, 2*time.Second, ss, ws)
+		if _, taken := sim.mixer.byNumber[id]; !taken {
 			turned++
 		}
-		w.run(150 * tms)
+		sim.run(150 * ms)
 	}
-	if turned > 0 || w.broken != "" {
-		t.Errorf("%d of 60 turned away %s", turned, w.broken)
+	if turned > 0 || sim.violation != "" {
+		t.Errorf("%d of 60 turned away %s", turned, sim.violation)
 	}
 }
 
@@ -61,23 +61,23 @@
 		copies, may bool
 		want        int
 	}{"copies": {true, true, 2}, "no copies": {false, true, 0}, "barred": {true, false, 0}} {
-		set := settings(table())
+		set := settings(wholeTable())
 		set.SecondCopies, set.MayCancel = c.copies, c.may
-		w := newWorld(set, 1, 1)
-		w.m.lat, w.m.mid, w.m.extra.level = smooth{v: 0.2, heard: true}, 0.2, 1
-		for i := range w.m.srvs {
-			w.m.srvs[i].lat, w.m.srvs[i].heard = smooth{v: 0.04, heard: true}, w.now
+		sim := newWorld(set, 1, 1)
+		sim.mixer.latency, sim.mixer.median, sim.mixer.hedgeBudget.level = ewma{value: 0.2, valid: true}, 0.2, 1
+		for i := range sim.mixer.searchers {
+			sim.mixer.searchers[i].latency, sim.mixer.searchers[i].lastAnswer = ewma{value: 0.04, valid: true}, sim.now
 		}
-		w.m.srvs[0].lat.v, w.srvs[0].speed = 0.03, 12 // taken first, and late; a copy overtakes
-		id := w.scan(0, 2*time.Second, []int{0}, []float64{1})
-		w.run(400 * tms)
-		if c.copies && !w.scans[id].ended {
-			t.Errorf("%s: no copy overtook: %v", name, w.log)
+		sim.mixer.searchers[0].latency.value, sim.searchers[0].speed = 0.03, 12 // taken first, and late; a copy overtakes
+		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
+		sim.run(400 * ms)
+		if c.copies && !sim.scans[id].ended {
+			t.Errorf("%s: no copy overtook: %v", name, sim.log)
 		}
-		w.srvs[2].mood, w.srvs[3].mood = TooSlow, TooSlow
-		w.m.Left(w.scan(0, 2*time.Second, []int{2}, []float64{1})) // its client goes at once
-		if n := w.said("cancel"); n != c.want || w.broken != "" {
-			t.Errorf("%s: called off %d times: %v %s", name, n, w.log, w.broken)
+		sim.searchers[2].outcome, sim.searchers[3].outcome = TooSlow, TooSlow
+		sim.mixer.Left(sim.scan(0, 2*time.Second, []int{2}, []float64{1})) // its client goes at once
+		if n := sim.logged("cancel"); n != c.want || sim.violation != "" {
+			t.Errorf("%s: called off %d times: %v %s", name, n, sim.log, sim.violation)
 		}
 	}
 }
@@ -85,13 +85,13 @@
 // A searcher that failed most parts at once was as good as its neighbours again when its keeping-off had passed: a
 // mixer that met it once in some seconds lost a part each time.
 func TestAFailingSearcherCostsMore(t *testing.T) {
-	w := settled()
-	w.srvs[0].mood, w.srvs[0].sends = Fault, nil
+	sim := warmWorld()
+	sim.searchers[0].outcome, sim.searchers[0].sends = Fault, nil
 	for range 20 {
-		load(w, 0, 8, time.Second, time.Second)
+		load(sim, 0, 8, time.Second, time.Second)
 	}
-	if n := len(w.srvs[0].sends); n > 4 || w.broken != "" {
-		t.Errorf("%d parts to a failing searcher in 20 scans, sound holders beside %s", n, w.broken)
+	if n := len(sim.searchers[0].sends); n > 4 || sim.violation != "" {
+		t.Errorf("%d parts to a failing searcher in 20 scans, sound holders beside %s", n, sim.violation)
 	}
 }
 
@@ -103,13 +103,13 @@
 		every time.Duration
 		want  bool
 	}{"three": {[]int{1, 2, 3}, time.Second, true}, "one often": {[]int{1, 1, 1, 1}, time.Second, false},
-		"two": {[]int{1, 2}, time.Second, false}, "long ago": {[]int{1, 2, 3, 4}, 2 * rumourFor, false}} {
-		w := newWorld(settings(table()), 1, 1)
+		"two": {[]int{1, 2}, time.Second, false}, "long ago": {[]int{1, 2, 3, 4}, 2 * reportLifetime, false}} {
+		sim := newWorld(settings(wholeTable()), 1, 1)
 		for _, from := range c.from {
-			w.run(c.every)
-			w.m.Heard(from, []byte{4, 0, 200}) // the others are of no known step
+			sim.run(c.every)
+			sim.mixer.Heard(from, []byte{4, 0, 200}) // the others are of no known step
 		}
-		if got := w.m.lostIdle(5); got != c.want || w.m.lostIdle(3) {
+		if got := sim.mixer.losesIdle(5); got != c.want || sim.mixer.losesIdle(3) {
 			t.Errorf("%s: believed %v", name, got)
 		}
 	}
@@ -117,58 +117,58 @@
 
 func TestIdleLossesAreTold(t *testing.T) {
 	for _, may := range []bool{true, false} {
-		set := settings(table())
+		set := settings(wholeTable())
 		set.MayTell = may
-		w := newWorld(set, 1, 2)
-		load(w, 0, 8, 50*tms, time.Second)
-		for i := range w.srvs {
-			w.srvs[i].reap = time.Second
+		sim := newWorld(set, 1, 2)
+		load(sim, 0, 8, 50*ms, time.Second)
+		for i := range sim.searchers {
+			sim.searchers[i].dropIdleAfter = time.Second
 		}
 		for range 4 {
-			load(w, 0, 8, 3*time.Second, 3*time.Second)
+			load(sim, 0, 8, 3*time.Second, 3*time.Second)
 		}
-		if told := len(w.news) > 0; told != may || w.broken != "" {
-			t.Errorf("may %v: told %v %s", may, w.news, w.broken)
+		if told := len(sim.gossip) > 0; told != may || sim.violation != "" {
+			t.Errorf("may %v: told %v %s", may, sim.gossip, sim.violation)
 		}
 	}
 }
 
 // Clients left before the target and came again at once, while an answer that would have done was in hand.
 func TestAnswersGoOutBeforeClientsLeave(t *testing.T) {
-	set := settings(partial())
+	set := settings(partialTable())
 	set.Reach, set.SecondCopies = 1, false
-	w := newWorld(set, 2, 1)
-	w.srvs[0].mood = TooSlow // a quarter of each scan never comes
+	sim := newWorld(set, 2, 1)
+	sim.searchers[0].outcome = TooSlow // a quarter of each scan never comes
 	late := 0
 	for k := range 60 {
-		ss, ws := even(4, 4)
-		id := w.scan(0, 2*time.Second, ss, ws)
-		w.run(400 * tms)
-		if !w.scans[id].ended {
-			w.m.Left(id) // its client waits no longer
-			w.over(w.scans[id])
-			late += b2i(k >= 30)
+		ss, ws := evenParts(4, 4)
+		id := sim.scan(0, 2*time.Second, ss, ws)
+		sim.run(400 * ms)
+		if !sim.scans[id].ended {
+			sim.mixer.Left(id) // its client waits no longer
+			sim.endParts(sim.scans[id])
+			late += boolToInt(k >= 30)
 		}
-		w.run(100 * tms)
+		sim.run(100 * ms)
 	}
-	if late > 3 || w.broken != "" {
-		t.Errorf("%d of the last 30 left without the answer in hand %s", late, w.broken)
+	if late > 3 || sim.violation != "" {
+		t.Errorf("%d of the last 30 left without the answer in hand %s", late, sim.violation)
 	}
 }
 
 // Three hundred mixers told clients of scans that met full searchers to come again in a tenth of a second: they
 // came four times each, and the searchers stayed full. What no holder had room for was tried on for as long.
 func TestFullSearchersKeepClientsAway(t *testing.T) {
-	w := newWorld(settings(table()), 1, 1)
-	load(w, 0, 4, 50*tms, time.Second)
-	w.run(time.Second)
-	w.moods(NoRoom)
+	sim := newWorld(settings(wholeTable()), 1, 1)
+	load(sim, 0, 4, 50*ms, time.Second)
+	sim.run(time.Second)
+	sim.setOutcomes(NoRoom)
 	for k := range 4 {
-		id := w.scan(0, 2*time.Second, []int{0}, []float64{1})
-		w.run(100 * tms)
-		soon := w.scans[id].ended
-		w.run(600 * tms)
-		if sc := w.scans[id]; k > 0 && !soon || sc.advice < w.set.MaxRetryIn/2 {
+		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
+		sim.run(100 * ms)
+		soon := sim.scans[id].ended
+		sim.run(600 * ms)
+		if sc := sim.scans[id]; k > 0 && !soon || sc.advice < sim.config.MaxRetryIn/2 {
 			t.Errorf("scan %d ended soon %v, to come again in %v", k, soon, sc.advice)
 		}
 	}
@@ -176,18 +176,18 @@
 
 // One client that went away, or two in a row, had every scan of its table type answered early and in part.
 func TestTwoClientsThatLeaveCutNothingShort(t *testing.T) {
-	w := newWorld(settings(partial()), 2, 1)
-	w.speeds(4)
-	ss, ws := even(4, 4)
+	sim := newWorld(settings(partialTable()), 2, 1)
+	sim.setSpeeds(4)
+	ss, ws := evenParts(4, 4)
 	for range 2 {
-		id := w.scan(0, 2*time.Second, ss, ws)
-		w.run(40 * tms)
-		w.m.Left(id)
-		w.over(w.scans[id])
+		id := sim.scan(0, 2*time.Second, ss, ws)
+		sim.run(40 * ms)
+		sim.mixer.Left(id)
+		sim.endParts(sim.scans[id])
 	}
-	id := w.scan(0, 2*time.Second, ss, ws)
-	if sc := &w.m.scans.at[w.m.byNo[id]]; w.m.cutAt(sc) != sc.target {
-		t.Errorf("cut %v before its target", sc.target-w.m.cutAt(sc))
+	id := sim.scan(0, 2*time.Second, ss, ws)
+	if sc := &sim.mixer.scans.at[sim.mixer.byNumber[id]]; sim.mixer.partialDeadline(sc) != sc.target {
+		t.Errorf("cut %v before its target", sc.target-sim.mixer.partialDeadline(sc))
 	}
 }
 
@@ -195,14 +195,14 @@
 // tenant not known, nothing changes, and no chance is drawn: decisions stay as without it.
 func TestWhatTheFleetLetsIn(t *testing.T) {
 	taken := func(let []float64, tenant int) (n int) {
-		set := settings(table(), table())
+		set := settings(wholeTable(), wholeTable())
 		set.Quotas = []float64{1000, 1000}
-		w := newWorld(set, 1, 2)
-		w.m.Let(let)
+		sim := newWorld(set, 1, 2)
+		sim.mixer.Let(let)
 		for range 200 {
-			if id := w.scanOf(1, tenant, time.Second, []int{0}, []float64{1}, false); !w.scans[id].ended {
+			if id := sim.scanOf(1, tenant, time.Second, []int{0}, []float64{1}, false); !sim.scans[id].ended {
 				n++
-				w.m.Left(id)
+				sim.mixer.Left(id)
 			}
 		}
 		return n
