--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// vary draws settings that no single deployment has together.
+// randomSettings draws combinations of settings that no single deployment has.
 func randomSettings(r *rand.Rand) Settings {
 	var ts []TableType
 	for range 3 {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// trouble changes something on the searcher side or the list.
+// injectFault changes one searcher or the list.
 func injectFault(sim *simulation) {
 	i := sim.random.Intn(len(sim.searchers))
 	s := &sim.searchers[i]
@@ -51,36 +51,37 @@
 	case 5:
 		sim.listSearcher(i, Gone, s.started)
 	case 6:
-		sim.list(Whole)
+		sim.sendList(Whole)
 		sim.mixer.ListBegin(Failed)
 	}
 }
 
-func TestRulesHoldInAnyWeather(t *testing.T) {
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	f := func(seed int64) bool {
 		r := rand.New(rand.NewSource(seed))
-		sim := newWorld(randomSettings(r), seed, 2)
+		sim := newSimulation(randomSettings(r), seed, 2)
 		sim.randomOutcomes = true
 		for sim.now < 20*time.Second && sim.violation == "" {
 			sim.run(time.Duration(5+r.Intn(60)) * ms)
 			n := 1 + r.Intn(8)
-			ss, ws := evenParts(n, 2*sim.config.Cells)
-			if n > 1 && r.Intn(2) > 0 { // a heavy head
-				ws = append([]float64{0.5}, slices.Repeat([]float64{0.5 / float64(n-1)}, n-1)...)
+			shards, weights := evenParts(n, 2*sim.config.Cells)
+			if n > 1 && r.Intn(2) > 0 { // one heavy part
+				weights = append([]float64{0.5}, slices.Repeat([]float64{0.5 / float64(n-1)}, n-1)...)
 			}
-			cl := r.Intn(3)
-			id := sim.scan(cl, time.Duration(float64(sim.config.Types[cl].Timeout)*(0.1+0.9*r.Float64())), ss, ws)
+			class := r.Intn(3)
+			id := sim.scan(class, time.Duration(float64(sim.config.Types[class].Timeout)*(0.1+0.9*r.Float64())), shards, weights)
 			if r.Intn(20) == 0 {
 				injectFault(sim)
 			}
 			if sc := sim.scans[id]; r.Intn(40) == 0 && !sc.ended {
-				sim.endParts(sc)
+				sim.endScanParts(sc)
 				sim.mixer.Left(id)
 			}
 		}
 		sim.run(4 * time.Second)
 		if sim.violation == "" && (sim.mixer.inFlight != 0 || len(sim.mixer.byID)+len(sim.mixer.byNumber) != 0) {
-			sim.fail("%d out, %d known after the end", sim.mixer.inFlight, len(sim.mixer.byID)+len(sim.mixer.byNumber))
+			sim.violate("%d parts in flight, %d records left after the end", sim.mixer.inFlight,
+				len(sim.mixer.byID)+len(sim.mixer.byNumber))
 		}
 		if sim.violation != "" {
 			t.Logf("seed %d: %s", seed, sim.violation)
@@ -93,11 +94,11 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	day := func() string {
-		sim := newWorld(randomSettings(rand.New(rand.NewSource(5))), 5, 2)
+	run := func() string {
+		sim := newSimulation(randomSettings(rand.New(rand.NewSource(5))), 5, 2)
 		sim.randomOutcomes = true
 		for range 200 {
-			load(sim, 0, 5, 30*ms, 30*ms)
+			sendLoad(sim, 0, 5, 30*ms, 30*ms)
 			injectFault(sim)
 		}
 		if sim.violation != "" {
@@ -105,23 +106,23 @@
 		}
 		return strings.Join(sim.log, "\n") + sim.violation
 	}
-	if a, b := day(), day(); a != b || a == "" {
+	if a, b := run(), run(); a != b || a == "" {
 		t.Error("two runs of the same events differ")
 	}
 }
 
-// load sends scans of n parts at a steady pace, for a while.
-func load(sim *simulation, cl, n int, every, during time.Duration) {
+// sendLoad sends scans of n parts at a steady rate.
+func sendLoad(sim *simulation, class, n int, every, during time.Duration) {
 	for end := sim.now + during; sim.now < end && sim.violation == ""; sim.run(every) {
-		ss, ws := evenParts(n, 2*sim.config.Cells)
-		sim.scan(cl, sim.config.Types[cl].Timeout, ss, ws)
+		shards, weights := evenParts(n, 2*sim.config.Cells)
+		sim.scan(class, sim.config.Types[class].Timeout, shards, weights)
 	}
 }
 
-// settled is a world that a mixer has come to know, with nothing out.
-func warmWorld() *simulation {
-	sim := newWorld(settings(wholeTable()), 1, 2)
-	load(sim, 0, 4, 50*ms, time.Second)
+// warmSimulation returns a simulation in which the policy has seen all searchers and no parts are in flight.
+func warmSimulation() *simulation {
+	sim := newSimulation(settings(wholeTable()), 1, 2)
+	sendLoad(sim, 0, 4, 50*ms, time.Second)
 	sim.run(time.Second)
 	return sim
 }
@@ -132,14 +133,14 @@
 	return t
 }
 
-func TestHeaviestGoFirstAndShareFollowsLatency(t *testing.T) {
-	sim := newWorld(settings(partialTable()), 1, 2)
-	load(sim, 0, 8, 50*ms, 3*time.Second)
+func TestHeaviestPartsAreSentAndShareFollowsLatency(t *testing.T) {
+	sim := newSimulation(settings(partialTable()), 1, 2)
+	sendLoad(sim, 0, 8, 50*ms, 3*time.Second)
 	if sim.mixer.classes[0].share != 1 {
-		t.Fatalf("share %v on a quiet day", sim.mixer.classes[0].share)
+		t.Fatalf("share %v without load", sim.mixer.classes[0].share)
 	}
 	sim.setSpeeds(40)
-	load(sim, 0, 8, 50*ms, 3*time.Second)
+	sendLoad(sim, 0, 8, 50*ms, 3*time.Second)
 	if narrow := sim.mixer.classes[0].share; narrow > 0.9 || narrow < 0.4 {
 		t.Fatalf("share %v under load", narrow)
 	}
@@ -158,14 +159,14 @@
 	}
 	sim.run(15 * time.Second)
 	if sim.mixer.classes[0].share < 0.99 {
-		t.Errorf("share %v long after the load", sim.mixer.classes[0].share)
+		t.Errorf("share %v long after the load ended", sim.mixer.classes[0].share)
 	}
 }
 
-func TestReplicaOfLeastLatencyTimesPartsOut(t *testing.T) {
-	sim := newWorld(settings(wholeTable()), 1, 1)
-	for i, lat := range []float64{0.1, 0.25} { // cells 0 and 1 hold shard 0
-		sim.mixer.searchers[i].latency = ewma{value: lat, valid: true}
+func TestReplicaWithLeastLatencyTimesPartsInFlight(t *testing.T) {
+	sim := newSimulation(settings(wholeTable()), 1, 1)
+	for i, latency := range []float64{0.1, 0.25} { // searchers of shards 0 and 1 hold shard 0
+		sim.mixer.searchers[i].latency = ewma{value: latency, valid: true}
 	}
 	sim.mixer.ListEnd(Changes)
 	for i, want := range []int32{0, 0, 1, 0} {
@@ -175,52 +176,52 @@
 		}
 	}
 	if x := sim.mixer.expectedLatency(&sim.mixer.searchers[2]); x != sim.mixer.averageLatency {
-		t.Errorf("an unheard replica weighs %v, not the average", x)
+		t.Errorf("expected latency of an untested replica is %v, not the average", x)
 	}
 }
 
-// Clients that suddenly wait less were taken for repeats and throttled for good (docs/incidents).
-func TestShortTriesAreServed(t *testing.T) {
-	sim := newWorld(settings(wholeTable()), 1, 2)
-	load(sim, 0, 3, 50*ms, time.Second)
-	sim.log, sim.config.Types[0].Timeout = nil, 400*ms // of the clients, not of the settings the mixer was told
-	load(sim, 0, 3, 50*ms, time.Second)
+// Clients that suddenly waited less were mistaken for repeats and throttled permanently (docs/incidents).
+func TestShortFirstAttemptsAreServed(t *testing.T) {
+	sim := newSimulation(settings(wholeTable()), 1, 2)
+	sendLoad(sim, 0, 3, 50*ms, time.Second)
+	sim.log, sim.config.Types[0].Timeout = nil, 400*ms // of the clients, not of the policy's settings
+	sendLoad(sim, 0, 3, 50*ms, time.Second)
 	if sim.logged("throttle") > 0 {
-		t.Error("a short first try was throttled")
+		t.Error("a short first attempt was throttled")
 	}
 }
 
-// After a slow spell nothing was let in for ever: the remembered latency was never renewed (docs/incidents).
-func TestServiceComesBackAfterASlowSpell(t *testing.T) {
-	sim := newWorld(settings(wholeTable()), 1, 2)
-	load(sim, 0, 4, 50*ms, time.Second)
+// After a slow period no scan was ever admitted again, since the remembered latency was never updated (docs/incidents).
+func TestServiceRecoversAfterSlowPeriod(t *testing.T) {
+	sim := newSimulation(settings(wholeTable()), 1, 2)
+	sendLoad(sim, 0, 4, 50*ms, time.Second)
 	sim.setSpeeds(60)
-	load(sim, 0, 4, 50*ms, 5*time.Second)
+	sendLoad(sim, 0, 4, 50*ms, 5*time.Second)
 	sim.setSpeeds(1)
 	sim.run(3 * time.Second)
 	sim.log = nil
-	load(sim, 0, 4, 50*ms, time.Second)
+	sendLoad(sim, 0, 4, 50*ms, time.Second)
 	sim.run(time.Second)
 	if n := sim.logged("complete true"); n < 18 {
-		t.Errorf("%d of 20 scans completed after the spell", n)
+		t.Errorf("%d of 20 scans completed after the slow period", n)
 	}
 }
 
-func TestSickSearcherIsLeftAlone(t *testing.T) {
-	for _, mood := range []Outcome{Fault, TooSlow, NoRoute, Cut} {
-		sim := newWorld(settings(wholeTable()), 1, 2)
-		load(sim, 0, 4, 50*ms, 2*time.Second)
-		sim.searchers[0].outcome = mood
-		load(sim, 0, 4, 50*ms, time.Second)
+func TestFailingSearcherIsAvoided(t *testing.T) {
+	for _, outcome := range []Outcome{Fault, TooSlow, NoRoute, Cut} {
+		sim := newSimulation(settings(wholeTable()), 1, 2)
+		sendLoad(sim, 0, 4, 50*ms, 2*time.Second)
+		sim.searchers[0].outcome = outcome
+		sendLoad(sim, 0, 4, 50*ms, time.Second)
 		sim.log = nil
-		load(sim, 0, 4, 50*ms, 2*time.Second)
+		sendLoad(sim, 0, 4, 50*ms, 2*time.Second)
 		sim.run(2 * time.Second)
 		text := strings.Join(sim.log, "\n") + "\n"
 		if n := strings.Count(text, " 0\n"); n > 4 {
-			t.Errorf("outcome %d: %d parts to the sick searcher", mood, n)
+			t.Errorf("outcome %d: %d parts sent to the failing searcher", outcome, n)
 		}
 		if n := strings.Count(text, "complete true"); n < 38 {
-			t.Errorf("outcome %d: %d of 40 completed", mood, n)
+			t.Errorf("outcome %d: %d of 40 completed", outcome, n)
 		}
 	}
 }
@@ -228,26 +229,26 @@
 func TestListIsAskedAgainAfterAnError(t *testing.T) {
 	s := settings(wholeTable())
 	s.AskFor = true
-	sim := newWorld(s, 1, 1)
+	sim := newSimulation(s, 1, 1)
 	sim.mixer.ListBegin(Failed)
 	sim.run(100 * ms)
 	early := sim.subscribed
 	if sim.run(2 * time.Second); early != 1 || sim.subscribed != 2 {
-		t.Errorf("asked %d, then %d times", early, sim.subscribed)
+		t.Errorf("subscribed %d, then %d times", early, sim.subscribed)
 	}
 }
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	s := settings(partialTable())
-	idle := &idleActions{}
-	m := New(s, idle, 0)
+	actions := &countingActions{}
+	m := New(s, actions, 0)
 	m.ListBegin(Whole)
 	for i := range 8 {
 		m.ListEntry(i, Ready, 1, LongAgo, i%4)
 	}
 	m.ListEnd(Whole)
 	id, now := uint64(0), time.Duration(0)
-	one := func() {
+	runScan := func() {
 		now += 100 * ms
 		m.At(now)
 		id += 10
@@ -262,46 +263,46 @@
 		m.Woke(0)
 	}
 	for range 200 {
-		one()
+		runScan()
 	}
-	if n := testing.AllocsPerRun(500, one); n != 0 {
-		t.Errorf("%v allocations a scan", n)
+	if n := testing.AllocsPerRun(500, runScan); n != 0 {
+		t.Errorf("%v allocations per scan", n)
 	}
-	if idle.completed < 700 {
-		t.Errorf("%d scans completed", idle.completed)
+	if actions.completed < 700 {
+		t.Errorf("%d scans completed", actions.completed)
 	}
 }
 
-type idleActions struct{ completed int }
+type countingActions struct{ completed int }
 
-func (s *idleActions) Dispatch(uint64, int, time.Duration) {}
+func (s *countingActions) Dispatch(uint64, int, time.Duration) {}
 
-func (s *idleActions) Cancel(uint64, int) {}
+func (s *countingActions) Cancel(uint64, int) {}
 
-func (s *idleActions) Complete(uint64, bool) { s.completed++ }
+func (s *countingActions) Complete(uint64, bool) { s.completed++ }
 
-func (s *idleActions) Throttle(uint64, time.Duration) {}
+func (s *countingActions) Throttle(uint64, time.Duration) {}
 
-func (s *idleActions) Abandon(uint64) {}
+func (s *countingActions) Abandon(uint64) {}
 
-func (s *idleActions) Renew(int) {}
+func (s *countingActions) Renew(int) {}
 
-func (s *idleActions) Tell([]byte) {}
+func (s *countingActions) Tell([]byte) {}
 
-func (s *idleActions) Wake(time.Duration, uint64) {}
+func (s *countingActions) Wake(time.Duration, uint64) {}
 
-func (s *idleActions) Subscribe() {}
+func (s *countingActions) Subscribe() {}
 
-// One tenant's flood took the room of the others.
+// A flood of one tenant used up the capacity of the others.
 func TestFloodingTenantIsThrottledFirst(t *testing.T) {
 	s := settings(wholeTable())
 	s.Quotas = []float64{20, 5}
-	sim := newWorld(s, 1, 2)
-	load(sim, 0, 4, 50*ms, 2*time.Second)
+	sim := newSimulation(s, 1, 2)
+	sendLoad(sim, 0, 4, 50*ms, 2*time.Second)
 	sim.setSpeeds(12)
 	kept := [2]int{}
 	for i := range 600 {
-		tenant := min(1, i%20) ^ 1 // nineteen of twenty are tenant 0's
+		tenant := min(1, i%20) ^ 1 // tenant 0 sends nineteen of twenty scans
 		id := sim.scanOf(0, tenant, 2*time.Second, []int{i % 8, (i + 1) % 8}, []float64{0.5, 0.5}, false)
 		if !sim.scans[id].ended {
 			kept[tenant]++
@@ -309,31 +310,31 @@
 		sim.run(10 * ms)
 	}
 	if many, few := float64(kept[0])/570, float64(kept[1])/30; few < many+0.1 || many > 0.9 {
-		t.Errorf("kept %.2f of the flood and %.2f of the small tenant", many, few)
+		t.Errorf("admitted %.2f of the flood and %.2f of the small tenant", many, few)
 	}
 }
 
-// Holders that were full or down for a moment used up a part's tries at once and lost the scan.
-func TestLastTryWaits(t *testing.T) {
-	for _, mood := range []Outcome{NoRoom, Fault} {
-		sim := warmWorld()
-		sim.setOutcomes(mood)
+// Holders that were full or down for a moment used up a part's attempts at once, which lost the scan.
+func TestLastAttemptWaits(t *testing.T) {
+	for _, outcome := range []Outcome{NoRoom, Fault} {
+		sim := warmSimulation()
+		sim.setOutcomes(outcome)
 		sim.log = nil
-		load(sim, 0, 4, 20*ms, 60*ms)
+		sendLoad(sim, 0, 4, 20*ms, 60*ms)
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		sim.run(60 * ms)
 		sim.setOutcomes(Pass)
 		sim.run(time.Second)
 		if sim.scans[id].answered != 1 {
-			t.Errorf("outcome %d, not completed: %v", mood, sim.log)
+			t.Errorf("outcome %d, not completed: %v", outcome, sim.log)
 		}
 	}
 }
 
-// In a jam copies of late parts went to holders just as late.
-func TestCopiesGoOnlyWhereItIsFaster(t *testing.T) {
+// Under congestion, hedges of late parts went to holders that were just as late.
+func TestHedgesGoOnlyToFasterHolders(t *testing.T) {
 	for other, want := range map[float64]int{0.1: 0, 0.02: 1} {
-		sim := newWorld(settings(wholeTable()), 1, 2)
+		sim := newSimulation(settings(wholeTable()), 1, 2)
 		for i := range sim.searchers {
 			sim.searchers[i].speed = 100
 			sim.mixer.searchers[i].latency = ewma{value: 0.1, valid: true}
@@ -342,7 +343,7 @@
 		sim.mixer.ListEnd(Changes)
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		used := sim.mixer.parts.at[sim.mixer.byID[sim.scans[id].parts[0]]].attempts[0].searcher
-		for range 100 { // meanwhile every searcher answers somebody
+		for range 100 { // meanwhile every searcher answers other parts
 			for i := range sim.mixer.searchers {
 				s := &sim.mixer.searchers[i]
 				s.quietSince, s.lastAnswer = sim.now, sim.now
@@ -353,7 +354,7 @@
 			sim.run(5 * ms)
 		}
 		if n := len(sim.retries); n != want {
-			t.Errorf("%d copies where others take %v", n, other)
+			t.Errorf("%d hedges where others take %v", n, other)
 		}
 	}
 }
--- a/brain/health_test.go
+++ b/brain/health_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// At its floor exactly a scan was lost with any one of its parts.
-func TestNarrowScansOutliveALostPart(t *testing.T) {
-	sim := newWorld(settings(partialTable()), 1, 2)
+// A scan sent with exactly its floor was lost with any one of its parts.
+func TestNarrowScanSurvivesLostPart(t *testing.T) {
+	sim := newSimulation(settings(partialTable()), 1, 2)
 	sim.mixer.classes[0].share = 0
-	sim.run(100 * ms) // a beat brings the share back to its least
-	ss, ws := evenParts(8, 8)
-	id := sim.scan(0, time.Second, ss, ws)
+	sim.run(100 * ms) // a tick raises the share to its minimum
+	shards, weights := evenParts(8, 8)
+	id := sim.scan(0, time.Second, shards, weights)
 	last := sim.scans[id].parts[0]
 	for _, p := range sim.scans[id].parts {
 		if len(sim.parts[p].attempts) > 0 {
@@ -26,22 +26,22 @@
 	}
 }
 
-// A scan that cannot reach its floor was held to its target; one that can was held for shards nobody holds.
+// A scan that cannot reach its floor was held until its target, and one that can was held for shards without a holder.
 func TestShardWithoutHolderIsNotWaitedFor(t *testing.T) {
-	sim := newWorld(settings(wholeTable(), partialTable()), 1, 1)
+	sim := newSimulation(settings(wholeTable(), partialTable()), 1, 1)
 	sim.listSearcher(0, Gone, LongAgo)
 	sim.listSearcher(1, Gone, LongAgo) // shards 0 and 4 have no holder left
-	ss, ws := evenParts(8, 8)
-	whole, part := sim.scan(0, 2*time.Second, ss, ws), sim.scan(1, 2*time.Second, ss, ws)
+	shards, weights := evenParts(8, 8)
+	wholeScan, partialScan := sim.scan(0, 2*time.Second, shards, weights), sim.scan(1, 2*time.Second, shards, weights)
 	sim.run(200 * ms)
-	if a, b := sim.scans[whole], sim.scans[part]; !a.ended || a.answered != 0 || b.answered != 1 {
+	if a, b := sim.scans[wholeScan], sim.scans[partialScan]; !a.ended || a.answered != 0 || b.answered != 1 {
 		t.Error(sim.log)
 	}
 }
 
-// A hot heavy shard was asked by every scan while light ones were spared.
-func TestHopelessHeavyPartIsLeftOut(t *testing.T) {
-	sim := newWorld(settings(partialTable()), 1, 1)
+// Every scan used a hot, heavy shard while light ones were omitted.
+func TestUnlikelyHeavyPartIsOmitted(t *testing.T) {
+	sim := newSimulation(settings(partialTable()), 1, 1)
 	for i := range sim.mixer.searchers {
 		sim.mixer.searchers[i].latency = ewma{value: []float64{3, 3, 0.1, 0.1}[i], valid: true}
 	}
@@ -53,39 +53,39 @@
 	}
 }
 
-// With resets everywhere, keeping off a searcher for each left nobody to send to. Over ten draws: one alone swings
-// from 100 to 155 times with any change of an order.
+// With resets at all searchers, ejecting one for each reset left no searcher to send to. The test sums ten seeds: a single one
+// varies from 100 to 155 ejections with any change of an order.
 func TestSingleResetsAreExcused(t *testing.T) {
-	off, done := 0, 0
+	ejections, completed := 0, 0
 	for seed := range int64(10) {
-		sim := newWorld(settings(wholeTable()), seed, 2)
-		load(sim, 0, 4, 50*ms, time.Second)
+		sim := newSimulation(settings(wholeTable()), seed, 2)
+		sendLoad(sim, 0, 4, 50*ms, time.Second)
 		sim.run(time.Second)
 		sim.log = nil
 		for k := range 80 {
 			for i := range sim.searchers {
 				sim.searchers[i].outcome = []Outcome{Cut, Pass, Pass, Pass, Pass}[(k+i)%5]
 			}
-			load(sim, 0, 4, 50*ms, 50*ms)
+			sendLoad(sim, 0, 4, 50*ms, 50*ms)
 			for i := range sim.mixer.searchers {
-				off += boolToInt(sim.mixer.searchers[i].ejectedUntil > sim.now)
+				ejections += boolToInt(sim.mixer.searchers[i].ejectedUntil > sim.now)
 			}
 		}
 		sim.run(time.Second)
-		done += sim.logged("complete true")
+		completed += sim.logged("complete true")
 	}
-	if done < 720 || off > 1500 {
-		t.Errorf("%d of 800 completed, %d times kept off", done, off)
+	if completed < 720 || ejections > 1500 {
+		t.Errorf("%d of 800 completed, %d ejections", completed, ejections)
 	}
 }
 
-// Without second copies a keyed part sat at a silent searcher till it was too late to send it again.
-func TestKeyedPartLeavesASilentSearcher(t *testing.T) {
+// Without second copies a keyed part stayed at an unresponsive searcher until it was too late to send it again.
+func TestKeyedPartLeavesUnresponsiveSearcher(t *testing.T) {
 	for window, want := range map[time.Duration]int{time.Second: 1, 50 * ms: 0} {
 		s := settings(wholeTable())
 		s.SecondCopies, s.Types[0].Effect, s.Types[0].RepeatWindow = false, Keyed, window
-		sim := newWorld(s, 1, 2)
-		load(sim, 0, 4, 50*ms, time.Second)
+		sim := newSimulation(s, 1, 2)
+		sendLoad(sim, 0, 4, 50*ms, time.Second)
 		sim.setOutcomes(TooSlow)
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		sim.setOutcomes(Pass)
@@ -96,72 +96,71 @@
 	}
 }
 
-// Searchers back from a crash the list had not told of were met by all that waited, and fell over.
-func TestUnreachableSearchersAreMetGently(t *testing.T) {
-	sim := newWorld(settings(wholeTable()), 1, 2)
-	load(sim, 0, 4, 20*ms, time.Second)
+// Searchers that had recovered from a crash not yet in the list got all waiting parts at once and were overloaded.
+func TestRecoveredSearchersAreNotOverloaded(t *testing.T) {
+	sim := newSimulation(settings(wholeTable()), 1, 2)
+	sendLoad(sim, 0, 4, 20*ms, time.Second)
 	sim.setOutcomes(NoRoute)
 	for k := range 150 {
-		load(sim, 0, 4, 20*ms, 20*ms)
+		sendLoad(sim, 0, 4, 20*ms, 20*ms)
 		for i := range sim.mixer.searchers {
 			if n := sim.mixer.searchers[i].partsInFlight; n > 1 && k > 100 {
-				t.Fatalf("%d parts out at an unreachable searcher", n)
+				t.Fatalf("%d parts in flight at an unreachable searcher", n)
 			}
 		}
 	}
 	for i := range sim.searchers {
 		sim.searchers[i].outcome, sim.searchers[i].sends = Pass, nil
 	}
-	load(sim, 0, 4, 20*ms, 2*time.Second)
+	sendLoad(sim, 0, 4, 20*ms, 2*time.Second)
 	for i := range sim.searchers {
 		if n := len(sim.searchers[i].sends); n < 2 || n > 20 {
-			t.Errorf("%d parts in two seconds to a searcher just back", n)
+			t.Errorf("%d parts in two seconds to a recovered searcher", n)
 		}
 	}
 }
 
-// unreachable is a settled world whose first searcher a part has failed to reach a second ago.
-func worldWithUnreachable() *simulation {
-	sim := warmWorld()
+// simulationWithUnreachable returns a warm simulation in which a part failed to reach searcher 0 one second ago.
+func simulationWithUnreachable() *simulation {
+	sim := warmSimulation()
 	sim.searchers[0].outcome = NoRoute
 	for sim.searchers[0].sends = nil; len(sim.searchers[0].sends) == 0; {
-		load(sim, 0, 8, 20*ms, 20*ms) // until a part meets it
+		sendLoad(sim, 0, 8, 20*ms, 20*ms) // until a part is sent to it
 	}
 	sim.run(time.Second)
 	return sim
 }
 
-// A mixer of a large fleet sees a scan every second or so: a searcher it could not reach, once its short
-// keeping-off was over, met nearly every scan again and cost a part the connect time, while sound holders
-// stood by.
-func TestAnUnreachableSearcherWaitsBehindSoundOnes(t *testing.T) {
-	sim := worldWithUnreachable()
+// A mixer of a large fleet gets a scan every second or so. After the short ejection nearly every scan met the unreachable
+// searcher again, which cost a part the connect timeout although healthy holders were available.
+func TestUnreachableSearcherRanksBehindHealthyOnes(t *testing.T) {
+	sim := simulationWithUnreachable()
 	sim.searchers[0].sends = nil
-	for range 8 { // scans of all shards, one a second, short of when a list could have told of it
-		load(sim, 0, 8, time.Second, time.Second)
+	for range 8 { // scans of all shards, one per second, for less time than the list needs to report it
+		sendLoad(sim, 0, 8, time.Second, time.Second)
 	}
 	if n := len(sim.searchers[0].sends); n > 0 || sim.violation != "" {
-		t.Errorf("%d parts risked at an unreachable searcher beside sound holders %s", n, sim.violation)
+		t.Errorf("%d parts sent to an unreachable searcher although there are healthy holders %s", n, sim.violation)
 	}
 }
 
-// A searcher that could not be reached and is told to have started anew is a new process: it is used again at
-// once, within its cold budget, and not kept behind the others as the earlier one was.
+// An unreachable searcher that the list reports as restarted is a new process: it is used again at once, within its cold
+// budget, instead of ranking behind the others.
 func TestARestartedSearcherIsNoLongerUnreachable(t *testing.T) {
-	sim := worldWithUnreachable()
+	sim := simulationWithUnreachable()
 	sim.searchers[0].outcome = Pass
 	sim.listSearcher(0, Ready, sim.now)
 	sim.searchers[0].sends = nil
 	for range 4 {
-		load(sim, 0, 8, time.Second, time.Second)
+		sendLoad(sim, 0, 8, time.Second, time.Second)
 	}
 	if n := len(sim.searchers[0].sends); n == 0 || sim.violation != "" {
-		t.Errorf("%d parts to a searcher told to have restarted %s", n, sim.violation)
+		t.Errorf("%d parts to a restarted searcher %s", n, sim.violation)
 	}
 }
 
-func TestFailingSearcherIsTriedByOnePart(t *testing.T) {
-	sim := newWorld(settings(wholeTable()), 1, 1)
+func TestFailingSearcherIsProbedByOnePart(t *testing.T) {
+	sim := newSimulation(settings(wholeTable()), 1, 1)
 	sim.mixer.searchers[0].latency, sim.mixer.searchers[1].latency = ewma{value: 0.01, valid: true}, ewma{value: 0.2, valid: true}
 	sim.mixer.searchers[0].failures = 1
 	sim.scan(0, 2*time.Second, []int{0, 0, 0}, []float64{0.4, 0.3, 0.3})
@@ -170,24 +169,24 @@
 	}
 }
 
-// Connections dropped unseen while idle lost every part of mixers that meet each searcher seldom.
-func TestIdleConnectionsThatLoseAreRenewed(t *testing.T) {
-	sim := newWorld(settings(wholeTable()), 1, 2)
-	load(sim, 0, 4, 50*ms, time.Second)
+// Connections silently dropped while idle lost every part of mixers that use each searcher seldom.
+func TestIdleConnectionsThatLosePartsAreRenewed(t *testing.T) {
+	sim := newSimulation(settings(wholeTable()), 1, 2)
+	sendLoad(sim, 0, 4, 50*ms, time.Second)
 	for i := range sim.searchers {
 		sim.searchers[i].dropIdleAfter = 900 * ms
 	}
-	load(sim, 0, 8, 2*time.Second, 20*time.Second)
+	sendLoad(sim, 0, 8, 2*time.Second, 20*time.Second)
 	sim.log = nil
-	load(sim, 0, 8, 2*time.Second, 20*time.Second)
+	sendLoad(sim, 0, 8, 2*time.Second, 20*time.Second)
 	if n := sim.logged("complete true"); n < 9 {
 		t.Errorf("%d of 10 scans completed", n)
 	}
 }
 
-// A mixer of few scans forgot a jam in the second between two of them, and sent the next one whole into it.
-func TestAJamIsRememberedBetweenScans(t *testing.T) {
-	sim := newWorld(settings(partialTable()), 1, 2)
+// A mixer with few scans forgot congestion in the second between two scans and sent the next one in full.
+func TestCongestionIsRememberedBetweenScans(t *testing.T) {
+	sim := newSimulation(settings(partialTable()), 1, 2)
 	sim.mixer.latency, sim.mixer.classes[0].threshold = ewma{value: 0.8, valid: true}, 0.3
 	sim.run(2 * time.Second)
 	if s := sim.mixer.classes[0].share; s > 0.6 || sim.mixer.latency.value < 0.4 {
@@ -199,53 +198,53 @@
 	}
 }
 
-// Scans that crash every searcher which begins a part of them took three searchers a part.
-func TestScanThatCutsOffItsPartsGoesNoFurther(t *testing.T) {
-	sim := warmWorld()
+// Scans that crash every searcher that starts one of their parts took down three searchers per part.
+func TestScanThatCrashesSearchersEnds(t *testing.T) {
+	sim := warmSimulation()
 	sim.setOutcomes(Cut)
 	sim.log = nil
-	ss, ws := evenParts(4, 8)
-	sim.scan(0, 2*time.Second, ss, ws)
+	shards, weights := evenParts(4, 8)
+	sim.scan(0, 2*time.Second, shards, weights)
 	sim.run(200 * ms)
 	if n := sim.logged("dispatch"); n > 5 || len(sim.mixer.byNumber) != 0 {
 		t.Errorf("%d dispatches: %v", n, sim.log)
 	}
 }
 
-// Wide scans still in time themselves made narrow ones of another table type late, and went on asking everybody.
-func TestWideScansGiveWayToOthersThatAreLate(t *testing.T) {
+// Wide scans that were in time themselves delayed narrow ones of another table type and weren't narrowed.
+func TestWideScansAreNarrowedWhenOthersAreLate(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		sim := newWorld(settings(partialTable(), wholeTable()), 1, 2)
+		sim := newSimulation(settings(partialTable(), wholeTable()), 1, 2)
 		sim.mixer.latency, sim.mixer.bestLatency, sim.mixer.inFlight = ewma{value: 0.4, valid: true}, ewma{value: 0.05, valid: true}, 1
 		if late {
 			sim.mixer.classes[1].threshold = 0.3
 		}
 		sim.run(time.Second)
 		if s := sim.mixer.classes[0].share; late != (s < 0.8) {
-			t.Errorf("others late %v: share %v", late, s)
+			t.Errorf("others late: %v, share %v", late, s)
 		}
 		sim.mixer.inFlight = 0
 	}
 }
 
-// A few hung searchers made every scan with a part there teach that all are late.
-func TestPartsAtSickSearchersDoNotMakeAScanLong(t *testing.T) {
-	sim := warmWorld()
-	ss, ws := evenParts(4, 8)
-	id := sim.scan(0, 2*time.Second, ss, ws)
+// A few hung searchers made every scan with a part at one of them count as late.
+func TestPartsAtFailingSearchersDoNotMakeAScanLong(t *testing.T) {
+	sim := warmSimulation()
+	shards, weights := evenParts(4, 8)
+	id := sim.scan(0, 2*time.Second, shards, weights)
 	p := sim.mixer.parts.at[sim.mixer.byID[sim.scans[id].parts[3]]]
 	sim.mixer.searchers[p.attempts[0].searcher].ejectedUntil = sim.now + time.Hour
-	sim.parts[sim.scans[id].parts[3]].attempts[0].inFlight = false // it never comes back
+	sim.parts[sim.scans[id].parts[3]].attempts[0].inFlight = false // it never returns
 	sim.run(100 * ms)
 	if sc := &sim.mixer.scans.at[sim.mixer.byNumber[id]]; sc.mostPartsAt == 0 || sc.passed != 3 {
-		t.Errorf("%d parts in, most at %v", sc.passed, sc.mostPartsAt)
+		t.Errorf("%d parts answered, most of them at %v", sc.passed, sc.mostPartsAt)
 	}
 	sim.run(2 * time.Second)
 }
 
-// At full size each mixer lost parts at each hung searcher for the first time; those heard from are preferred.
-func TestUnheardSearchersCountWhatTheirLikeLose(t *testing.T) {
-	sim := newWorld(settings(wholeTable()), 1, 1)
+// In a large fleet each mixer lost a first part at each hung searcher. Searchers that have answered are preferred.
+func TestUntestedSearchersCarryTheirLossRate(t *testing.T) {
+	sim := newSimulation(settings(wholeTable()), 1, 1)
 	// Searchers of shards 0 and 1 hold shard 0.
 	sim.mixer.searchers[0].latency, sim.mixer.searchers[0].lastAnswer = ewma{value: 0.3, valid: true}, 1
 	sim.mixer.searchers[2].latency = ewma{value: 0.1, valid: true}
@@ -253,79 +252,79 @@
 	for lost, want := range map[float64]int32{0: 1, 0.8: 0} {
 		sim.mixer.untestedLoss.value = lost
 		if got := sim.mixer.pickSearcher(&part{shard: 0}, 1); got != want {
-			t.Errorf("%v lost among the unheard: sent to %d", lost, got)
+			t.Errorf("loss %v at untested searchers: sent to %d", lost, got)
 		}
 	}
 }
 
-// Copies of lost parts ran into an allowance meant for slow ones.
-func TestCopiesThatOvertakeEarnFurtherOnes(t *testing.T) {
-	sim := newWorld(settings(wholeTable()), 1, 2)
-	load(sim, 0, 4, 50*ms, time.Second)
+// Hedges of lost parts exhausted an allowance intended for slow parts.
+func TestHedgesThatAnswerFirstEarnFurtherOnes(t *testing.T) {
+	sim := newSimulation(settings(wholeTable()), 1, 2)
+	sendLoad(sim, 0, 4, 50*ms, time.Second)
 	sim.mixer.hedgeBudget.level = 2
 	sim.setOutcomes(TooSlow)
-	ss, ws := evenParts(4, 8)
-	sim.scan(0, 2*time.Second, ss, ws)
+	shards, weights := evenParts(4, 8)
+	sim.scan(0, 2*time.Second, shards, weights)
 	sim.setOutcomes(Pass)
 	sim.run(900 * ms)
 	if n := len(sim.retries); n < 4 {
-		t.Errorf("%d copies for four lost parts", n)
+		t.Errorf("%d hedges for four lost parts", n)
 	}
 }
 
-// What each of many mixers held to be its least added up to more than a cold searcher can take.
+// The minimum that each of many mixers sent added up to more than a cold searcher can take.
 func TestManyMixersShareAColdSearcher(t *testing.T) {
 	s, sent := settings(wholeTable()), 0
 	s.Mixers = 90
 	for k := range s.Mixers {
 		s.Seed = uint64(k)
-		sim := newWorld(s, int64(k), 1)
+		sim := newSimulation(s, int64(k), 1)
 		sim.mixer.latency, sim.mixer.bestLatency = ewma{value: 0.2, valid: true}, ewma{value: 0.2, valid: true}
 		sim.listSearcher(0, Ready, sim.now)
 		sim.run(time.Duration(sim.random.Int63n(int64(s.FallSpan))))
 		sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		sent += len(sim.searchers[0].sends)
 	}
-	// One core that takes 0.2 s a part, at the least cold share, for the span, times the multiple.
+	// The capacity of one core at 0.2 s per part and the initial cold share, in one span, times the overload multiple.
 	if most := s.FallMultiple * s.ColdShare * s.FallSpan.Seconds() / 0.2 * 2; float64(sent) > most {
 		t.Errorf("%d parts in one span, %.0f for two cores", sent, most)
 	}
 }
 
-// One such scan of a hundred parts took down the whole fleet, and again when its client repeated it.
-func TestRepeatsGoOutByOnePartWhileConnectionsBreak(t *testing.T) {
-	sim := warmWorld()
+// A scan of a hundred parts that crashes searchers took down the whole fleet, and again when its client repeated it.
+func TestRepeatsStartWithOnePartWhileConnectionsBreak(t *testing.T) {
+	sim := warmSimulation()
 	sim.mixer.cautiousUntil = sim.now + time.Second
-	ss, ws := evenParts(4, 8)
-	for _, mood := range []Outcome{Cut, Pass} {
-		sim.setOutcomes(mood)
+	shards, weights := evenParts(4, 8)
+	for _, outcome := range []Outcome{Cut, Pass} {
+		sim.setOutcomes(outcome)
 		sim.log = nil
-		id := sim.scanOf(0, -1, 2*time.Second, ss, ws, true)
+		id := sim.scanOf(0, -1, 2*time.Second, shards, weights, true)
 		first := len(sim.log)
 		sim.run(500 * ms)
 		n := sim.logged("dispatch")
-		if sc := sim.scans[id]; first != 1 || !sc.ended || mood == Cut && n != 2 || mood == Pass && sc.answered != 1 {
-			t.Errorf("outcome %d: %d at once, %d in all: %v", mood, first, n, sim.log)
+		if sc := sim.scans[id]; first != 1 || !sc.ended || outcome == Cut && n != 2 || outcome == Pass && sc.answered != 1 {
+			t.Errorf("outcome %d: %d at once, %d in all: %v", outcome, first, n, sim.log)
 		}
 	}
 }
 
-// Two wide scans at once had narrow ones turned away from searchers that were half idle: the time in which all that
-// is out would pass was taken for a part latency, and counted once for each that a scan takes.
-func TestWhatIsOutDrainsOnce(t *testing.T) {
+// Two simultaneous wide scans made mixers reject narrow ones although the searchers were half idle: the time to drain all
+// parts in flight was taken for a part latency and counted once per part latency of the scan.
+func TestPartsInFlightDrainOnce(t *testing.T) {
 	for _, c := range []struct {
-		lat  float64
-		out  int
-		want bool
+		latency  float64
+		inFlight int
+		want     bool
 	}{{0.01, 600, true}, {0.01, 700, false}, {0.3, 300, true}, {0.4, 300, false}} {
-		sim := warmWorld()
+		sim := warmSimulation()
 		m := sim.mixer
-		m.passedTotal, m.peakRate, m.passRate.value, m.peakSearcherRate, m.inFlight = minPassesForPeak, 1000, 100, 0.01, c.out
-		m.median, sim.mixer.classes[0].latencyRatio.value = c.lat, 3
-		ss, ws := evenParts(4, 8)
-		id := sim.scan(0, 2*time.Second, ss, ws)
-		if _, taken := sim.mixer.byNumber[id]; taken != c.want {
-			t.Errorf("latency %v, %d out: taken %v", c.lat, c.out, taken)
+		m.passedTotal, m.peakRate, m.passRate.value, m.peakSearcherRate, m.inFlight = minPassesForPeak, 1000, 100, 0.01, c.inFlight
+		m.median, m.classes[0].latencyRatio.value = c.latency, 3
+		shards, weights := evenParts(4, 8)
+		id := sim.scan(0, 2*time.Second, shards, weights)
+		if _, admitted := sim.mixer.byNumber[id]; admitted != c.want {
+			t.Errorf("latency %v, %d in flight: admitted %v", c.latency, c.inFlight, admitted)
 		}
 	}
 }
--- a/brain/helper_test.go
+++ b/brain/simulation_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// world is a searcher side that misbehaves, and the judge of the six rules for one mixer.
+// simulation simulates searchers with injected faults and checks the six rules that a policy must keep.
 type simulation struct {
 	config         Settings
 	mixer          *Mixer
@@ -23,12 +23,12 @@
 	randomOutcomes bool
 	ids            uint64
 	violation      string
-	requests       []time.Duration // requests
-	retries        []time.Duration // further dispatches
+	requests       []time.Duration // arrival times of scans and parts
+	retries        []time.Duration // times of retries and hedges
 	subscribed     int
-	log            []string // actions of the last step
+	log            []string // the policy's actions
 	peakPasses     float64
-	gossip         []byte // told to other mixers
+	gossip         []byte // idle steps reported to other mixers
 }
 
 type event struct {
@@ -45,8 +45,8 @@
 	speed         float64
 	sends         []time.Duration
 	passes        []time.Duration
-	connUsedAt    time.Duration // its connection was opened or last used
-	dropIdleAfter time.Duration // if above 0: what comes on a connection idle for so long is lost
+	connUsedAt    time.Duration // when its connection was opened or last used
+	dropIdleAfter time.Duration // if above 0, parts on a connection idle for longer are lost
 }
 
 type simScan struct {
@@ -55,7 +55,7 @@
 	parts        []uint64
 	whole, ended bool
 	answered     int
-	advice       time.Duration // when its client was told to come again
+	advice       time.Duration // when its client was told to retry
 }
 
 type simAttempt struct {
@@ -73,14 +73,14 @@
 	answered, ended bool
 }
 
-func (sim *simulation) fail(f string, a ...any) {
+func (sim *simulation) violate(format string, args ...any) {
 	if sim.violation == "" {
-		sim.violation = fmt.Sprintf("%v: ", sim.now) + fmt.Sprintf(f, a...)
+		sim.violation = fmt.Sprintf("%v: ", sim.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (sim *simulation) after(d time.Duration, do func()) {
-	sim.pending = append(sim.pending, event{sim.now + d, do})
+func (sim *simulation) after(d time.Duration, run func()) {
+	sim.pending = append(sim.pending, event{sim.now + d, run})
 }
 
 func settings(types ...TableType) Settings {
@@ -95,18 +95,18 @@
 		Floor: 1}
 }
 
-func newWorld(set Settings, seed int64, perCell int) *simulation {
-	sim := &simulation{config: set, random: rand.New(rand.NewSource(seed)), scans: map[uint64]*simScan{},
+func newSimulation(config Settings, seed int64, perCell int) *simulation {
+	sim := &simulation{config: config, random: rand.New(rand.NewSource(seed)), scans: map[uint64]*simScan{},
 		parts: map[uint64]*simPart{}}
-	sim.mixer = New(set, sim, 0)
-	for i := range set.Cells * perCell {
-		sim.searchers = append(sim.searchers, simSearcher{shard: i % set.Cells, started: LongAgo, speed: 1, outcome: Pass})
+	sim.mixer = New(config, sim, 0)
+	for i := range config.Cells * perCell {
+		sim.searchers = append(sim.searchers, simSearcher{shard: i % config.Cells, started: LongAgo, speed: 1, outcome: Pass})
 	}
-	sim.list(Remembered)
+	sim.sendList(Remembered)
 	return sim
 }
 
-func (sim *simulation) list(mode ListMode) {
+func (sim *simulation) sendList(mode ListMode) {
 	sim.mixer.ListBegin(mode)
 	for i := range sim.searchers {
 		s := &sim.searchers[i]
@@ -129,7 +129,7 @@
 	sim.mixer.ListEnd(Changes)
 }
 
-// run lets time pass in rounds of 5 ms.
+// run advances time in steps of the granularity (5 ms).
 func (sim *simulation) run(d time.Duration) {
 	for until := sim.now + d; sim.now < until && sim.violation == ""; {
 		sim.now += sim.config.Round
@@ -144,30 +144,30 @@
 		}
 		for id, sc := range sim.scans {
 			if !sc.ended && sim.now > sc.deadline+20*ms {
-				sim.fail("scan %d lost", id)
+				sim.violate("scan %d lost", id)
 			}
 		}
 	}
 }
 
-func (sim *simulation) scan(cl int, left time.Duration, shards []int, weights []float64) uint64 {
-	return sim.scanOf(cl, -1, left, shards, weights, false)
+func (sim *simulation) scan(class int, left time.Duration, shards []int, weights []float64) uint64 {
+	return sim.scanOf(class, -1, left, shards, weights, false)
 }
 
-func (sim *simulation) scanOf(cl, tenant int, left time.Duration, shards []int, weights []float64, repeat bool) uint64 {
+func (sim *simulation) scanOf(class, tenant int, left time.Duration, shards []int, weights []float64, repeat bool) uint64 {
 	sim.ids++
 	id := sim.ids
-	sim.scans[id] = &simScan{class: cl, deadline: sim.now + left}
+	sim.scans[id] = &simScan{class: class, deadline: sim.now + left}
 	sim.requests = append(sim.requests, sim.now)
-	sim.mixer.Scan(id, id, cl, tenant, left, 0, len(shards), repeat)
+	sim.mixer.Scan(id, id, class, tenant, left, 0, len(shards), repeat)
 	sim.addParts(id, shards, weights)
 	return id
 }
 
-// moods and speeds set all searchers alike.
-func (sim *simulation) setOutcomes(mood Outcome) {
+// setOutcomes and setSpeeds apply to all searchers.
+func (sim *simulation) setOutcomes(outcome Outcome) {
 	for i := range sim.searchers {
-		sim.searchers[i].outcome = mood
+		sim.searchers[i].outcome = outcome
 	}
 }
 
@@ -177,7 +177,7 @@
 	}
 }
 
-// said counts the actions since the log was last cleared that contain a text.
+// logged counts the logged actions that contain a text.
 func (sim *simulation) logged(text string) int {
 	return strings.Count(strings.Join(sim.log, "\n"), text)
 }
@@ -195,10 +195,10 @@
 	}
 }
 
-// even makes n shards in a row with equal weights.
-func evenParts(n, shards int) (s []int, ws []float64) {
+// evenParts returns n consecutive shards with equal weights.
+func evenParts(n, shardCount int) (shards []int, weights []float64) {
 	for i := range n {
-		s, ws = append(s, i%shards), append(ws, 1/float64(n))
+		shards, weights = append(shards, i%shardCount), append(weights, 1/float64(n))
 	}
-	return s, ws
+	return shards, weights
 }
