--- a/attempt/admit.go
+++ b/attempt/admit.go
@@ -64,7 +64,7 @@
 	if !ok {
 		return 0, fmt.Errorf("path: unknown class %.60q", s.Query.Class)
 	}
-	if o.set.Brain.Types[ty].Effect == brain.Keyed && s.Query.Key == "" {
+	if o.set.Brain.Types[ty].Effect == brain.IdempotentByKey && s.Query.Key == "" {
 		return 0, fmt.Errorf("Idempotency-Key: missing")
 	}
 	if _, ok := o.book.byReq[s.Query.ID]; ok {
@@ -87,7 +87,7 @@
 func (o *Life) Left(s *Scan) {
 	if o.book.scans[s.id] == s {
 		o.book.tally.Left++
-		o.m.Left(s.id)
+		o.m.ClientLeft(s.id)
 		o.end(s, Answer{Kind: Abandoned})
 	}
 }
--- a/attempt/book.go
+++ b/attempt/book.go
@@ -26,7 +26,7 @@
 // Tally counts what ended since it was last written to the log.
 type Tally struct {
 	Scans [Unfit + 1]int
-	Parts [brain.Stale + 1]int
+	Parts [brain.Expired + 1]int
 	Left  int // clients that went away
 	Full  int // scans beyond what may be held
 	Doubt int // dispatches whose connection went without a word of their end
@@ -169,15 +169,15 @@
 		return
 	}
 	t.out = false
-	t.never = end == brain.NoRoom || end == brain.NoRoute || end == brain.Stale
+	t.never = end == brain.Overloaded || end == brain.Unreachable || end == brain.Expired
 	p.live--
 	t.srv.live--
 	o.book.tally.Parts[end]++
-	if o.sees != nil && end == brain.Pass {
+	if o.sees != nil && end == brain.Succeeded {
 		o.sees.Carried()
 	}
 	if l := t.lane; l != nil {
-		l.drop(p, no, end == brain.Undone || end == brain.TooSlow, o.now)
+		l.drop(p, no, end == brain.Cancelled || end == brain.TimedOut, o.now)
 	}
 	o.m.Returned(p.id, no, end, o.now-t.at)
 	o.book.forget(p)
--- a/attempt/explore/free.go
+++ b/attempt/explore/free.go
@@ -16,7 +16,7 @@
 	now     time.Duration
 	scans   []*fscan
 	parts   map[uint64]*fpart
-	readers []brain.Standing // by the life's index
+	readers []brain.SearcherState // by the life's index
 }
 
 type fscan struct {
@@ -52,16 +52,16 @@
 	return &free{w: w, act: act, now: now, parts: map[uint64]*fpart{}}
 }
 
-func (d *free) At(now time.Duration) { d.now = now }
+func (d *free) Advance(now time.Duration) { d.now = now }
 func (d *free) ListBegin(mode brain.ListMode) {
-	if mode == brain.Whole {
+	if mode == brain.Full {
 		for i := range d.readers {
 			d.readers[i] = brain.Gone
 		}
 	}
 }
 
-func (d *free) ListEntry(i int, st brain.Standing, _ float64, _ time.Duration, _ int) {
+func (d *free) ListEntry(i int, st brain.SearcherState, _ float64, _ time.Duration, _ int) {
 	for len(d.readers) <= i {
 		d.readers = append(d.readers, brain.Gone)
 	}
@@ -71,7 +71,7 @@
 func (d *free) ListEnd(brain.ListMode)          {}
 func (d *free) Forget(i int)                    { d.readers[i] = brain.Gone }
 func (d *free) Probed(int, time.Duration, bool) {}
-func (d *free) Let([]float64)                   {}
+func (d *free) SetAdmission([]float64)          {}
 
 func (d *free) Scan(id, no uint64, _, _ int, left, _ time.Duration, parts int, _ bool) {
 	s := &fscan{id: id, no: no, nr: len(d.w.scans) - 1, end: d.now + left, expect: parts}
@@ -103,17 +103,17 @@
 	}
 	t := &p.tries[no]
 	t.out = false
-	t.never = out == brain.NoRoom || out == brain.NoRoute || out == brain.Stale
+	t.never = out == brain.Overloaded || out == brain.Unreachable || out == brain.Expired
 	if p.over {
 		return
 	}
-	if out == brain.Pass {
+	if out == brain.Succeeded {
 		p.in = true
 	}
 	d.moment(p.s)
 }
 
-func (d *free) Left(id uint64) {
+func (d *free) ClientLeft(id uint64) {
 	for _, s := range d.scans {
 		if s.id == id {
 			d.finish(s)
--- a/attempt/explore/world.go
+++ b/attempt/explore/world.go
@@ -19,7 +19,7 @@
 	life *attempt.Life
 	ask  func(n int, label func(int) string) int
 	free *free // nil with the real module
-	real *brain.Mixer
+	real *brain.Engine
 
 	now     time.Duration
 	inBatch bool
@@ -84,7 +84,7 @@
 
 // reader is a searcher as the list has it.
 type reader struct {
-	state  brain.Standing
+	state  brain.SearcherState
 	moved  bool          // it came back at another address
 	gone   bool          // once
 	toldAt time.Duration // that it drains or is gone
@@ -133,7 +133,9 @@
 func (x *sent) running() bool { return x.state == begun || x.state == onWire }
 
 // mayHaveRun: it was written whole, and not turned away.
-func (x *sent) mayHaveRun() bool { return x.wrote && (x.state != answered || x.end != brain.NoRoom) }
+func (x *sent) mayHaveRun() bool {
+	return x.wrote && (x.state != answered || x.end != brain.Overloaded)
+}
 
 // mayHaveRun tells that any part of a scan may have run.
 func (w *World) mayHaveRun(s *scan) bool {
@@ -153,7 +155,7 @@
 // begin hands over the list and the scan; its choices are the first of a run.
 func (w *World) begin() {
 	w.open()
-	w.guard(func() { w.list(brain.Whole) })
+	w.guard(func() { w.list(brain.Full) })
 	w.life.Begin()
 	w.submit("x")
 	w.close()
@@ -240,7 +242,7 @@
 // list tells the life what the readers are.
 func (w *World) list(mode brain.ListMode) {
 	w.listed++
-	l := proto.List{Version: w.listed, Whole: mode == brain.Whole}
+	l := proto.List{Version: w.listed, Whole: mode == brain.Full}
 	for i, r := range w.readers {
 		addr := readerName(i)
 		if r.moved {
@@ -290,7 +292,7 @@
 }
 
 func (d watch) Returned(id uint64, no int, out brain.Outcome, took time.Duration) {
-	d.w.returned(id, no, out == brain.NoRoom || out == brain.NoRoute || out == brain.Stale)
+	d.w.returned(id, no, out == brain.Overloaded || out == brain.Unreachable || out == brain.Expired)
 	d.Decider.Returned(id, no, out, took)
 }
 
--- a/attempt/life.go
+++ b/attempt/life.go
@@ -63,18 +63,18 @@
 // Decider is what decides on all that is in hand: the module, or what the explorer puts in its place. It acts through
 // the brain.Actions it was given, within these calls.
 type Decider interface {
-	At(now time.Duration)
+	Advance(now time.Duration)
 	ListBegin(mode brain.ListMode)
-	ListEntry(i int, st brain.Standing, weight float64, started time.Duration, cell int)
+	ListEntry(i int, st brain.SearcherState, weight float64, started time.Duration, cell int)
 	ListEnd(mode brain.ListMode)
 	Scan(id, no uint64, class, tenant int, left, work time.Duration, parts int, repeat bool)
 	Part(id, no uint64, shard int, weight float64)
 	Returned(id uint64, no int, out brain.Outcome, took time.Duration)
-	Left(id uint64)
+	ClientLeft(id uint64)
 	Woke(token uint64)
 	Forget(i int)
 	Probed(i int, ago time.Duration, answered bool)
-	Let(shares []float64)
+	SetAdmission(shares []float64)
 }
 
 // Witness is told what comes and how it ends, for those who share that with other mixers. It is called within a batch, and
@@ -130,8 +130,8 @@
 // Watch has somebody told what comes and how it ends, from now on.
 func (o *Life) Watch(w Witness) { o.sees = w }
 
-// Let hands the module what the fleet as one has room for, see brain.Let.
-func (o *Life) Let(shares []float64) { o.m.Let(shares) }
+// Let hands the module what the fleet as one has room for, see brain.Engine.SetAdmission.
+func (o *Life) Let(shares []float64) { o.m.SetAdmission(shares) }
 
 // Begin starts what is done again and again, once the list last known was handed over.
 func (o *Life) Begin() {
@@ -142,7 +142,7 @@
 // At opens a batch: all till Flush happens at that time. What was known at once in the batch before comes first.
 func (o *Life) At(now time.Duration, guard func(func())) {
 	o.now = now
-	o.m.At(now)
+	o.m.Advance(now)
 	o.ready, o.later = o.later, o.ready[:0]
 	for len(o.ready) > 0 { // a panic in one of them lets go of the rest
 		o.next, o.ready = o.ready[0], o.ready[1:]
@@ -188,7 +188,7 @@
 		}
 	}
 	o.m = o.fresh(o, o.now)
-	o.m.At(o.now)
+	o.m.Advance(o.now)
 	o.relist()
 	o.Begin()
 	if o.stopAt > 0 {
--- a/attempt/route.go
+++ b/attempt/route.go
@@ -133,7 +133,7 @@
 // List hands the module what discovery told.
 func (o *Life) List(mode brain.ListMode, l proto.List) {
 	o.m.ListBegin(mode)
-	if mode == brain.Failed {
+	if mode == brain.Unavailable {
 		o.port.Silent()
 		return
 	}
@@ -207,13 +207,13 @@
 
 // relist tells a module that starts anew what is known.
 func (o *Life) relist() {
-	o.m.ListBegin(brain.Remembered)
+	o.m.ListBegin(brain.Cached)
 	for i, s := range o.fleet.srvs {
 		if s.host.Name != "" {
 			o.entry(i)
 		}
 	}
-	o.m.ListEnd(brain.Remembered)
+	o.m.ListEnd(brain.Cached)
 }
 
 // lane finds a connection with room, or opens one. Where the limits allow no further one, parts wait on the one
@@ -249,8 +249,8 @@
 	}
 }
 
-// Tell is an action of the module. Mixers on sockets have no way to each other but for duties: the settings bar it.
-func (o *Life) Tell([]byte) {}
+// Gossip is an action of the policy. Mixers on sockets have no way to each other but for duties: the settings bar it.
+func (o *Life) Gossip([]byte) {}
 
 // sweep closes connections before the searchers do, which would cost what is being written to them.
 func (o *Life) sweep() {
--- a/attempt/timers.go
+++ b/attempt/timers.go
@@ -35,7 +35,7 @@
 	case wake:
 		o.m.Woke(t.token)
 	case tooSlow:
-		o.giveUp(t.p, int(t.no), brain.TooSlow)
+		o.giveUp(t.p, int(t.no), brain.TimedOut)
 	case tooLate:
 		o.overWindow(t.p, int(t.no))
 	case back:
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -65,91 +65,92 @@
 )
 
 // New returns a policy engine for one routing instance that knows only its settings.
-func New(s Settings, actions Actions, now time.Duration) *Mixer {
-	m := &Mixer{actions: actions, now: now, rng: newRNG(s.Seed, s.Me), byID: map[uint64]int32{},
-		byNumber: map[uint64]int32{}, shardSpan: s.Reach, partsPerCall: max(1, s.PartsPerCall), maxAttempts: max(1, s.MaxTries),
-		mixers: float64(max(1, s.Mixers)), mayHedge: s.SecondCopies, mayCancel: s.MayCancel, mayGossip: s.MayTell,
-		retryAdvice: s.RetryAdvice, granularity: s.Round, maxRetryAfter: s.MaxRetryIn, listInterval: s.AskEvery,
-		warmUp: s.ColdFor, overloadSpan: s.FallSpan, coldShare: s.ColdShare, overloadMultiple: s.FallMultiple,
+func New(s Settings, actions Actions, now time.Duration) *Engine {
+	e := &Engine{actions: actions, now: now, rng: newRNG(s.Seed, s.Instance), byID: map[uint64]int32{}, byNumber: map[uint64]int32{},
+		shardSpan: s.ShardSpan, partsPerCall: max(1, s.PartsPerCall), maxAttempts: max(1, s.MaxAttempts),
+		mixers: float64(max(1, s.Mixers)), mayHedge: s.MayHedge, mayCancel: s.MayCancel, mayGossip: s.MayGossip,
+		retryAdvice: s.RetryAdvice, granularity: s.Granularity, maxRetryAfter: s.MaxRetryAfter, listInterval: s.ListInterval,
+		warmUp: s.WarmUp, overloadSpan: s.OverloadSpan, coldShare: s.ColdShare, overloadMultiple: s.OverloadMultiple,
 		budgeted: s.Budgeted, budgetFree: s.BudgetFree, budgetShare: s.BudgetShare, budgetSpan: s.BudgetSpan,
-		rankByExpectedAnswer: s.Soonest, inFlightAllowance: s.Few, waitToDeadline: s.Patient, budgetAllows: s.Spare}
-	m.Grow(s.Types, s.Cells)
+		rankByExpectedAnswer: s.RankByExpectedAnswer, inFlightAllowance: s.InFlightAllowance,
+		waitToDeadline: s.WaitToDeadline, budgetAllows: s.BudgetAllows}
+	e.AddTypes(s.Types, s.Shards)
 	for _, q := range s.Quotas {
-		m.quotas = append(m.quotas, q/m.mixers)
-		m.quotaBuckets = append(m.quotaBuckets, bucket{level: q, at: now})
+		e.quotas = append(e.quotas, q/e.mixers)
+		e.quotaBuckets = append(e.quotaBuckets, bucket{level: q, at: now})
 	}
-	m.hedgeBudget.level, m.lastTick = hedgeBurst, now
-	if s.AskFor {
+	e.hedgeBudget.level, e.lastTick = hedgeBurst, now
+	if s.Subscribe {
 		actions.Subscribe()
 	}
 	actions.Wake(now+tickInterval, 0)
-	return m
+	return e
 }
 
-// At advances the clock. Earlier times are ignored.
-func (m *Mixer) At(now time.Duration) { m.now = max(m.now, now) }
+// Advance sets the clock. Earlier times are ignored.
+func (e *Engine) Advance(now time.Duration) { e.now = max(e.now, now) }
 
-// ListBegin starts a list update. Except after Failed, ListEntry follows for each entry, then ListEnd.
-func (m *Mixer) ListBegin(mode ListMode) {
-	if mode == Failed {
+// ListBegin starts a list update. Except after Unavailable, ListEntry follows for each entry, then ListEnd.
+func (e *Engine) ListBegin(mode ListMode) {
+	if mode == Unavailable {
 		// An immediate retry would add to the load that keeps the list service from answering.
-		m.subscribeBackoff = min(max(2*m.subscribeBackoff, minSubscribeBackoff), m.listInterval/4)
-		m.subscribeAt = m.now + time.Duration(float64(m.subscribeBackoff)*(0.75+0.5*m.rng.uniform(0)))
+		e.subscribeBackoff = min(max(2*e.subscribeBackoff, minSubscribeBackoff), e.listInterval/4)
+		e.subscribeAt = e.now + time.Duration(float64(e.subscribeBackoff)*(0.75+0.5*e.rng.uniform(0)))
 		return
 	}
-	m.subscribeBackoff = 0
+	e.subscribeBackoff = 0
 	if mode != Changes {
-		for i := range m.searchers {
-			m.searchers[i].listed = false
+		for i := range e.searchers {
+			e.searchers[i].listed = false
 		}
 	}
 }
 
 // ListEntry updates one searcher of the list.
-func (m *Mixer) ListEntry(i int, st Standing, weight float64, started time.Duration, shard int) {
-	for len(m.searchers) <= i {
-		m.searchers = append(m.searchers, m.newSearcher())
+func (e *Engine) ListEntry(i int, state SearcherState, weight float64, started time.Duration, shard int) {
+	for len(e.searchers) <= i {
+		e.searchers = append(e.searchers, e.newSearcher())
 	}
-	s := &m.searchers[i]
-	if s.started != started || (s.state == Gone && st == Ready) {
+	s := &e.searchers[i]
+	if s.started != started || (s.state == Gone && state == Ready) {
 		// The record of an earlier process says nothing about its replacement.
 		s.latency, s.failures, s.ejectedUntil, s.fullUntil, s.unreachable, s.failureRate = ewma{}, 0, 0, 0, false, 0
-		s.coldBudget = bucket{at: m.now, level: m.rng.uniform(0)}
+		s.coldBudget = bucket{at: e.now, level: e.rng.uniform(0)}
 	}
-	s.listed, s.state, s.weight, s.started, s.shard = true, st, weight, started, shard
+	s.listed, s.state, s.weight, s.started, s.shard = true, state, weight, started, shard
 }
 
 // ListEnd completes a list update.
-func (m *Mixer) ListEnd(mode ListMode) {
-	for c := range m.shards {
-		m.shards[c] = m.shards[c][:0]
+func (e *Engine) ListEnd(mode ListMode) {
+	for c := range e.shards {
+		e.shards[c] = e.shards[c][:0]
 	}
-	m.ready, m.meanWeight, m.latencySum, m.latencyCount = 0, 0, 0, 0
-	for i := range m.searchers {
-		s := &m.searchers[i]
-		if (mode == Whole || mode == Remembered) && !s.listed {
+	e.ready, e.meanWeight, e.latencySum, e.latencyCount = 0, 0, 0, 0
+	for i := range e.searchers {
+		s := &e.searchers[i]
+		if (mode == Full || mode == Cached) && !s.listed {
 			s.state = Gone
 		}
-		if s.state == Ready && s.shard >= 0 && s.shard < len(m.shards) {
-			m.shards[s.shard] = append(m.shards[s.shard], int32(i))
-			m.ready++
-			m.meanWeight += (s.weight - m.meanWeight) / float64(m.ready)
+		if s.state == Ready && s.shard >= 0 && s.shard < len(e.shards) {
+			e.shards[s.shard] = append(e.shards[s.shard], int32(i))
+			e.ready++
+			e.meanWeight += (s.weight - e.meanWeight) / float64(e.ready)
 		}
 		if s.state == Ready {
-			m.latencySum += s.latency.value
-			m.latencyCount += boolToInt(s.latency.valid)
+			e.latencySum += s.latency.value
+			e.latencyCount += boolToInt(s.latency.valid)
 		}
 	}
-	m.updateAverageLatency()
+	e.updateAverageLatency()
 }
 
 // Scan starts a scan. Its parts follow with Part.
-func (m *Mixer) Scan(id, number uint64, class, tenant int, left, work time.Duration, parts int, repeat bool) {
-	i := m.scans.alloc()
-	sc := &m.scans.at[i]
-	c := &m.classes[class]
+func (e *Engine) Scan(id, number uint64, class, tenant int, left, work time.Duration, parts int, repeat bool) {
+	i := e.scans.alloc()
+	sc := &e.scans.at[i]
+	c := &e.classes[class]
 	keep := sc.parts[:0]
-	*sc = scan{id: id, number: number, class: int32(class), tenant: int32(tenant), arrivedAt: m.now, expected: parts, parts: keep,
+	*sc = scan{id: id, number: number, class: int32(class), tenant: int32(tenant), arrivedAt: e.now, expected: parts, parts: keep,
 		repeat: repeat, handle: gatherParts}
 	// A client's repeat has used up part of its target time: as much as it has less left than first attempts, if these are
 	// of uniform length and the difference is distinct. Clients that suddenly wait less still get the full benefit.
@@ -163,43 +164,43 @@
 		used = c.timeout - left
 	}
 	target := min(c.timeout, c.target+time.Duration(c.stretch*float64(work)))
-	sc.deadline = m.now + left - 2*m.granularity
-	sc.target = min(sc.deadline, m.now+target-used-3*m.granularity)
-	m.byID[id] = ^i
-	m.byNumber[number] = i
-	m.requests.Add(m.now, m.budgetSpan)
+	sc.deadline = e.now + left - 2*e.granularity
+	sc.target = min(sc.deadline, e.now+target-used-3*e.granularity)
+	e.byID[id] = ^i
+	e.byNumber[number] = i
+	e.requests.Add(e.now, e.budgetSpan)
 	// The scan has its own wake-ups: the tick is too coarse for a scan in which no outcome arrives at these times.
-	token := uint64(m.scans.generations[i])<<32 | uint64(i+1)
-	m.actions.Wake(sc.target, token)
-	m.actions.Wake(sc.deadline, token)
+	token := uint64(e.scans.generations[i])<<32 | uint64(i+1)
+	e.actions.Wake(sc.target, token)
+	e.actions.Wake(sc.deadline, token)
 	if parts <= 0 {
-		m.giveUp(i)
+		e.giveUp(i)
 	}
 }
 
 // Part adds one part to a scan that was started before.
-func (m *Mixer) Part(id, number uint64, shard int, weight float64) {
-	m.requests.Add(m.now, m.budgetSpan)
-	si, ok := m.byNumber[number]
+func (e *Engine) Part(id, number uint64, shard int, weight float64) {
+	e.requests.Add(e.now, e.budgetSpan)
+	si, ok := e.byNumber[number]
 	if !ok {
 		return
 	}
-	pi := m.parts.alloc()
-	p := &m.parts.at[pi]
+	pi := e.parts.alloc()
+	p := &e.parts.at[pi]
 	keep := p.attempts[:0]
-	sc := &m.scans.at[si]
+	sc := &e.scans.at[si]
 	*p = part{id: id, scan: si, class: sc.class, shard: shard, weight: weight, attempts: keep}
-	p.tieBreak = m.tieBreak(p)
-	m.byID[id] = pi
-	sc.handle(m, si, result{part: pi})
+	p.tieBreak = e.tieBreak(p)
+	e.byID[id] = pi
+	sc.handle(e, si, result{part: pi})
 }
 
 // gatherParts waits until all parts of a step have arrived, then admits and sends them.
-func gatherParts(m *Mixer, si int32, r result) {
-	sc := &m.scans.at[si]
+func gatherParts(e *Engine, si int32, r result) {
+	sc := &e.scans.at[si]
 	if r.part < 0 {
-		if m.now >= sc.deadline {
-			m.giveUp(si)
+		if e.now >= sc.deadline {
+			e.giveUp(si)
 		}
 		return
 	}
@@ -207,58 +208,57 @@
 	if len(sc.parts)-sc.firstPart < sc.expected {
 		return
 	}
-	if sc.step > 0 || m.admit(sc) {
-		m.sendParts(si)
+	if sc.step > 0 || e.admit(sc) {
+		e.sendParts(si)
 	} else {
-		m.giveUp(si)
+		e.giveUp(si)
 	}
 }
 
-// Woke handles a wake-up. Token 0 is the periodic tick: it adjusts the shares, hedges late parts and reviews all pending
-// scans. Any other token belongs to one scan.
-func (m *Mixer) Woke(token uint64) {
+// Woke handles a wake-up. Token 0 is the periodic tick: it adjusts the shares and reviews all scans. Others belong to one scan.
+func (e *Engine) Woke(token uint64) {
 	if token != 0 {
-		if i := int32(uint32(token)) - 1; m.scans.isCurrent(i, uint32(token>>32)) {
-			m.scans.at[i].handle(m, i, result{part: -1})
+		if i := int32(uint32(token)) - 1; e.scans.isCurrent(i, uint32(token>>32)) {
+			e.scans.at[i].handle(e, i, result{part: -1})
 		}
 		return
 	}
-	m.actions.Wake(m.now+tickInterval, 0)
-	elapsed := (m.now - m.lastTick).Seconds()
-	m.lastTick = m.now
+	e.actions.Wake(e.now+tickInterval, 0)
+	elapsed := (e.now - e.lastTick).Seconds()
+	e.lastTick = e.now
 	if elapsed > 0 {
 		// The peak rates show what the searchers were recently seen to carry for this mixer; they decay slowly.
-		rate := float64(m.passedSinceTick) / elapsed
-		m.passedTotal += m.passedSinceTick
-		m.recentRate.add(rate, min(1, elapsed/recentRateSpan.Seconds()))
-		m.peakRate = max(m.peakRate*(1-elapsed/peakDecay.Seconds()), m.recentRate.value)
-		m.passRate.add(rate, min(1, elapsed))
-		m.searcherRate.add(rate/float64(max(m.ready, 1)), min(1, elapsed/4))
-		m.peakSearcherRate = max(m.peakSearcherRate*(1-elapsed/peakDecay.Seconds()), m.searcherRate.value)
-		m.passedSinceTick = 0
-		for k := range m.idleLoss {
-			m.idleLoss[k] *= 1 - min(1, elapsed/idleLossDecay.Seconds())
+		rate := float64(e.passedSinceTick) / elapsed
+		e.passedTotal += e.passedSinceTick
+		e.recentRate.add(rate, min(1, elapsed/recentRateSpan.Seconds()))
+		e.peakRate = max(e.peakRate*(1-elapsed/peakDecay.Seconds()), e.recentRate.value)
+		e.passRate.add(rate, min(1, elapsed))
+		e.searcherRate.add(rate/float64(max(e.ready, 1)), min(1, elapsed/4))
+		e.peakSearcherRate = max(e.peakSearcherRate*(1-elapsed/peakDecay.Seconds()), e.searcherRate.value)
+		e.passedSinceTick = 0
+		for k := range e.idleLoss {
+			e.idleLoss[k] *= 1 - min(1, elapsed/idleLossDecay.Seconds())
 		}
-		if m.inFlight == 0 {
+		if e.inFlight == 0 {
 			// Without samples the latency of an old slow period decays, but slowly enough that congestion is remembered
 			// between the scans of a mixer that has few.
-			m.latency.value *= 1 - min(1, elapsed/latencyDecay.Seconds())
-			m.median *= 1 - min(1, elapsed/latencyDecay.Seconds())
+			e.latency.value *= 1 - min(1, elapsed/latencyDecay.Seconds())
+			e.median *= 1 - min(1, elapsed/latencyDecay.Seconds())
 		}
 	}
-	if m.subscribeAt > 0 && m.now >= m.subscribeAt {
-		m.actions.Subscribe()
-		m.subscribeAt = 0
+	if e.subscribeAt > 0 && e.now >= e.subscribeAt {
+		e.actions.Subscribe()
+		e.subscribeAt = 0
 	}
-	loadLatency := m.loadLatency(m.latency.value)
+	loadLatency := e.loadLatency(e.latency.value)
 	lowest := math.Inf(1)
-	for i := range m.classes {
-		if c := &m.classes[i]; c.threshold < c.target.Seconds() {
+	for i := range e.classes {
+		if c := &e.classes[i]; c.threshold < c.target.Seconds() {
 			lowest = min(lowest, c.threshold)
 		}
 	}
-	for i := range m.classes {
-		c := &m.classes[i]
+	for i := range e.classes {
+		c := &e.classes[i]
 		// A threshold that any table type has reached applies to all: otherwise wide scans that are themselves in time would
 		// go on delaying narrow ones.
 		if threshold := min(c.threshold, lowest); loadLatency > threshold {
@@ -268,9 +268,9 @@
 		}
 		c.share = min(1, max(c.share, c.minShare))
 	}
-	for i := range m.scans.at {
-		if m.scans.used[i] {
-			m.reviewScan(int32(i))
+	for i := range e.scans.at {
+		if e.scans.used[i] {
+			e.reviewScan(int32(i))
 		}
 	}
 }
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -23,10 +23,10 @@
 		ts = append(ts, t)
 	}
 	s := settings(ts...)
-	s.Cells = 3 + r.Intn(3)
-	s.SecondCopies, s.RetryAdvice, s.AskFor = r.Intn(2) > 0, r.Intn(2) > 0, r.Intn(2) > 0
+	s.Shards = 3 + r.Intn(3)
+	s.MayHedge, s.RetryAdvice, s.Subscribe = r.Intn(2) > 0, r.Intn(2) > 0, r.Intn(2) > 0
 	s.PartsPerCall = 1 + 3*r.Intn(2)
-	s.MaxTries = 1 + r.Intn(4)
+	s.MaxAttempts = 1 + r.Intn(4)
 	if r.Intn(2) > 0 {
 		s.Budgeted, s.BudgetFree, s.BudgetShare, s.BudgetSpan = true, float64(r.Intn(3)), 0.05, time.Second
 	}
@@ -39,9 +39,9 @@
 	s := &sim.searchers[i]
 	switch sim.random.Intn(7) {
 	case 0:
-		s.outcome = Outcome(sim.random.Intn(int(Undone)))
+		s.outcome = Outcome(sim.random.Intn(int(Cancelled)))
 	case 1:
-		s.outcome, s.speed = Pass, 1
+		s.outcome, s.speed = Succeeded, 1
 	case 2:
 		s.speed = 1 + 20*sim.random.Float64()
 	case 3:
@@ -51,8 +51,8 @@
 	case 5:
 		sim.listSearcher(i, Gone, s.started)
 	case 6:
-		sim.sendList(Whole)
-		sim.mixer.ListBegin(Failed)
+		sim.sendList(Full)
+		sim.engine.ListBegin(Unavailable)
 	}
 }
 
@@ -64,7 +64,7 @@
 		for sim.now < 20*time.Second && sim.violation == "" {
 			sim.run(time.Duration(5+r.Intn(60)) * ms)
 			n := 1 + r.Intn(8)
-			shards, weights := evenParts(n, 2*sim.config.Cells)
+			shards, weights := evenParts(n, 2*sim.config.Shards)
 			if n > 1 && r.Intn(2) > 0 { // one heavy part
 				weights = append([]float64{0.5}, slices.Repeat([]float64{0.5 / float64(n-1)}, n-1)...)
 			}
@@ -75,13 +75,13 @@
 			}
 			if sc := sim.scans[id]; r.Intn(40) == 0 && !sc.ended {
 				sim.endScanParts(sc)
-				sim.mixer.Left(id)
+				sim.engine.ClientLeft(id)
 			}
 		}
 		sim.run(4 * time.Second)
-		if sim.violation == "" && (sim.mixer.inFlight != 0 || len(sim.mixer.byID)+len(sim.mixer.byNumber) != 0) {
-			sim.violate("%d parts in flight, %d records left after the end", sim.mixer.inFlight,
-				len(sim.mixer.byID)+len(sim.mixer.byNumber))
+		if sim.violation == "" && (sim.engine.inFlight != 0 || len(sim.engine.byID)+len(sim.engine.byNumber) != 0) {
+			sim.violate("%d parts in flight, %d records left after the end", sim.engine.inFlight,
+				len(sim.engine.byID)+len(sim.engine.byNumber))
 		}
 		if sim.violation != "" {
 			t.Logf("seed %d: %s", seed, sim.violation)
@@ -114,7 +114,7 @@
 // sendLoad sends scans of n parts at a steady rate.
 func sendLoad(sim *simulation, class, n int, every, during time.Duration) {
 	for end := sim.now + during; sim.now < end && sim.violation == ""; sim.run(every) {
-		shards, weights := evenParts(n, 2*sim.config.Cells)
+		shards, weights := evenParts(n, 2*sim.config.Shards)
 		sim.scan(class, sim.config.Types[class].Timeout, shards, weights)
 	}
 }
@@ -136,17 +136,17 @@
 func TestHeaviestPartsAreSentAndShareFollowsLatency(t *testing.T) {
 	sim := newSimulation(settings(partialTable()), 1, 2)
 	sendLoad(sim, 0, 8, 50*ms, 3*time.Second)
-	if sim.mixer.classes[0].share != 1 {
-		t.Fatalf("share %v without load", sim.mixer.classes[0].share)
+	if sim.engine.classes[0].share != 1 {
+		t.Fatalf("share %v without load", sim.engine.classes[0].share)
 	}
 	sim.setSpeeds(40)
 	sendLoad(sim, 0, 8, 50*ms, 3*time.Second)
-	if narrow := sim.mixer.classes[0].share; narrow > 0.9 || narrow < 0.4 {
+	if narrow := sim.engine.classes[0].share; narrow > 0.9 || narrow < 0.4 {
 		t.Fatalf("share %v under load", narrow)
 	}
 	sim.setSpeeds(1)
 	sim.run(5 * time.Second)
-	sim.mixer.classes[0].share = 0.6
+	sim.engine.classes[0].share = 0.6
 	id := sim.scan(0, time.Second, []int{0, 1, 2, 3}, []float64{0.1, 0.5, 0.15, 0.25})
 	sent := []int{}
 	for i, p := range sim.scans[id].parts {
@@ -158,24 +158,24 @@
 		t.Errorf("sent %v of the parts, not the heaviest 0.6", sent)
 	}
 	sim.run(15 * time.Second)
-	if sim.mixer.classes[0].share < 0.99 {
-		t.Errorf("share %v long after the load ended", sim.mixer.classes[0].share)
+	if sim.engine.classes[0].share < 0.99 {
+		t.Errorf("share %v long after the load ended", sim.engine.classes[0].share)
 	}
 }
 
 func TestReplicaWithLeastLatencyTimesPartsInFlight(t *testing.T) {
 	sim := newSimulation(settings(wholeTable()), 1, 1)
 	for i, latency := range []float64{0.1, 0.25} { // searchers of shards 0 and 1 hold shard 0
-		sim.mixer.searchers[i].latency = ewma{value: latency, valid: true}
+		sim.engine.searchers[i].latency = ewma{value: latency, valid: true}
 	}
-	sim.mixer.ListEnd(Changes)
+	sim.engine.ListEnd(Changes)
 	for i, want := range []int32{0, 0, 1, 0} {
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
-		if got := sim.mixer.parts.at[sim.mixer.byID[sim.scans[id].parts[0]]].attempts[0].searcher; got != want {
+		if got := sim.engine.parts.at[sim.engine.byID[sim.scans[id].parts[0]]].attempts[0].searcher; got != want {
 			t.Errorf("part %d went to %d, not %d", i, got, want)
 		}
 	}
-	if x := sim.mixer.expectedLatency(&sim.mixer.searchers[2]); x != sim.mixer.averageLatency {
+	if x := sim.engine.expectedLatency(&sim.engine.searchers[2]); x != sim.engine.averageLatency {
 		t.Errorf("expected latency of an untested replica is %v, not the average", x)
 	}
 }
@@ -208,7 +208,7 @@
 }
 
 func TestFailingSearcherIsAvoided(t *testing.T) {
-	for _, outcome := range []Outcome{Fault, TooSlow, NoRoute, Cut} {
+	for _, outcome := range []Outcome{Failed, TimedOut, Unreachable, ConnectionLost} {
 		sim := newSimulation(settings(wholeTable()), 1, 2)
 		sendLoad(sim, 0, 4, 50*ms, 2*time.Second)
 		sim.searchers[0].outcome = outcome
@@ -228,9 +228,9 @@
 
 func TestListIsAskedAgainAfterAnError(t *testing.T) {
 	s := settings(wholeTable())
-	s.AskFor = true
+	s.Subscribe = true
 	sim := newSimulation(s, 1, 1)
-	sim.mixer.ListBegin(Failed)
+	sim.engine.ListBegin(Unavailable)
 	sim.run(100 * ms)
 	early := sim.subscribed
 	if sim.run(2 * time.Second); early != 1 || sim.subscribed != 2 {
@@ -241,26 +241,26 @@
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	s := settings(partialTable())
 	actions := &countingActions{}
-	m := New(s, actions, 0)
-	m.ListBegin(Whole)
+	e := New(s, actions, 0)
+	e.ListBegin(Full)
 	for i := range 8 {
-		m.ListEntry(i, Ready, 1, LongAgo, i%4)
+		e.ListEntry(i, Ready, 1, LongAgo, i%4)
 	}
-	m.ListEnd(Whole)
+	e.ListEnd(Full)
 	id, now := uint64(0), time.Duration(0)
 	runScan := func() {
 		now += 100 * ms
-		m.At(now)
+		e.Advance(now)
 		id += 10
-		m.Scan(id, id, 0, -1, time.Second, 0, 5, false)
+		e.Scan(id, id, 0, -1, time.Second, 0, 5, false)
 		for k := range uint64(5) {
-			m.Part(id+1+k, id, int(k), 0.2)
+			e.Part(id+1+k, id, int(k), 0.2)
 		}
-		m.At(now + 30*ms)
+		e.Advance(now + 30*ms)
 		for k := range uint64(5) {
-			m.Returned(id+1+k, 0, Pass, 30*ms)
+			e.Returned(id+1+k, 0, Succeeded, 30*ms)
 		}
-		m.Woke(0)
+		e.Woke(0)
 	}
 	for range 200 {
 		runScan()
@@ -287,7 +287,7 @@
 
 func (s *countingActions) Renew(int) {}
 
-func (s *countingActions) Tell([]byte) {}
+func (s *countingActions) Gossip([]byte) {}
 
 func (s *countingActions) Wake(time.Duration, uint64) {}
 
@@ -316,14 +316,14 @@
 
 // Holders that were full or down for a moment used up a part's attempts at once, which lost the scan.
 func TestLastAttemptWaits(t *testing.T) {
-	for _, outcome := range []Outcome{NoRoom, Fault} {
+	for _, outcome := range []Outcome{Overloaded, Failed} {
 		sim := warmSimulation()
 		sim.setOutcomes(outcome)
 		sim.log = nil
 		sendLoad(sim, 0, 4, 20*ms, 60*ms)
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		sim.run(60 * ms)
-		sim.setOutcomes(Pass)
+		sim.setOutcomes(Succeeded)
 		sim.run(time.Second)
 		if sim.scans[id].answered != 1 {
 			t.Errorf("outcome %d, not completed: %v", outcome, sim.log)
@@ -337,15 +337,15 @@
 		sim := newSimulation(settings(wholeTable()), 1, 2)
 		for i := range sim.searchers {
 			sim.searchers[i].speed = 100
-			sim.mixer.searchers[i].latency = ewma{value: 0.1, valid: true}
+			sim.engine.searchers[i].latency = ewma{value: 0.1, valid: true}
 		}
-		sim.mixer.latency = ewma{value: 0.1, valid: true}
-		sim.mixer.ListEnd(Changes)
+		sim.engine.latency = ewma{value: 0.1, valid: true}
+		sim.engine.ListEnd(Changes)
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
-		used := sim.mixer.parts.at[sim.mixer.byID[sim.scans[id].parts[0]]].attempts[0].searcher
+		used := sim.engine.parts.at[sim.engine.byID[sim.scans[id].parts[0]]].attempts[0].searcher
 		for range 100 { // meanwhile every searcher answers other parts
-			for i := range sim.mixer.searchers {
-				s := &sim.mixer.searchers[i]
+			for i := range sim.engine.searchers {
+				s := &sim.engine.searchers[i]
 				s.quietSince, s.lastAnswer = sim.now, sim.now
 				if int32(i) != used {
 					s.latency.value = other
--- a/brain/checks_test.go
+++ b/brain/checks_test.go
@@ -15,21 +15,22 @@
 	if p.ended || sc.ended {
 		sim.violate("part %d sent after its end", id)
 	}
-	if len(p.attempts) >= sim.config.MaxTries {
+	if len(p.attempts) >= sim.config.MaxAttempts {
 		sim.violate("part %d sent too often", id)
 	}
-	if (s.shard-p.shard%sim.config.Cells+sim.config.Cells)%sim.config.Cells >= sim.config.Reach {
+	if (s.shard-p.shard%sim.config.Shards+sim.config.Shards)%sim.config.Shards >= sim.config.ShardSpan {
 		sim.violate("searcher %d does not hold shard %d", searcher, p.shard)
 	}
 	if s.state != Ready && sim.now > s.unlistedAt {
 		sim.violate("sent to searcher %d that is draining or gone", searcher)
 	}
 	for _, attempt := range p.attempts {
-		mayHaveRun := attempt.inFlight || attempt.outcome != NoRoom && attempt.outcome != NoRoute && attempt.outcome != Stale
-		if attempt.inFlight && !sim.config.SecondCopies {
+		mayHaveRun := attempt.inFlight || attempt.outcome != Overloaded && attempt.outcome != Unreachable && attempt.outcome != Expired
+		if attempt.inFlight && !sim.config.MayHedge {
 			sim.violate("second copy of %d", id)
 		}
-		if mayHaveRun && t.Effect == NonReplayable || mayHaveRun && t.Effect == Keyed && sim.now > attempt.sentAt+t.RepeatWindow {
+		if mayHaveRun && t.Effect == NonIdempotent ||
+			mayHaveRun && t.Effect == IdempotentByKey && sim.now > attempt.sentAt+t.RepeatWindow {
 			sim.violate("part %d may run twice", id)
 		}
 	}
@@ -46,21 +47,21 @@
 	took := time.Duration(float64(20*ms+time.Duration(sim.random.Intn(40))*ms) * s.speed)
 	outcome := s.outcome
 	if sim.randomOutcomes && sim.random.Intn(50) == 0 {
-		outcome = Outcome(sim.random.Intn(int(Stale)))
+		outcome = Outcome(sim.random.Intn(int(Expired)))
 	}
 	if s.dropIdleAfter > 0 && sim.now-s.connUsedAt > s.dropIdleAfter {
-		outcome = TooSlow // and the connection stays dead until it is renewed
+		outcome = TimedOut // and the connection stays dead until it is renewed
 	} else {
 		s.connUsedAt = sim.now
 	}
 	switch outcome {
-	case Fault, NoRoom, Cut:
+	case Failed, Overloaded, ConnectionLost:
 		took = time.Duration(sim.random.Intn(10)) * ms
-	case NoRoute:
+	case Unreachable:
 		took = 250 * ms
 	}
-	if outcome == TooSlow || outcome == Undone || sim.now+took > until {
-		outcome, took = TooSlow, max(0, until-sim.now)
+	if outcome == TimedOut || outcome == Cancelled || sim.now+took > until {
+		outcome, took = TimedOut, max(0, until-sim.now)
 	}
 	sim.after(took, func() { sim.returnAttempt(p, attemptNo, searcher, outcome) })
 }
@@ -80,16 +81,16 @@
 	s.sends = append(s.sends, sim.now)
 	for i := range sim.searchers {
 		if o := &sim.searchers[i]; o.started == LongAgo {
-			sim.peakPasses = max(sim.peakPasses, float64(countWithin(o.passes, sim.now, sim.config.FallSpan)))
+			sim.peakPasses = max(sim.peakPasses, float64(countWithin(o.passes, sim.now, sim.config.OverloadSpan)))
 		}
 	}
 	age := sim.now - s.started
-	if s.started == LongAgo || age > sim.config.ColdFor {
+	if s.started == LongAgo || age > sim.config.WarmUp {
 		return
 	}
-	share := sim.config.ColdShare + (1-sim.config.ColdShare)*age.Seconds()/sim.config.ColdFor.Seconds()
-	most := 3 + sim.config.FallMultiple*share*sim.peakPasses/minUtilization
-	if n := countWithin(s.sends, sim.now, sim.config.FallSpan); float64(n) > most {
+	share := sim.config.ColdShare + (1-sim.config.ColdShare)*age.Seconds()/sim.config.WarmUp.Seconds()
+	most := 3 + sim.config.OverloadMultiple*share*sim.peakPasses/minUtilization
+	if n := countWithin(s.sends, sim.now, sim.config.OverloadSpan); float64(n) > most {
 		sim.violate("cold searcher %d was sent %d", searcher, n)
 	}
 }
@@ -100,13 +101,13 @@
 		return
 	}
 	attempt.inFlight, attempt.outcome = false, outcome
-	if outcome == Pass && !p.ended {
+	if outcome == Succeeded && !p.ended {
 		p.answered = true
 	}
-	if outcome == Pass {
+	if outcome == Succeeded {
 		sim.searchers[searcher].passes = append(sim.searchers[searcher].passes, sim.now)
 	}
-	sim.mixer.Returned(p.id, attemptNo, outcome, sim.now-attempt.sentAt)
+	sim.engine.Returned(p.id, attemptNo, outcome, sim.now-attempt.sentAt)
 }
 
 func (sim *simulation) Cancel(id uint64, attemptNo int) {
@@ -115,7 +116,7 @@
 	if !sim.config.MayCancel {
 		sim.violate("part %d cancelled where that is not allowed", id)
 	}
-	sim.after(sim.config.Round, func() { sim.returnAttempt(p, attemptNo, 0, Undone) })
+	sim.after(sim.config.Granularity, func() { sim.returnAttempt(p, attemptNo, 0, Cancelled) })
 }
 
 func (sim *simulation) endScan(id uint64, what string) *simScan {
@@ -166,7 +167,7 @@
 	if sc.step == 0 && t.SecondStep > 0 {
 		n := min(t.SecondStep, passed)
 		sc.step, sc.whole = 1, whole
-		sim.after(sim.config.Round, func() {
+		sim.after(sim.config.Granularity, func() {
 			if !sc.ended {
 				sim.addParts(id, shards[:n], slices.Repeat([]float64{1 / float64(n)}, n))
 			}
@@ -181,13 +182,13 @@
 	sc.advice = retryAfter
 	for _, p := range sc.parts {
 		for _, attempt := range sim.parts[p].attempts {
-			ran := attempt.inFlight || attempt.outcome != NoRoom && attempt.outcome != NoRoute && attempt.outcome != Stale
-			if ran && sim.config.Types[sc.class].Effect == NonReplayable {
+			ran := attempt.inFlight || attempt.outcome != Overloaded && attempt.outcome != Unreachable && attempt.outcome != Expired
+			if ran && sim.config.Types[sc.class].Effect == NonIdempotent {
 				sim.violate("scan %d throttled though it may have run", id)
 			}
 		}
 	}
-	if retryAfter > sim.config.MaxRetryIn || retryAfter > 0 && !sim.config.RetryAdvice {
+	if retryAfter > sim.config.MaxRetryAfter || retryAfter > 0 && !sim.config.RetryAdvice {
 		sim.violate("advice of %v", retryAfter)
 	}
 	sim.endScanParts(sc)
@@ -196,13 +197,13 @@
 func (sim *simulation) Abandon(id uint64) { sim.endScanParts(sim.endScan(id, "abandon")) }
 
 func (sim *simulation) Wake(at time.Duration, token uint64) {
-	sim.after(max(sim.config.Round, at-sim.now), func() { sim.mixer.Woke(token) })
+	sim.after(max(sim.config.Granularity, at-sim.now), func() { sim.engine.Woke(token) })
 }
 
 func (sim *simulation) Renew(searcher int) { sim.searchers[searcher].connUsedAt = sim.now }
 
-func (sim *simulation) Tell(idleSteps []byte) {
-	if !sim.config.MayTell {
+func (sim *simulation) Gossip(idleSteps []byte) {
+	if !sim.config.MayGossip {
 		sim.violate("reported to other mixers where that is not allowed")
 	}
 	sim.gossip = append(sim.gossip, idleSteps...)
--- a/brain/end.go
+++ b/brain/end.go
@@ -9,42 +9,42 @@
 )
 
 // collectResults handles each outcome of a step, and the passing of time.
-func collectResults(m *Mixer, si int32, r result) {
-	sc := &m.scans.at[si]
+func collectResults(e *Engine, si int32, r result) {
+	sc := &e.scans.at[si]
 	if r.part >= 0 {
-		p := &m.parts.at[r.part]
+		p := &e.parts.at[r.part]
 		switch {
 		case r.passed:
 			p.answered = true
-			m.cancelAttempts(p)
+			e.cancelAttempts(p)
 			sc.answeredWeight += p.weight
 			sc.passed++
 			sc.probing = false // the parts held back are sent with the next tick
-			m.noteMostParts(sc)
+			e.noteMostParts(sc)
 		case p.inFlight > 0:
 			return
 		default:
 			if r.connectionLost {
 				sc.connectionsLost++
-				m.cautiousUntil = m.now + cautiousPeriod
+				e.cautiousUntil = e.now + cautiousPeriod
 			}
-			m.retry(r.part, sc)
+			e.retry(r.part, sc)
 		}
 	}
-	m.settle(si)
+	e.settle(si)
 }
 
 // timeLeft returns for how many seconds an answer to the scan's parts is still useful.
-func (m *Mixer) timeLeft(sc *scan) float64 {
+func (e *Engine) timeLeft(sc *scan) float64 {
 	until := sc.target
-	if m.now >= until || m.classes[sc.class].lateCounts && sc.answeredWeight < m.floor(sc)-epsilon {
+	if e.now >= until || e.classes[sc.class].lateCounts && sc.answeredWeight < e.floor(sc)-epsilon {
 		until = sc.deadline
 	}
-	return (until - m.now).Seconds()
+	return (until - e.now).Seconds()
 }
 
-func (m *Mixer) floor(sc *scan) float64 {
-	c := &m.classes[sc.class]
+func (e *Engine) floor(sc *scan) float64 {
+	c := &e.classes[sc.class]
 	if sc.step > 0 && c.floor >= c.need {
 		return 1
 	}
@@ -52,148 +52,148 @@
 }
 
 // settle ends a step when it is complete, cannot succeed any more, or is out of time.
-func (m *Mixer) settle(si int32) {
-	sc := &m.scans.at[si]
-	c := &m.classes[sc.class]
-	need, floor := max(c.need, float64(sc.step)), m.floor(sc) // a second step needs all its parts
+func (e *Engine) settle(si int32) {
+	sc := &e.scans.at[si]
+	c := &e.classes[sc.class]
+	need, floor := max(c.need, float64(sc.step)), e.floor(sc) // a second step needs all its parts
 	pending := slices.ContainsFunc(sc.parts[sc.firstPart:], func(pi int32) bool {
-		return !m.parts.at[pi].answered && !m.parts.at[pi].lost
+		return !e.parts.at[pi].answered && !e.parts.at[pi].lost
 	})
 	enough := sc.answeredWeight >= floor-epsilon
 	switch {
 	case sc.answeredWeight >= need-epsilon && (sc.step == 0 || !pending):
-		m.completeStep(si, sc.step == 0 || sc.firstStepWhole && sc.passed == sc.expected)
-	case enough && (!pending || m.now >= m.partialDeadline(sc)):
-		m.completeStep(si, false)
-	case !pending, sc.harmful, 1-sc.lostWeight < floor-epsilon, m.now >= sc.deadline,
-		!enough && !c.lateCounts && m.now >= sc.target:
-		m.giveUp(si)
+		e.completeStep(si, sc.step == 0 || sc.firstStepWhole && sc.passed == sc.expected)
+	case enough && (!pending || e.now >= e.partialDeadline(sc)):
+		e.completeStep(si, false)
+	case !pending, sc.harmful, 1-sc.lostWeight < floor-epsilon, e.now >= sc.deadline,
+		!enough && !c.lateCounts && e.now >= sc.target:
+		e.giveUp(si)
 	}
 }
 
 // partialDeadline returns when a scan stops waiting for more than its floor.
-func (m *Mixer) partialDeadline(sc *scan) time.Duration {
-	c, at := &m.classes[sc.class], sc.target
+func (e *Engine) partialDeadline(sc *scan) time.Duration {
+	c, at := &e.classes[sc.class], sc.target
 	if c.leaving > minLeavingShare {
 		at = min(at, sc.arrivedAt+c.patience)
 	}
 	if sc.step == 0 && c.secondStep > 0 {
-		at -= time.Duration(2 * m.latency.value * float64(time.Second))
+		at -= time.Duration(2 * e.latency.value * float64(time.Second))
 	}
 	return at
 }
 
 // noteMostParts records when most parts of a step are answered, or are at failing searchers as long as these are few. Without
 // the latter a few hung searchers would make every scan look late. It can miss the first moments of congestion.
-func (m *Mixer) noteMostParts(sc *scan) {
+func (e *Engine) noteMostParts(sc *scan) {
 	total := float64(len(sc.parts) - sc.firstPart)
 	if sc.mostPartsAt > 0 || sc.step > 0 || float64(sc.passed) < min(minPassedShare*total, max(1, total-1)) {
 		return
 	}
 	answered := sc.passed
 	for _, pi := range sc.parts[sc.firstPart:] {
-		if p := &m.parts.at[pi]; !p.answered && len(p.attempts) > 0 {
-			answered += boolToInt(m.failing(&m.searchers[p.attempts[len(p.attempts)-1].searcher]))
+		if p := &e.parts.at[pi]; !p.answered && len(p.attempts) > 0 {
+			answered += boolToInt(e.failing(&e.searchers[p.attempts[len(p.attempts)-1].searcher]))
 		}
 	}
 	if float64(answered) >= min(mostPartsShare*total, max(1, total-1)) {
-		sc.mostPartsAt = m.now
+		sc.mostPartsAt = e.now
 	}
 }
 
 // timeToMost returns how long most parts of the first step took, or the time so far if they aren't answered yet.
-func (m *Mixer) timeToMost(sc *scan) time.Duration {
-	return cmp.Or(sc.mostPartsAt, m.now) - sc.arrivedAt
+func (e *Engine) timeToMost(sc *scan) time.Duration {
+	return cmp.Or(sc.mostPartsAt, e.now) - sc.arrivedAt
 }
 
 // adjustThreshold moves the threshold. A scan that took much of its target shows at which part latency its class comes near
 // the target; other scans move the threshold back towards the target. Quick scans don't lower it: at low latency a wide scan
 // takes many part latencies from variance alone. The time at which most parts were answered is used because narrowing all
 // scans doesn't help the few that wait for stuck searchers, during a pause or for shards without holders.
-func (m *Mixer) adjustThreshold(sc *scan) {
-	c := &m.classes[sc.class]
+func (e *Engine) adjustThreshold(sc *scan) {
+	c := &e.classes[sc.class]
 	target := c.target.Seconds()
-	if spent := m.timeToMost(sc).Seconds() / target; spent > nearTargetShare {
-		c.threshold -= thresholdGain * max(0, c.threshold-max(minThresholdRatio*m.bestLatency.value,
-			m.latency.value*nearTargetShare/spent))
+	if spent := e.timeToMost(sc).Seconds() / target; spent > nearTargetShare {
+		c.threshold -= thresholdGain * max(0, c.threshold-max(minThresholdRatio*e.bestLatency.value,
+			e.latency.value*nearTargetShare/spent))
 	} else {
 		c.threshold += thresholdRecovery * (target - c.threshold)
 	}
 }
 
-func (m *Mixer) completeStep(si int32, whole bool) {
-	sc := &m.scans.at[si]
-	m.actions.Complete(sc.id, whole)
-	c := &m.classes[sc.class]
-	m.observeClientWait(c, m.now-sc.arrivedAt, false)
+func (e *Engine) completeStep(si int32, whole bool) {
+	sc := &e.scans.at[si]
+	e.actions.Complete(sc.id, whole)
+	c := &e.classes[sc.class]
+	e.observeClientWait(c, e.now-sc.arrivedAt, false)
 	if sc.step == 0 && c.secondStep > 0 {
 		secondParts := min(c.secondStep, sc.passed)
-		sc.firstStepRan = m.mayHaveRun(sc)
+		sc.firstStepRan = e.mayHaveRun(sc)
 		for _, pi := range sc.parts[sc.firstPart:] {
-			m.closePart(pi)
+			e.closePart(pi)
 		}
 		sc.firstPart, sc.step, sc.firstStepWhole = len(sc.parts), 1, whole
 		sc.expected, sc.answeredWeight, sc.lostWeight, sc.passed = secondParts, 0, 0, 0
 		sc.handle = gatherParts
 		return
 	}
-	m.finishScan(si)
+	e.finishScan(si)
 }
 
 // giveUp ends a scan at once without an answer: it throttles where a repeat is provably harmless, and abandons otherwise.
-func (m *Mixer) giveUp(si int32) {
-	sc := &m.scans.at[si]
-	if m.classes[sc.class].effect != Replayable && m.mayHaveRun(sc) {
-		m.actions.Abandon(sc.id)
+func (e *Engine) giveUp(si int32) {
+	sc := &e.scans.at[si]
+	if e.classes[sc.class].effect != Idempotent && e.mayHaveRun(sc) {
+		e.actions.Abandon(sc.id)
 	} else {
 		var retryAfter time.Duration
-		if m.retryAdvice {
-			retryAfter = min(m.maxRetryAfter, time.Duration((0.5+m.rng.uniform(sc.id))*max(m.latency.value, 0.1)*float64(time.Second)))
+		if e.retryAdvice {
+			retryAfter = min(e.maxRetryAfter, time.Duration((0.5+e.rng.uniform(sc.id))*max(e.latency.value, 0.1)*float64(time.Second)))
 			if sc.harmful || sc.metFull {
-				retryAfter = time.Duration((0.5 + 0.5*m.rng.uniform(sc.id)) * float64(m.maxRetryAfter))
+				retryAfter = time.Duration((0.5 + 0.5*e.rng.uniform(sc.id)) * float64(e.maxRetryAfter))
 			}
 		}
-		m.actions.Throttle(sc.id, retryAfter)
+		e.actions.Throttle(sc.id, retryAfter)
 	}
-	m.finishScan(si)
+	e.finishScan(si)
 }
 
 // mayHaveRun reports whether any part sent so far may have run. Without proof of the contrary it may have.
-func (m *Mixer) mayHaveRun(sc *scan) bool {
+func (e *Engine) mayHaveRun(sc *scan) bool {
 	return sc.firstStepRan || slices.ContainsFunc(sc.parts[sc.firstPart:], func(pi int32) bool {
-		_, ran := m.parts.at[pi].firstExposure()
+		_, ran := e.parts.at[pi].firstExposure()
 		return ran
 	})
 }
 
-func (m *Mixer) finishScan(si int32) {
-	sc := &m.scans.at[si]
-	if m.now > sc.arrivedAt && m.median > 0 {
-		m.classes[sc.class].latencyRatio.add(min(maxLatencyRatio, m.timeToMost(sc).Seconds()/m.median), latencyGain)
-		m.adjustThreshold(sc)
+func (e *Engine) finishScan(si int32) {
+	sc := &e.scans.at[si]
+	if e.now > sc.arrivedAt && e.median > 0 {
+		e.classes[sc.class].latencyRatio.add(min(maxLatencyRatio, e.timeToMost(sc).Seconds()/e.median), latencyGain)
+		e.adjustThreshold(sc)
 	}
-	delete(m.byID, sc.id)
-	delete(m.byNumber, sc.number)
+	delete(e.byID, sc.id)
+	delete(e.byNumber, sc.number)
 	for _, pi := range sc.parts[sc.firstPart:] {
-		m.closePart(pi)
+		e.closePart(pi)
 	}
-	m.scans.release(si)
+	e.scans.release(si)
 }
 
 // closePart marks a part as ended. Its slot is kept until its attempts have returned.
-func (m *Mixer) closePart(pi int32) {
-	p := &m.parts.at[pi]
+func (e *Engine) closePart(pi int32) {
+	p := &e.parts.at[pi]
 	p.ended = true
-	m.cancelAttempts(p)
+	e.cancelAttempts(p)
 	if p.inFlight == 0 {
-		delete(m.byID, p.id)
-		m.parts.release(pi)
+		delete(e.byID, p.id)
+		e.parts.release(pi)
 	}
 }
 
 // observeClientWait estimates how long clients wait, from those that left and those that got an answer. A sufficient answer
 // is sent before most would leave: each that leaves wastes the work and repeats its scan. It can cut some scans short.
-func (m *Mixer) observeClientWait(c *class, waited time.Duration, clientLeft bool) {
+func (e *Engine) observeClientWait(c *class, waited time.Duration, clientLeft bool) {
 	if !clientLeft {
 		c.leaving *= 1 - leaveGain/2 // clients answered in time stay, and would otherwise be kept waiting again
 		return
@@ -209,11 +209,11 @@
 	}
 }
 
-// Left reports that the client of a scan has gone.
-func (m *Mixer) Left(id uint64) {
-	if i, ok := m.byID[id]; ok && i < 0 {
-		sc := &m.scans.at[^i]
-		m.observeClientWait(&m.classes[sc.class], m.now-sc.arrivedAt, true)
-		m.finishScan(^i)
+// ClientLeft reports that the client of a scan has gone.
+func (e *Engine) ClientLeft(id uint64) {
+	if i, ok := e.byID[id]; ok && i < 0 {
+		sc := &e.scans.at[^i]
+		e.observeClientWait(&e.classes[sc.class], e.now-sc.arrivedAt, true)
+		e.finishScan(^i)
 	}
 }
--- a/brain/health_test.go
+++ b/brain/health_test.go
@@ -9,7 +9,7 @@
 // A scan sent with exactly its floor was lost with any one of its parts.
 func TestNarrowScanSurvivesLostPart(t *testing.T) {
 	sim := newSimulation(settings(partialTable()), 1, 2)
-	sim.mixer.classes[0].share = 0
+	sim.engine.classes[0].share = 0
 	sim.run(100 * ms) // a tick raises the share to its minimum
 	shards, weights := evenParts(8, 8)
 	id := sim.scan(0, time.Second, shards, weights)
@@ -19,7 +19,7 @@
 			last = p
 		}
 	}
-	sim.mixer.parts.at[sim.mixer.byID[last]].lost = true
+	sim.engine.parts.at[sim.engine.byID[last]].lost = true
 	sim.run(2 * time.Second)
 	if sim.scans[id].answered != 1 {
 		t.Error("not answered")
@@ -42,8 +42,8 @@
 // Every scan used a hot, heavy shard while light ones were omitted.
 func TestUnlikelyHeavyPartIsOmitted(t *testing.T) {
 	sim := newSimulation(settings(partialTable()), 1, 1)
-	for i := range sim.mixer.searchers {
-		sim.mixer.searchers[i].latency = ewma{value: []float64{3, 3, 0.1, 0.1}[i], valid: true}
+	for i := range sim.engine.searchers {
+		sim.engine.searchers[i].latency = ewma{value: []float64{3, 3, 0.1, 0.1}[i], valid: true}
 	}
 	id := sim.scan(0, 2*time.Second, []int{0, 1, 2, 3}, []float64{0.4, 0.2, 0.2, 0.2})
 	for i, p := range sim.scans[id].parts {
@@ -64,11 +64,11 @@
 		sim.log = nil
 		for k := range 80 {
 			for i := range sim.searchers {
-				sim.searchers[i].outcome = []Outcome{Cut, Pass, Pass, Pass, Pass}[(k+i)%5]
+				sim.searchers[i].outcome = []Outcome{ConnectionLost, Succeeded, Succeeded, Succeeded, Succeeded}[(k+i)%5]
 			}
 			sendLoad(sim, 0, 4, 50*ms, 50*ms)
-			for i := range sim.mixer.searchers {
-				ejections += boolToInt(sim.mixer.searchers[i].ejectedUntil > sim.now)
+			for i := range sim.engine.searchers {
+				ejections += boolToInt(sim.engine.searchers[i].ejectedUntil > sim.now)
 			}
 		}
 		sim.run(time.Second)
@@ -83,12 +83,12 @@
 func TestKeyedPartLeavesUnresponsiveSearcher(t *testing.T) {
 	for window, want := range map[time.Duration]int{time.Second: 1, 50 * ms: 0} {
 		s := settings(wholeTable())
-		s.SecondCopies, s.Types[0].Effect, s.Types[0].RepeatWindow = false, Keyed, window
+		s.MayHedge, s.Types[0].Effect, s.Types[0].RepeatWindow = false, IdempotentByKey, window
 		sim := newSimulation(s, 1, 2)
 		sendLoad(sim, 0, 4, 50*ms, time.Second)
-		sim.setOutcomes(TooSlow)
+		sim.setOutcomes(TimedOut)
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
-		sim.setOutcomes(Pass)
+		sim.setOutcomes(Succeeded)
 		sim.run(time.Second)
 		if sim.scans[id].answered != want || sim.violation != "" {
 			t.Errorf("window %v: answered %d times %s", window, sim.scans[id].answered, sim.violation)
@@ -100,17 +100,17 @@
 func TestRecoveredSearchersAreNotOverloaded(t *testing.T) {
 	sim := newSimulation(settings(wholeTable()), 1, 2)
 	sendLoad(sim, 0, 4, 20*ms, time.Second)
-	sim.setOutcomes(NoRoute)
+	sim.setOutcomes(Unreachable)
 	for k := range 150 {
 		sendLoad(sim, 0, 4, 20*ms, 20*ms)
-		for i := range sim.mixer.searchers {
-			if n := sim.mixer.searchers[i].partsInFlight; n > 1 && k > 100 {
+		for i := range sim.engine.searchers {
+			if n := sim.engine.searchers[i].partsInFlight; n > 1 && k > 100 {
 				t.Fatalf("%d parts in flight at an unreachable searcher", n)
 			}
 		}
 	}
 	for i := range sim.searchers {
-		sim.searchers[i].outcome, sim.searchers[i].sends = Pass, nil
+		sim.searchers[i].outcome, sim.searchers[i].sends = Succeeded, nil
 	}
 	sendLoad(sim, 0, 4, 20*ms, 2*time.Second)
 	for i := range sim.searchers {
@@ -123,7 +123,7 @@
 // simulationWithUnreachable returns a warm simulation in which a part failed to reach searcher 0 one second ago.
 func simulationWithUnreachable() *simulation {
 	sim := warmSimulation()
-	sim.searchers[0].outcome = NoRoute
+	sim.searchers[0].outcome = Unreachable
 	for sim.searchers[0].sends = nil; len(sim.searchers[0].sends) == 0; {
 		sendLoad(sim, 0, 8, 20*ms, 20*ms) // until a part is sent to it
 	}
@@ -148,7 +148,7 @@
 // budget, instead of ranking behind the others.
 func TestARestartedSearcherIsNoLongerUnreachable(t *testing.T) {
 	sim := simulationWithUnreachable()
-	sim.searchers[0].outcome = Pass
+	sim.searchers[0].outcome = Succeeded
 	sim.listSearcher(0, Ready, sim.now)
 	sim.searchers[0].sends = nil
 	for range 4 {
@@ -161,8 +161,8 @@
 
 func TestFailingSearcherIsProbedByOnePart(t *testing.T) {
 	sim := newSimulation(settings(wholeTable()), 1, 1)
-	sim.mixer.searchers[0].latency, sim.mixer.searchers[1].latency = ewma{value: 0.01, valid: true}, ewma{value: 0.2, valid: true}
-	sim.mixer.searchers[0].failures = 1
+	sim.engine.searchers[0].latency, sim.engine.searchers[1].latency = ewma{value: 0.01, valid: true}, ewma{value: 0.2, valid: true}
+	sim.engine.searchers[0].failures = 1
 	sim.scan(0, 2*time.Second, []int{0, 0, 0}, []float64{0.4, 0.3, 0.3})
 	if text := strings.Join(sim.log, "\n") + "\n"; strings.Count(text, " 0\n") != 1 {
 		t.Error(text)
@@ -187,13 +187,13 @@
 // A mixer with few scans forgot congestion in the second between two scans and sent the next one in full.
 func TestCongestionIsRememberedBetweenScans(t *testing.T) {
 	sim := newSimulation(settings(partialTable()), 1, 2)
-	sim.mixer.latency, sim.mixer.classes[0].threshold = ewma{value: 0.8, valid: true}, 0.3
+	sim.engine.latency, sim.engine.classes[0].threshold = ewma{value: 0.8, valid: true}, 0.3
 	sim.run(2 * time.Second)
-	if s := sim.mixer.classes[0].share; s > 0.6 || sim.mixer.latency.value < 0.4 {
-		t.Errorf("share %v at a latency of %v", s, sim.mixer.latency.value)
+	if s := sim.engine.classes[0].share; s > 0.6 || sim.engine.latency.value < 0.4 {
+		t.Errorf("share %v at a latency of %v", s, sim.engine.latency.value)
 	}
 	sim.run(30 * time.Second)
-	if s := sim.mixer.classes[0].share; s < 1 {
+	if s := sim.engine.classes[0].share; s < 1 {
 		t.Errorf("share %v long after", s)
 	}
 }
@@ -201,12 +201,12 @@
 // Scans that crash every searcher that starts one of their parts took down three searchers per part.
 func TestScanThatCrashesSearchersEnds(t *testing.T) {
 	sim := warmSimulation()
-	sim.setOutcomes(Cut)
+	sim.setOutcomes(ConnectionLost)
 	sim.log = nil
 	shards, weights := evenParts(4, 8)
 	sim.scan(0, 2*time.Second, shards, weights)
 	sim.run(200 * ms)
-	if n := sim.logged("dispatch"); n > 5 || len(sim.mixer.byNumber) != 0 {
+	if n := sim.logged("dispatch"); n > 5 || len(sim.engine.byNumber) != 0 {
 		t.Errorf("%d dispatches: %v", n, sim.log)
 	}
 }
@@ -215,15 +215,16 @@
 func TestWideScansAreNarrowedWhenOthersAreLate(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		sim := newSimulation(settings(partialTable(), wholeTable()), 1, 2)
-		sim.mixer.latency, sim.mixer.bestLatency, sim.mixer.inFlight = ewma{value: 0.4, valid: true}, ewma{value: 0.05, valid: true}, 1
+		sim.engine.latency, sim.engine.bestLatency, sim.engine.inFlight =
+			ewma{value: 0.4, valid: true}, ewma{value: 0.05, valid: true}, 1
 		if late {
-			sim.mixer.classes[1].threshold = 0.3
+			sim.engine.classes[1].threshold = 0.3
 		}
 		sim.run(time.Second)
-		if s := sim.mixer.classes[0].share; late != (s < 0.8) {
+		if s := sim.engine.classes[0].share; late != (s < 0.8) {
 			t.Errorf("others late: %v, share %v", late, s)
 		}
-		sim.mixer.inFlight = 0
+		sim.engine.inFlight = 0
 	}
 }
 
@@ -232,11 +233,11 @@
 	sim := warmSimulation()
 	shards, weights := evenParts(4, 8)
 	id := sim.scan(0, 2*time.Second, shards, weights)
-	p := sim.mixer.parts.at[sim.mixer.byID[sim.scans[id].parts[3]]]
-	sim.mixer.searchers[p.attempts[0].searcher].ejectedUntil = sim.now + time.Hour
+	p := sim.engine.parts.at[sim.engine.byID[sim.scans[id].parts[3]]]
+	sim.engine.searchers[p.attempts[0].searcher].ejectedUntil = sim.now + time.Hour
 	sim.parts[sim.scans[id].parts[3]].attempts[0].inFlight = false // it never returns
 	sim.run(100 * ms)
-	if sc := &sim.mixer.scans.at[sim.mixer.byNumber[id]]; sc.mostPartsAt == 0 || sc.passed != 3 {
+	if sc := &sim.engine.scans.at[sim.engine.byNumber[id]]; sc.mostPartsAt == 0 || sc.passed != 3 {
 		t.Errorf("%d parts answered, most of them at %v", sc.passed, sc.mostPartsAt)
 	}
 	sim.run(2 * time.Second)
@@ -246,12 +247,12 @@
 func TestUntestedSearchersCarryTheirLossRate(t *testing.T) {
 	sim := newSimulation(settings(wholeTable()), 1, 1)
 	// Searchers of shards 0 and 1 hold shard 0.
-	sim.mixer.searchers[0].latency, sim.mixer.searchers[0].lastAnswer = ewma{value: 0.3, valid: true}, 1
-	sim.mixer.searchers[2].latency = ewma{value: 0.1, valid: true}
-	sim.mixer.ListEnd(Changes)
+	sim.engine.searchers[0].latency, sim.engine.searchers[0].lastAnswer = ewma{value: 0.3, valid: true}, 1
+	sim.engine.searchers[2].latency = ewma{value: 0.1, valid: true}
+	sim.engine.ListEnd(Changes)
 	for lost, want := range map[float64]int32{0: 1, 0.8: 0} {
-		sim.mixer.untestedLoss.value = lost
-		if got := sim.mixer.pickSearcher(&part{shard: 0}, 1); got != want {
+		sim.engine.untestedLoss.value = lost
+		if got := sim.engine.pickSearcher(&part{shard: 0}, 1); got != want {
 			t.Errorf("loss %v at untested searchers: sent to %d", lost, got)
 		}
 	}
@@ -261,11 +262,11 @@
 func TestHedgesThatAnswerFirstEarnFurtherOnes(t *testing.T) {
 	sim := newSimulation(settings(wholeTable()), 1, 2)
 	sendLoad(sim, 0, 4, 50*ms, time.Second)
-	sim.mixer.hedgeBudget.level = 2
-	sim.setOutcomes(TooSlow)
+	sim.engine.hedgeBudget.level = 2
+	sim.setOutcomes(TimedOut)
 	shards, weights := evenParts(4, 8)
 	sim.scan(0, 2*time.Second, shards, weights)
-	sim.setOutcomes(Pass)
+	sim.setOutcomes(Succeeded)
 	sim.run(900 * ms)
 	if n := len(sim.retries); n < 4 {
 		t.Errorf("%d hedges for four lost parts", n)
@@ -279,14 +280,14 @@
 	for k := range s.Mixers {
 		s.Seed = uint64(k)
 		sim := newSimulation(s, int64(k), 1)
-		sim.mixer.latency, sim.mixer.bestLatency = ewma{value: 0.2, valid: true}, ewma{value: 0.2, valid: true}
+		sim.engine.latency, sim.engine.bestLatency = ewma{value: 0.2, valid: true}, ewma{value: 0.2, valid: true}
 		sim.listSearcher(0, Ready, sim.now)
-		sim.run(time.Duration(sim.random.Int63n(int64(s.FallSpan))))
+		sim.run(time.Duration(sim.random.Int63n(int64(s.OverloadSpan))))
 		sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		sent += len(sim.searchers[0].sends)
 	}
 	// The capacity of one core at 0.2 s per part and the initial cold share, in one span, times the overload multiple.
-	if most := s.FallMultiple * s.ColdShare * s.FallSpan.Seconds() / 0.2 * 2; float64(sent) > most {
+	if most := s.OverloadMultiple * s.ColdShare * s.OverloadSpan.Seconds() / 0.2 * 2; float64(sent) > most {
 		t.Errorf("%d parts in one span, %.0f for two cores", sent, most)
 	}
 }
@@ -294,16 +295,17 @@
 // A scan of a hundred parts that crashes searchers took down the whole fleet, and again when its client repeated it.
 func TestRepeatsStartWithOnePartWhileConnectionsBreak(t *testing.T) {
 	sim := warmSimulation()
-	sim.mixer.cautiousUntil = sim.now + time.Second
+	sim.engine.cautiousUntil = sim.now + time.Second
 	shards, weights := evenParts(4, 8)
-	for _, outcome := range []Outcome{Cut, Pass} {
+	for _, outcome := range []Outcome{ConnectionLost, Succeeded} {
 		sim.setOutcomes(outcome)
 		sim.log = nil
 		id := sim.scanOf(0, -1, 2*time.Second, shards, weights, true)
 		first := len(sim.log)
 		sim.run(500 * ms)
 		n := sim.logged("dispatch")
-		if sc := sim.scans[id]; first != 1 || !sc.ended || outcome == Cut && n != 2 || outcome == Pass && sc.answered != 1 {
+		if sc := sim.scans[id]; first != 1 || !sc.ended ||
+			outcome == ConnectionLost && n != 2 || outcome == Succeeded && sc.answered != 1 {
 			t.Errorf("outcome %d: %d at once, %d in all: %v", outcome, first, n, sim.log)
 		}
 	}
@@ -318,12 +320,12 @@
 		want     bool
 	}{{0.01, 600, true}, {0.01, 700, false}, {0.3, 300, true}, {0.4, 300, false}} {
 		sim := warmSimulation()
-		m := sim.mixer
-		m.passedTotal, m.peakRate, m.passRate.value, m.peakSearcherRate, m.inFlight = minPassesForPeak, 1000, 100, 0.01, c.inFlight
-		m.median, m.classes[0].latencyRatio.value = c.latency, 3
+		e := sim.engine
+		e.passedTotal, e.peakRate, e.passRate.value, e.peakSearcherRate, e.inFlight = minPassesForPeak, 1000, 100, 0.01, c.inFlight
+		e.median, e.classes[0].latencyRatio.value = c.latency, 3
 		shards, weights := evenParts(4, 8)
 		id := sim.scan(0, 2*time.Second, shards, weights)
-		if _, admitted := sim.mixer.byNumber[id]; admitted != c.want {
+		if _, admitted := sim.engine.byNumber[id]; admitted != c.want {
 			t.Errorf("latency %v, %d in flight: admitted %v", c.latency, c.inFlight, admitted)
 		}
 	}
--- a/brain/pick.go
+++ b/brain/pick.go
@@ -11,27 +11,27 @@
 
 // unlikelyInTime reports whether no holder of a part's shard is expected to answer in time, or there is no holder. Such a part
 // of a hot, heavy shard is omitted in spite of its weight if the rest stays above the minimum share.
-func (m *Mixer) unlikelyInTime(p *part, sc *scan) bool {
-	best := m.pickSearcher(p, 1)
-	return m.noHolder(p) || best >= 0 && m.expectedLatency(&m.searchers[best]) > (m.partialDeadline(sc)-m.now).Seconds()
+func (e *Engine) unlikelyInTime(p *part, sc *scan) bool {
+	best := e.pickSearcher(p, 1)
+	return e.noHolder(p) || best >= 0 && e.expectedLatency(&e.searchers[best]) > (e.partialDeadline(sc)-e.now).Seconds()
 }
 
 // tieBreak orders parts of equal weight: at random or, if configured, by the best searcher's expected answer time.
-func (m *Mixer) tieBreak(p *part) float64 {
-	if m.rankByExpectedAnswer {
-		if i := m.pickSearcher(p, 1); i >= 0 {
-			return m.expectedLatency(&m.searchers[i]) * float64(m.searchers[i].callsInFlight+1)
+func (e *Engine) tieBreak(p *part) float64 {
+	if e.rankByExpectedAnswer {
+		if i := e.pickSearcher(p, 1); i >= 0 {
+			return e.expectedLatency(&e.searchers[i]) * float64(e.searchers[i].callsInFlight+1)
 		}
 	}
-	return m.rng.uniform(p.id)
+	return e.rng.uniform(p.id)
 }
 
 // allHoldersFull reports whether every holder of a part's shard has been refusing parts as full for a while, so that the
 // client should retry later; at first a part waits. It can give up just as a holder gets capacity.
-func (m *Mixer) allHoldersFull(p *part) bool {
+func (e *Engine) allHoldersFull(p *part) bool {
 	found := false
-	for i := range m.holders(p.shard) {
-		if s := &m.searchers[i]; m.now >= s.fullUntil || m.now-s.fullSince < minEjection {
+	for i := range e.holders(p.shard) {
+		if s := &e.searchers[i]; e.now >= s.fullUntil || e.now-s.fullSince < minEjection {
 			return false
 		}
 		found = true
@@ -40,129 +40,129 @@
 }
 
 // idleStep returns the doubling step of the time for which a searcher's connection has been idle; 0 means new or in use.
-func (m *Mixer) idleStep(s *searcher) int {
+func (e *Engine) idleStep(s *searcher) int {
 	if s.lastUsed == LongAgo {
 		return 0
 	}
-	return min(len(m.idleLoss)-1, bits.Len64(uint64((m.now-s.lastUsed)/idleUnit)))
+	return min(len(e.idleLoss)-1, bits.Len64(uint64((e.now-s.lastUsed)/idleUnit)))
 }
 
 // losesIdle reports whether parts sent on connections idle for this step or a shorter one were recently lost. Connections
 // silently dropped while idle show as silence or resets at healthy searchers: the loss depends on the idle time and ends with a
 // new connection. Under congestion connections may be opened without need, at the cost of a handshake each.
-func (m *Mixer) losesIdle(step int) bool {
-	return slices.ContainsFunc(m.idleLoss[1:step+1], func(lost float64) bool { return lost > maxIdleLoss })
+func (e *Engine) losesIdle(step int) bool {
+	return slices.ContainsFunc(e.idleLoss[1:step+1], func(lost float64) bool { return lost > maxIdleLoss })
 }
 
-// Heard handles another mixer's report that it loses parts on connections idle for the given steps, so that not each of many
-// mixers has to lose a scan to find out. Several mixers must agree within seconds, since a single one may be partitioned or
+// ReceiveGossip handles another mixer's report that it loses parts on connections idle for the given steps, so that not each
+// of many mixers has to lose a scan to find out. Several mixers must agree within seconds, since a single one may be partitioned or
 // mistake hung searchers for it. The loss decays like a measured one. It can cost unnecessary handshakes.
-func (m *Mixer) Heard(from int, gossip []byte) {
+func (e *Engine) ReceiveGossip(from int, gossip []byte) {
 	for _, n := range gossip {
-		if n == 0 || int(n) >= len(m.idleLoss) {
+		if n == 0 || int(n) >= len(e.idleLoss) {
 			continue
 		}
-		report := &m.idleReports[n]
-		if m.now-report.lastAt > reportLifetime {
+		report := &e.idleReports[n]
+		if e.now-report.lastAt > reportLifetime {
 			report.reporters = 0
 		}
 		if report.reporters == 0 || report.lastFrom != from {
 			report.reporters++
 		}
-		if report.lastFrom, report.lastAt = from, m.now; report.reporters >= minReporters {
-			m.idleLoss[n] = max(m.idleLoss[n], maxIdleLoss+idleLossGain)
+		if report.lastFrom, report.lastAt = from, e.now; report.reporters >= minReporters {
+			e.idleLoss[n] = max(e.idleLoss[n], maxIdleLoss+idleLossGain)
 		}
 	}
 }
 
 // partsPerCallFor returns how many parts of a scan may share a call before the call counts as a further one.
-func (m *Mixer) partsPerCallFor(sc *scan) int {
+func (e *Engine) partsPerCallFor(sc *scan) int {
 	n := 0
-	m.holderCount++
+	e.holderCount++
 	for _, pi := range sc.parts[sc.firstPart:] {
-		for i := range m.holders(m.parts.at[pi].shard) {
-			n += boolToInt(m.searchers[i].countedIn != m.holderCount)
-			m.searchers[i].countedIn = m.holderCount
+		for i := range e.holders(e.parts.at[pi].shard) {
+			n += boolToInt(e.searchers[i].countedIn != e.holderCount)
+			e.searchers[i].countedIn = e.holderCount
 		}
 	}
-	return min(m.partsPerCall, (len(sc.parts)-sc.firstPart+max(n, 1)-1)/max(n, 1))
+	return min(e.partsPerCall, (len(sc.parts)-sc.firstPart+max(n, 1)-1)/max(n, 1))
 }
 
 // coldBudgetAllows protects a searcher that has just started from overload: what this mixer sends it in any overload span
 // stays within the mixer's share of its capacity, estimated from what others of its size were seen to carry for this mixer and
 // from their utilization. Too small a budget does harm as well, since a release then leaves few other searchers.
-func (m *Mixer) coldBudgetAllows(s *searcher) bool {
+func (e *Engine) coldBudgetAllows(s *searcher) bool {
 	start := max(s.started, s.reachableSince)
-	if start == LongAgo || m.now-start >= m.warmUp+m.overloadSpan {
+	if start == LongAgo || e.now-start >= e.warmUp+e.overloadSpan {
 		return true
 	}
-	span := m.overloadSpan.Seconds()
-	age := max(0, m.now-start-m.overloadSpan) // uses the capacity at the start of the span, its minimum
-	capacityShare := m.coldShare + (1-m.coldShare)*min(1, float64(age)/float64(m.warmUp))
+	span := e.overloadSpan.Seconds()
+	age := max(0, e.now-start-e.overloadSpan) // uses the capacity at the start of the span, its minimum
+	capacityShare := e.coldShare + (1-e.coldShare)*min(1, float64(age)/float64(e.warmUp))
 	// The others run at some fraction of their capacity, estimated from their latency relative to the best one.
-	utilization := math.Sqrt(max(minUtilization*minUtilization, 1-m.bestLatency.value/max(m.latency.value, 1e-3)))
-	capacity := max(m.peakSearcherRate, m.searcherRate.value/utilization) * min(1, s.weight/max(m.meanWeight, epsilon))
+	utilization := math.Sqrt(max(minUtilization*minUtilization, 1-e.bestLatency.value/max(e.latency.value, 1e-3)))
+	capacity := max(e.peakSearcherRate, e.searcherRate.value/utilization) * min(1, s.weight/max(e.meanWeight, epsilon))
 	// A mixer with few samples assumes its share of a core rather than a minimum number of parts: over many mixers such
 	// minimums add up to more than the searcher can take. The random initial levels spread their starts.
-	work := m.minTarget.Seconds()
-	if m.bestLatency.valid {
-		work = max(m.latency.value, m.bestLatency.value)
+	work := e.minTarget.Seconds()
+	if e.bestLatency.valid {
+		work = max(e.latency.value, e.bestLatency.value)
 	}
-	budget := m.overloadMultiple * capacityShare * max(capacity, assumedCoreShare/(work*m.mixers)) * span
-	return s.coldBudget.refill(m.now, coldSteadyShare*budget/span, max(1, (1-coldSteadyShare)*budget)) >= 1
+	budget := e.overloadMultiple * capacityShare * max(capacity, assumedCoreShare/(work*e.mixers)) * span
+	return s.coldBudget.refill(e.now, coldSteadyShare*budget/span, max(1, (1-coldSteadyShare)*budget)) >= 1
 }
 
 // expectedLatency returns a searcher's latency as used by the replica rule.
-func (m *Mixer) expectedLatency(s *searcher) float64 {
+func (e *Engine) expectedLatency(s *searcher) float64 {
 	// Searchers without an answer count as average, times the attempts that such ones recently needed. Otherwise each of
 	// many mixers would have to discover the failing ones by itself. It can crowd the few that have answered.
-	latency := m.averageLatency / (1 - min(m.untestedLoss.value, maxUntestedLoss))
+	latency := e.averageLatency / (1 - min(e.untestedLoss.value, maxUntestedLoss))
 	if s.latency.valid {
 		// Old samples decay, otherwise a searcher that was slow once would never be used again.
-		quiet := float64(m.now - s.lastAnswer)
+		quiet := float64(e.now - s.lastAnswer)
 		latency += (s.latency.value - latency) * float64(latencyDecay) / (quiet + float64(latencyDecay))
 	}
 	if s.partsInFlight > 0 {
-		latency = max(latency, (m.now - s.quietSince).Seconds())
+		latency = max(latency, (e.now - s.quietSince).Seconds())
 	}
 	return max(latency, 1e-3)
 }
 
 // expectedAttempts estimates the attempts that a part needs at a searcher, from its recent failures. It covers searchers that
 // fail some parts quickly, or are unresponsive at times, and look healthy in between. It can crowd their neighbours.
-func (m *Mixer) expectedAttempts(s *searcher) float64 {
-	return 1 / (1 - s.failureRate*float64(failureRateDecay)/float64(m.now-s.lastFailure+failureRateDecay))
+func (e *Engine) expectedAttempts(s *searcher) float64 {
+	return 1 / (1 - s.failureRate*float64(failureRateDecay)/float64(e.now-s.lastFailure+failureRateDecay))
 }
 
 // stuck reports whether a searcher accepts parts but answers none.
-func (m *Mixer) stuck(s *searcher) bool { return s.partsInFlight > 0 && m.tooQuiet(m.now-s.quietSince) }
+func (e *Engine) stuck(s *searcher) bool { return s.partsInFlight > 0 && e.overdue(e.now-s.quietSince) }
 
-// tooQuiet reports whether a time without an answer is longer than a part normally takes.
-func (m *Mixer) tooQuiet(quiet time.Duration) bool {
-	return m.latency.valid && quiet.Seconds() > unresponsiveRatio*m.latency.value+lateDeviations*m.deviation.value
+// overdue reports whether a time without an answer is longer than a part normally takes.
+func (e *Engine) overdue(quiet time.Duration) bool {
+	return e.latency.valid && quiet.Seconds() > unresponsiveRatio*e.latency.value+lateDeviations*e.deviation.value
 }
 
 // failing reports whether a searcher is ejected after failures (one part at a time may probe it) or stuck. An unreachable
 // searcher ranks behind healthy holders until a list could have reported it, since a mixer with few scans would otherwise risk
 // the connect timeout in each of them. This can leave a recovered searcher unused while others are healthy.
-func (m *Mixer) failing(s *searcher) bool {
-	return m.now < s.ejectedUntil || s.failures > 0 && s.partsInFlight > 0 || m.stuck(s) ||
-		s.unreachable && m.now-s.lastFailure < m.listInterval
+func (e *Engine) failing(s *searcher) bool {
+	return e.now < s.ejectedUntil || s.failures > 0 && s.partsInFlight > 0 || e.stuck(s) ||
+		s.unreachable && e.now-s.lastFailure < e.listInterval
 }
 
 // pickSearcher applies the replica rule to the shard's holders: healthy ones come first, already attempted ones last. It
 // returns -1 if no holder can take the part now.
-func (m *Mixer) pickSearcher(p *part, maxParts int) int32 {
+func (e *Engine) pickSearcher(p *part, maxParts int) int32 {
 	best, bestRank, bestCost := int32(-1), 9, 0.0
-	for i := range m.holders(p.shard) {
-		s := &m.searchers[i]
+	for i := range e.holders(p.shard) {
+		s := &e.searchers[i]
 		// An unreachable searcher gets one part at a time even if there is no other holder: the other parts keep their
 		// attempts, and it isn't met by all of them at the moment it recovers.
-		if m.now < s.fullUntil || s.unreachable && s.partsInFlight > 0 || !m.coldBudgetAllows(s) {
+		if e.now < s.fullUntil || s.unreachable && s.partsInFlight > 0 || !e.coldBudgetAllows(s) {
 			continue
 		}
 		rank := 0
-		if m.failing(s) {
+		if e.failing(s) {
 			rank = 1
 		}
 		for t := range p.attempts {
@@ -174,10 +174,10 @@
 			}
 		}
 		queue := float64(s.callsInFlight + 1)
-		if m.joinsCall(s, maxParts) {
+		if e.joinsCall(s, maxParts) {
 			queue--
 		}
-		cost := m.preferLocal(s, m.expectedLatency(s)*m.expectedAttempts(s)*queue/m.classes[p.class].target.Seconds())
+		cost := e.preferLocal(s, e.expectedLatency(s)*e.expectedAttempts(s)*queue/e.classes[p.class].target.Seconds())
 		if rank < bestRank || (rank == bestRank && cost < bestCost) {
 			best, bestRank, bestCost = i, rank, cost
 		}
@@ -187,13 +187,13 @@
 
 // preferLocal ranks a nearby holder first while its cost is a small fraction of the target: traffic between zones is slow and
 // expensive, and of no help until the near holder is crowded. It can fill near holders before distant ones are used.
-func (m *Mixer) preferLocal(s *searcher, cost float64) float64 {
+func (e *Engine) preferLocal(s *searcher, cost float64) float64 {
 	if cost > localCostLimit {
 		return maxDistance + cost
 	}
 	return float64(s.distance) + cost
 }
 
-func (m *Mixer) joinsCall(s *searcher, maxParts int) bool {
-	return s.openCall >= 0 && s.openCallAt == m.now && m.calls.at[s.openCall].total < maxParts
+func (e *Engine) joinsCall(s *searcher, maxParts int) bool {
+	return s.openCall >= 0 && s.openCallAt == e.now && e.calls.at[s.openCall].total < maxParts
 }
--- a/brain/simulation_test.go
+++ b/brain/simulation_test.go
@@ -13,7 +13,7 @@
 // simulation simulates searchers with injected faults and checks the six rules that a policy must keep.
 type simulation struct {
 	config         Settings
-	mixer          *Mixer
+	engine         *Engine
 	random         *rand.Rand
 	now            time.Duration
 	pending        []event
@@ -37,7 +37,7 @@
 }
 
 type simSearcher struct {
-	state         Standing
+	state         SearcherState
 	unlistedAt    time.Duration
 	shard         int
 	started       time.Duration
@@ -84,10 +84,10 @@
 }
 
 func settings(types ...TableType) Settings {
-	return Settings{Seed: 7, Mixers: 1, Types: types, Cells: 4, Reach: 2, PartsPerCall: 1, MaxTries: 3,
-		SecondCopies: true, MayCancel: true, RetryAdvice: true, MaxRetryIn: time.Second, Round: 5 * ms,
-		AskEvery: 10 * time.Second, ColdFor: 10 * time.Second, FallSpan: 2 * time.Second,
-		ColdShare: 0.2, FallMultiple: 3}
+	return Settings{Seed: 7, Mixers: 1, Types: types, Shards: 4, ShardSpan: 2, PartsPerCall: 1, MaxAttempts: 3,
+		MayHedge: true, MayCancel: true, RetryAdvice: true, MaxRetryAfter: time.Second, Granularity: 5 * ms,
+		ListInterval: 10 * time.Second, WarmUp: 10 * time.Second, OverloadSpan: 2 * time.Second,
+		ColdShare: 0.2, OverloadMultiple: 3}
 }
 
 func wholeTable() TableType {
@@ -98,42 +98,42 @@
 func newSimulation(config Settings, seed int64, perCell int) *simulation {
 	sim := &simulation{config: config, random: rand.New(rand.NewSource(seed)), scans: map[uint64]*simScan{},
 		parts: map[uint64]*simPart{}}
-	sim.mixer = New(config, sim, 0)
-	for i := range config.Cells * perCell {
-		sim.searchers = append(sim.searchers, simSearcher{shard: i % config.Cells, started: LongAgo, speed: 1, outcome: Pass})
+	sim.engine = New(config, sim, 0)
+	for i := range config.Shards * perCell {
+		sim.searchers = append(sim.searchers, simSearcher{shard: i % config.Shards, started: LongAgo, speed: 1, outcome: Succeeded})
 	}
-	sim.sendList(Remembered)
+	sim.sendList(Cached)
 	return sim
 }
 
 func (sim *simulation) sendList(mode ListMode) {
-	sim.mixer.ListBegin(mode)
+	sim.engine.ListBegin(mode)
 	for i := range sim.searchers {
 		s := &sim.searchers[i]
-		sim.mixer.ListEntry(i, s.state, 1, s.started, s.shard)
+		sim.engine.ListEntry(i, s.state, 1, s.started, s.shard)
 	}
-	sim.mixer.ListEnd(mode)
+	sim.engine.ListEnd(mode)
 }
 
-func (sim *simulation) listSearcher(i int, st Standing, start time.Duration) {
+func (sim *simulation) listSearcher(i int, state SearcherState, start time.Duration) {
 	s := &sim.searchers[i]
-	if s.state == Ready && st != Ready {
+	if s.state == Ready && state != Ready {
 		s.unlistedAt = sim.now
 	}
 	if start != s.started {
 		s.sends = nil
 	}
-	s.state, s.started = st, start
-	sim.mixer.ListBegin(Changes)
-	sim.mixer.ListEntry(i, st, 1, start, s.shard)
-	sim.mixer.ListEnd(Changes)
+	s.state, s.started = state, start
+	sim.engine.ListBegin(Changes)
+	sim.engine.ListEntry(i, state, 1, start, s.shard)
+	sim.engine.ListEnd(Changes)
 }
 
 // run advances time in steps of the granularity (5 ms).
 func (sim *simulation) run(d time.Duration) {
 	for until := sim.now + d; sim.now < until && sim.violation == ""; {
-		sim.now += sim.config.Round
-		sim.mixer.At(sim.now)
+		sim.now += sim.config.Granularity
+		sim.engine.Advance(sim.now)
 		for i := 0; i < len(sim.pending); i++ {
 			if sim.pending[i].at <= sim.now {
 				do := sim.pending[i].run
@@ -159,7 +159,7 @@
 	id := sim.ids
 	sim.scans[id] = &simScan{class: class, deadline: sim.now + left}
 	sim.requests = append(sim.requests, sim.now)
-	sim.mixer.Scan(id, id, class, tenant, left, 0, len(shards), repeat)
+	sim.engine.Scan(id, id, class, tenant, left, 0, len(shards), repeat)
 	sim.addParts(id, shards, weights)
 	return id
 }
@@ -191,7 +191,7 @@
 	}
 	for _, p := range sc.parts[len(sc.parts)-len(shards):] {
 		sim.requests = append(sim.requests, sim.now)
-		sim.mixer.Part(p, id, sim.parts[p].shard, sim.parts[p].weight)
+		sim.engine.Part(p, id, sim.parts[p].shard, sim.parts[p].weight)
 	}
 }
 
--- a/brain/state.go
+++ b/brain/state.go
@@ -29,7 +29,7 @@
 }
 
 type searcher struct {
-	state          Standing
+	state          SearcherState
 	shard          int
 	weight         float64
 	started        time.Duration
@@ -124,10 +124,10 @@
 	connectionLost bool
 }
 
-type stepHandler func(m *Mixer, si int32, r result)
+type stepHandler func(e *Engine, si int32, r result)
 
-// Mixer is the dispatch policy of one routing instance: pending scans, statistics, and values derived from its settings.
-type Mixer struct {
+// Engine is the dispatch policy of one routing instance: pending scans, statistics, and values derived from its settings.
+type Engine struct {
 	actions          Actions
 	now              time.Duration
 	rng              rng
@@ -180,62 +180,62 @@
 	budgetSpan                                            time.Duration
 	quotas                                                []float64
 	quotaBuckets                                          []bucket
-	admission                                             []float64 // see Let; empty if the fleet has set none
+	admission                                             []float64 // see SetAdmission; empty if the fleet has set none
 	rankByExpectedAnswer                                  bool
 	inFlightAllowance                                     float64
 	waitToDeadline                                        bool
 	budgetAllows                                          func(shard int, until time.Duration) bool
 }
 
-// Grow adds table types and shards to those of the settings, for a configuration that changes while the process runs. State is
-// kept. It returns the index of the first new type.
-func (m *Mixer) Grow(types []TableType, shards int) int {
-	first := len(m.classes)
+// AddTypes adds table types and shards to those of the settings, for a configuration that changes while the process runs. State
+// is kept. It returns the index of the first new type.
+func (e *Engine) AddTypes(types []TableType, shards int) int {
+	first := len(e.classes)
 	for _, t := range types {
-		m.minTarget = min(cmp.Or(m.minTarget, t.Target), t.Target)
-		m.classes = append(m.classes, class{target: t.Target, timeout: t.Timeout, repeatWindow: t.RepeatWindow,
+		e.minTarget = min(cmp.Or(e.minTarget, t.Target), t.Target)
+		e.classes = append(e.classes, class{target: t.Target, timeout: t.Timeout, repeatWindow: t.RepeatWindow,
 			stretch: t.Stretch, benefit: max(t.Benefit, epsilon), lateCounts: t.LateShare > 0, effect: t.Effect, need: t.Need,
 			floor: t.Floor, minShare: t.Floor + minShareMargin*(t.Need-t.Floor), secondStep: t.SecondStep,
-			threshold: t.Target.Seconds(), share: 1, maxAttempts: max(1, cmp.Or(t.Tries, m.maxAttempts))})
+			threshold: t.Target.Seconds(), share: 1, maxAttempts: max(1, cmp.Or(t.MaxAttempts, e.maxAttempts))})
 	}
-	m.shards = append(m.shards, make([][]int32, shards)...)
+	e.shards = append(e.shards, make([][]int32, shards)...)
 	return first
 }
 
-// Let sets the share of each kind of scan that the fleet as a whole has capacity for: by table type, and within each by
+// SetAdmission sets the share of each kind of scan that the fleet as a whole has capacity for: by table type, and within each by
 // tenant, preceded by the share of scans without a tenant. An empty slice, or shares of 1, admit everything.
-func (m *Mixer) Let(shares []float64) { m.admission = shares }
+func (e *Engine) SetAdmission(shares []float64) { e.admission = shares }
 
-// admittedShare returns the share set with Let for a scan's table type and tenant.
-func (m *Mixer) admittedShare(sc *scan) float64 {
-	if i := int(sc.class)*(len(m.quotas)+1) + int(sc.tenant) + 1; i < len(m.admission) && int(sc.tenant) < len(m.quotas) {
-		return m.admission[i]
+// admittedShare returns the share set with SetAdmission for a scan's table type and tenant.
+func (e *Engine) admittedShare(sc *scan) float64 {
+	if i := int(sc.class)*(len(e.quotas)+1) + int(sc.tenant) + 1; i < len(e.admission) && int(sc.tenant) < len(e.quotas) {
+		return e.admission[i]
 	}
 	return 1
 }
 
 // newSearcher returns the state of a searcher about which nothing is known.
-func (m *Mixer) newSearcher() searcher {
+func (e *Engine) newSearcher() searcher {
 	return searcher{openCall: -1, state: Gone, started: LongAgo, reachableSince: LongAgo, lastUsed: LongAgo,
-		coldBudget: bucket{at: m.now, level: m.rng.uniform(0)}}
+		coldBudget: bucket{at: e.now, level: e.rng.uniform(0)}}
 }
 
 // Forget releases the index of a searcher that is gone and has no parts in flight. The index may be reused for another one.
-func (m *Mixer) Forget(i int) { m.searchers[i] = m.newSearcher() }
+func (e *Engine) Forget(i int) { e.searchers[i] = e.newSearcher() }
 
 // noHolder reports whether the list names no searcher for a part's shard.
-func (m *Mixer) noHolder(p *part) bool {
-	for range m.holders(p.shard) {
+func (e *Engine) noHolder(p *part) bool {
+	for range e.holders(p.shard) {
 		return false
 	}
 	return true
 }
 
 // holders iterates over the ready searchers that hold a shard.
-func (m *Mixer) holders(shard int) iter.Seq[int32] {
+func (e *Engine) holders(shard int) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
-		for j := range min(m.shardSpan, len(m.shards)) {
-			for _, i := range m.shards[(shard+j)%len(m.shards)] {
+		for j := range min(e.shardSpan, len(e.shards)) {
+			for _, i := range e.shards[(shard+j)%len(e.shards)] {
 				if !yield(i) {
 					return
 				}
@@ -244,5 +244,5 @@
 	}
 }
 
-// Far sets a searcher's distance: 0 near, 1 farther, 2 farthest. The default is near.
-func (m *Mixer) Far(i, far int) { m.searchers[i].distance = far }
+// SetDistance sets a searcher's distance: 0 near, 1 farther, 2 farthest. The default is near.
+func (e *Engine) SetDistance(i, far int) { e.searchers[i].distance = far }
--- a/brain/types.go
+++ b/brain/types.go
@@ -2,7 +2,7 @@
 // searchers get its parts, when parts are retried, hedged or cancelled, and when the scan ends. It reads no clock and does no
 // I/O.
 //
-// The owner creates one Mixer per routing instance with New, sets its clock with At before each batch of events, and passes
+// The owner creates one Engine per routing instance with New, sets its clock with Advance before each batch of events, and passes
 // events in the order in which they arrive: list entries, scans and their parts, outcomes of dispatches, wake-ups. The policy
 // responds by calling the Actions given to New, before the event method returns.
 //
@@ -17,23 +17,23 @@
 type Outcome uint8
 
 const (
-	Pass    Outcome = iota
-	Fault           // an error was returned; may have run
-	NoRoom          // refused as full; never ran
-	TooSlow         // no answer in time; may have run, may still be running
-	NoRoute         // no connection; never ran
-	Cut             // the connection broke; may have run
-	Undone          // cancelled by the policy; may have run
-	Stale           // never left this mixer
+	Succeeded      Outcome = iota
+	Failed                 // an error was returned; may have run
+	Overloaded             // refused as full; never ran
+	TimedOut               // no answer in time; may have run, may still be running
+	Unreachable            // no connection; never ran
+	ConnectionLost         // the connection broke; may have run
+	Cancelled              // cancelled by the policy; may have run
+	Expired                // never left this mixer
 )
 
 // Effect is the effect of running a part more than once.
 type Effect uint8
 
 const (
-	Replayable Effect = iota
-	Keyed
-	NonReplayable
+	Idempotent Effect = iota
+	IdempotentByKey
+	NonIdempotent
 )
 
 // ListMode is the kind of a searcher list update.
@@ -41,21 +41,22 @@
 
 const (
 	Changes ListMode = iota
-	Whole
-	Remembered
-	Failed
+	Full
+	Cached
+	Unavailable
 )
 
-// Standing is the state of a searcher according to the list.
-type Standing uint8
+// SearcherState is the state of a searcher according to the list.
+type SearcherState uint8
 
 const (
-	Ready Standing = iota
+	Ready SearcherState = iota
 	Draining
 	Gone
 )
 
-// LongAgo is the start time of a searcher that the list doesn't date.
+// LongAgo is a time before all events: the start of a searcher that the list doesn't date, and the time of events that haven't
+// happened.
 const LongAgo = time.Duration(-1 << 62)
 
 // TableType holds the settings of one table type. Need and Floor are coverages: sums of the weights of answered parts.
@@ -66,34 +67,35 @@
 	Effect                        Effect
 	Need, Floor                   float64 // of a whole answer, and of any answer
 	SecondStep                    int     // parts in the second step; 0: there is none
-	Tries                         int     // dispatches allowed per part; 0: Settings.MaxTries
+	MaxAttempts                   int     // dispatches allowed per part; 0: Settings.MaxAttempts
 }
 
 // Settings holds the parameters of New.
 type Settings struct {
-	Seed                              uint64
-	Me, Mixers                        int // index of this mixer, and number of mixers
-	Types                             []TableType
-	Quotas                            []float64 // scans per second within each tenant's share, over all mixers
-	Cells, Reach, PartsPerCall        int       // Reach: a shard is held by searchers of this many consecutive shards, from its own
-	MaxTries                          int
-	SecondCopies, RetryAdvice, AskFor bool // whether hedging, advice on retries and a subscription to the list are used
-	MayCancel, MayTell                bool
-	MaxRetryIn, Round, AskEvery       time.Duration // limit of the advice, interval between events, interval between lists
-	ColdFor, FallSpan                 time.Duration // a searcher is cold for ColdFor; FallSpan: span in which it can be overloaded
-	ColdShare, FallMultiple           float64       // capacity at the start; multiple of the capacity that overloads in FallSpan
-	Budgeted                          bool          // whether this mixer limits its own retries as follows
-	BudgetFree, BudgetShare           float64       // retries allowed in BudgetSpan: BudgetFree + BudgetShare*requests
-	BudgetSpan                        time.Duration
+	Seed                                     uint64
+	Instance, Mixers                         int // index of this mixer, and number of mixers
+	Types                                    []TableType
+	Quotas                                   []float64 // scans per second within each tenant's share, over all mixers
+	Shards, ShardSpan, PartsPerCall          int       // ShardSpan: number of consecutive shards whose searchers hold a shard
+	MaxAttempts                              int
+	MayHedge, RetryAdvice, Subscribe         bool // whether hedging, advice on retries and a subscription to the list are used
+	MayCancel, MayGossip                     bool
+	MaxRetryAfter, Granularity, ListInterval time.Duration // limit of the advice, interval between events, interval between lists
+	WarmUp, OverloadSpan                     time.Duration // how long a searcher is cold; span in which it can be overloaded
+	ColdShare, OverloadMultiple              float64       // capacity at the start; multiple of it that overloads
+	Budgeted                                 bool          // whether this mixer limits its own retries as follows
+	BudgetFree, BudgetShare                  float64       // retries allowed in BudgetSpan: BudgetFree + BudgetShare*requests
+	BudgetSpan                               time.Duration
 
-	// Patient lets dispatches run until the scan's deadline, for systems in which aborting a running one is expensive.
-	Patient bool
-	// Few is the number of scans in flight that are no sign of congestion. Where there are many mixers, each sees few scans.
-	Few float64
-	// Soonest orders parts of equal weight by the expected answer time of their best searcher.
-	Soonest bool
-	// Spare reports whether the fleet's retry budget allows another dispatch. Nil allows every dispatch.
-	Spare func(shard int, until time.Duration) bool
+	// WaitToDeadline lets dispatches run until the scan's deadline, for systems in which aborting a running one is expensive.
+	WaitToDeadline bool
+	// InFlightAllowance is the number of scans in flight that are no sign of congestion. Where there are many mixers, each sees
+	// few scans.
+	InFlightAllowance float64
+	// RankByExpectedAnswer orders parts of equal weight by the expected answer time of their best searcher.
+	RankByExpectedAnswer bool
+	// BudgetAllows reports whether the fleet's retry budget allows another dispatch. Nil allows every dispatch.
+	BudgetAllows func(shard int, until time.Duration) bool
 }
 
 // Actions is implemented by the owner to carry out the policy's decisions. Ids are those passed in with Scan and Part;
@@ -108,5 +110,5 @@
 	Renew(searcher int) // use a new connection for the next dispatch
 	Wake(at time.Duration, token uint64)
 	Subscribe()
-	Tell(idleSteps []byte) // to all other mixers; only if Settings.MayTell
+	Gossip(idleSteps []byte) // to all other mixers; only if Settings.MayGossip
 }
--- a/brain/wait_test.go
+++ b/brain/wait_test.go
@@ -14,17 +14,17 @@
 		want    int
 	}{"healthy and quick": {0.04, false, 1}, "healthy and slow": {0.5, false, 0}, "ejected": {0.04, true, 0}} {
 		s := settings(wholeTable())
-		s.SecondCopies = false
+		s.MayHedge = false
 		sim := newSimulation(s, 1, 1)
-		sim.mixer.latency, sim.mixer.deviation = ewma{value: 0.04, valid: true}, ewma{value: 0.01, valid: true}
-		for i := range sim.mixer.searchers {
-			sim.mixer.searchers[i].latency, sim.mixer.searchers[i].lastAnswer = ewma{value: 0.04, valid: true}, sim.now
+		sim.engine.latency, sim.engine.deviation = ewma{value: 0.04, valid: true}, ewma{value: 0.01, valid: true}
+		for i := range sim.engine.searchers {
+			sim.engine.searchers[i].latency, sim.engine.searchers[i].lastAnswer = ewma{value: 0.04, valid: true}, sim.now
 		}
-		sim.mixer.searchers[0].latency.value, sim.mixer.searchers[1].latency.value = 0.01, c.other
+		sim.engine.searchers[0].latency.value, sim.engine.searchers[1].latency.value = 0.01, c.other
 		if c.ejected {
-			sim.mixer.searchers[1].ejectedUntil = sim.now + time.Minute
+			sim.engine.searchers[1].ejectedUntil = sim.now + time.Minute
 		}
-		sim.searchers[0].outcome = TooSlow
+		sim.searchers[0].outcome = TimedOut
 		sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		sim.run(700 * ms)
 		if n := sim.logged("cancel"); n != c.want || sim.violation != "" {
@@ -37,15 +37,15 @@
 // scans that don't need these searchers were rejected although the others were idle.
 func TestUnresponsiveSearchersDoNotCauseRejections(t *testing.T) {
 	config := settings(partialTable())
-	config.Reach = 1
+	config.ShardSpan = 1
 	sim := newSimulation(config, 3, 2)
 	sim.setSpeeds(10)
-	sim.searchers[0].outcome, sim.searchers[4].outcome = TooSlow, TooSlow // both of one shard
+	sim.searchers[0].outcome, sim.searchers[4].outcome = TimedOut, TimedOut // both of one shard
 	rejected := 0
 	for range 60 {
 		shards, weights := evenParts(4, 4)
 		id := sim.scan(0, 2*time.Second, shards, weights)
-		if _, admitted := sim.mixer.byNumber[id]; !admitted {
+		if _, admitted := sim.engine.byNumber[id]; !admitted {
 			rejected++
 		}
 		sim.run(150 * ms)
@@ -62,20 +62,20 @@
 		want              int
 	}{"copies": {true, true, 2}, "no copies": {false, true, 0}, "not allowed": {true, false, 0}} {
 		config := settings(wholeTable())
-		config.SecondCopies, config.MayCancel = c.copies, c.mayCancel
+		config.MayHedge, config.MayCancel = c.copies, c.mayCancel
 		sim := newSimulation(config, 1, 1)
-		sim.mixer.latency, sim.mixer.median, sim.mixer.hedgeBudget.level = ewma{value: 0.2, valid: true}, 0.2, 1
-		for i := range sim.mixer.searchers {
-			sim.mixer.searchers[i].latency, sim.mixer.searchers[i].lastAnswer = ewma{value: 0.04, valid: true}, sim.now
+		sim.engine.latency, sim.engine.median, sim.engine.hedgeBudget.level = ewma{value: 0.2, valid: true}, 0.2, 1
+		for i := range sim.engine.searchers {
+			sim.engine.searchers[i].latency, sim.engine.searchers[i].lastAnswer = ewma{value: 0.04, valid: true}, sim.now
 		}
-		sim.mixer.searchers[0].latency.value, sim.searchers[0].speed = 0.03, 12 // chosen first and late, so that a hedge answers first
+		sim.engine.searchers[0].latency.value, sim.searchers[0].speed = 0.03, 12 // chosen first and late, so that a hedge answers first
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		sim.run(400 * ms)
 		if c.copies && !sim.scans[id].ended {
 			t.Errorf("%s: no hedge answered first: %v", name, sim.log)
 		}
-		sim.searchers[2].outcome, sim.searchers[3].outcome = TooSlow, TooSlow
-		sim.mixer.Left(sim.scan(0, 2*time.Second, []int{2}, []float64{1})) // its client leaves at once
+		sim.searchers[2].outcome, sim.searchers[3].outcome = TimedOut, TimedOut
+		sim.engine.ClientLeft(sim.scan(0, 2*time.Second, []int{2}, []float64{1})) // its client leaves at once
 		if n := sim.logged("cancel"); n != c.want || sim.violation != "" {
 			t.Errorf("%s: %d cancellations: %v %s", name, n, sim.log, sim.violation)
 		}
@@ -86,7 +86,7 @@
 // some seconds lost a part each time.
 func TestAFailingSearcherCostsMore(t *testing.T) {
 	sim := warmSimulation()
-	sim.searchers[0].outcome, sim.searchers[0].sends = Fault, nil
+	sim.searchers[0].outcome, sim.searchers[0].sends = Failed, nil
 	for range 20 {
 		sendLoad(sim, 0, 8, time.Second, time.Second)
 	}
@@ -107,9 +107,9 @@
 		sim := newSimulation(settings(wholeTable()), 1, 1)
 		for _, from := range c.from {
 			sim.run(c.every)
-			sim.mixer.Heard(from, []byte{4, 0, 200}) // 0 and 200 are not valid steps
+			sim.engine.ReceiveGossip(from, []byte{4, 0, 200}) // 0 and 200 are not valid steps
 		}
-		if got := sim.mixer.losesIdle(5); got != c.want || sim.mixer.losesIdle(3) {
+		if got := sim.engine.losesIdle(5); got != c.want || sim.engine.losesIdle(3) {
 			t.Errorf("%s: accepted %v", name, got)
 		}
 	}
@@ -118,7 +118,7 @@
 func TestIdleLossesAreReported(t *testing.T) {
 	for _, mayTell := range []bool{true, false} {
 		config := settings(wholeTable())
-		config.MayTell = mayTell
+		config.MayGossip = mayTell
 		sim := newSimulation(config, 1, 2)
 		sendLoad(sim, 0, 8, 50*ms, time.Second)
 		for i := range sim.searchers {
@@ -136,16 +136,16 @@
 // Clients left before the target and repeated their scans at once, although a sufficient partial answer was available.
 func TestPartialAnswersAreSentBeforeClientsLeave(t *testing.T) {
 	config := settings(partialTable())
-	config.Reach, config.SecondCopies = 1, false
+	config.ShardSpan, config.MayHedge = 1, false
 	sim := newSimulation(config, 2, 1)
-	sim.searchers[0].outcome = TooSlow // a quarter of each scan is never answered
+	sim.searchers[0].outcome = TimedOut // a quarter of each scan is never answered
 	late := 0
 	for k := range 60 {
 		shards, weights := evenParts(4, 4)
 		id := sim.scan(0, 2*time.Second, shards, weights)
 		sim.run(400 * ms)
 		if !sim.scans[id].ended {
-			sim.mixer.Left(id) // its client stops waiting
+			sim.engine.ClientLeft(id) // its client stops waiting
 			sim.endScanParts(sim.scans[id])
 			late += boolToInt(k >= 30)
 		}
@@ -162,13 +162,13 @@
 	sim := newSimulation(settings(wholeTable()), 1, 1)
 	sendLoad(sim, 0, 4, 50*ms, time.Second)
 	sim.run(time.Second)
-	sim.setOutcomes(NoRoom)
+	sim.setOutcomes(Overloaded)
 	for k := range 4 {
 		id := sim.scan(0, 2*time.Second, []int{0}, []float64{1})
 		sim.run(100 * ms)
 		soon := sim.scans[id].ended
 		sim.run(600 * ms)
-		if sc := sim.scans[id]; k > 0 && !soon || sc.advice < sim.config.MaxRetryIn/2 {
+		if sc := sim.scans[id]; k > 0 && !soon || sc.advice < sim.config.MaxRetryAfter/2 {
 			t.Errorf("scan %d ended soon: %v, retry after %v", k, soon, sc.advice)
 		}
 	}
@@ -182,12 +182,12 @@
 	for range 2 {
 		id := sim.scan(0, 2*time.Second, shards, weights)
 		sim.run(40 * ms)
-		sim.mixer.Left(id)
+		sim.engine.ClientLeft(id)
 		sim.endScanParts(sim.scans[id])
 	}
 	id := sim.scan(0, 2*time.Second, shards, weights)
-	if sc := &sim.mixer.scans.at[sim.mixer.byNumber[id]]; sim.mixer.partialDeadline(sc) != sc.target {
-		t.Errorf("shortened by %v before its target", sc.target-sim.mixer.partialDeadline(sc))
+	if sc := &sim.engine.scans.at[sim.engine.byNumber[id]]; sim.engine.partialDeadline(sc) != sc.target {
+		t.Errorf("shortened by %v before its target", sc.target-sim.engine.partialDeadline(sc))
 	}
 }
 
@@ -198,11 +198,11 @@
 		config := settings(wholeTable(), wholeTable())
 		config.Quotas = []float64{1000, 1000}
 		sim := newSimulation(config, 1, 2)
-		sim.mixer.Let(shares)
+		sim.engine.SetAdmission(shares)
 		for range 200 {
 			if id := sim.scanOf(1, tenant, time.Second, []int{0}, []float64{1}, false); !sim.scans[id].ended {
 				n++
-				sim.mixer.Left(id)
+				sim.engine.ClientLeft(id)
 			}
 		}
 		return n
--- a/fleet/fleetsim/mixer.go
+++ b/fleet/fleetsim/mixer.go
@@ -13,7 +13,7 @@
 type mixer struct {
 	n     *Node
 	life  int
-	m     *brain.Mixer
+	m     *brain.Engine
 	ids   uint64
 	scans map[uint64]*scan
 	parts map[uint64]*part
@@ -46,12 +46,12 @@
 func newMixer(n *Node) *mixer {
 	l := n.w.load
 	m := &mixer{n: n, life: n.life, scans: map[uint64]*scan{}, parts: map[uint64]*part{}, room: math.Inf(1), meter: overload.NewMeter(l.kinds)}
-	set := brain.Settings{Seed: n.w.set.Seed*1000 + n.Inc, Me: n.i, Mixers: n.w.set.Mixers, Cells: l.set.Readers, Reach: 2,
-		PartsPerCall: 1, MaxTries: 3, SecondCopies: true, RetryAdvice: true, MaxRetryIn: 5 * time.Second, MayCancel: true,
-		Round: 5 * time.Millisecond, AskEvery: 10 * time.Second, ColdFor: l.set.Cold.For, FallSpan: l.set.Cold.Span,
-		ColdShare: l.set.Cold.Share, FallMultiple: l.set.Cold.Multiple}
+	set := brain.Settings{Seed: n.w.set.Seed*1000 + n.Inc, Instance: n.i, Mixers: n.w.set.Mixers, Shards: l.set.Readers, ShardSpan: 2,
+		PartsPerCall: 1, MaxAttempts: 3, MayHedge: true, RetryAdvice: true, MaxRetryAfter: 5 * time.Second, MayCancel: true,
+		Granularity: 5 * time.Millisecond, ListInterval: 10 * time.Second, WarmUp: l.set.Cold.For, OverloadSpan: l.set.Cold.Span,
+		ColdShare: l.set.Cold.Share, OverloadMultiple: l.set.Cold.Multiple}
 	if l.set.Cold.Unknown {
-		set.ColdFor, set.FallSpan = 0, 0
+		set.WarmUp, set.OverloadSpan = 0, 0
 	}
 	for _, b := range worth {
 		set.Types = append(set.Types, brain.TableType{Target: target, Timeout: timeout, Benefit: b, Need: 1, Floor: 1})
@@ -60,7 +60,7 @@
 		set.Quotas = append(set.Quotas, t.Share)
 	}
 	m.m = brain.New(set, m, 0)
-	m.m.ListBegin(brain.Whole)
+	m.m.ListBegin(brain.Full)
 	for i := range l.readers {
 		from := l.colds[i].from
 		if from != brain.LongAgo {
@@ -68,7 +68,7 @@
 		}
 		m.m.ListEntry(i, brain.Ready, 1, from, i)
 	}
-	m.m.ListEnd(brain.Whole)
+	m.m.ListEnd(brain.Full)
 	return m
 }
 
@@ -83,7 +83,7 @@
 func (m *mixer) in(f func()) {
 	if m.n.up && m.n.life == m.life {
 		m.n.do(func() {
-			m.m.At(m.now())
+			m.m.Advance(m.now())
 			f()
 		})
 	}
@@ -92,7 +92,7 @@
 func (m *mixer) now() time.Duration { return m.n.w.now - m.n.born }
 
 func (m *mixer) scan(c *client, again bool, done func(bool, time.Duration)) {
-	m.m.At(m.now())
+	m.m.Advance(m.now())
 	m.ids++
 	s := &scan{id: m.ids, class: c.class, at: m.n.w.now, done: done}
 	m.scans[s.id] = s
@@ -140,14 +140,14 @@
 	m.n.w.after(trip/2, func() {
 		var ok bool
 		t.id, ok = l.arrive(srv, t.until, func(how reader.End) {
-			m.back(id, no, map[reader.End]brain.Outcome{reader.Done: brain.Pass, reader.Refused: brain.NoRoom, reader.Late: brain.TooSlow,
-				reader.Lost: brain.Cut}[how])
+			m.back(id, no, map[reader.End]brain.Outcome{reader.Done: brain.Succeeded, reader.Refused: brain.Overloaded, reader.Late: brain.TimedOut,
+				reader.Lost: brain.ConnectionLost}[how])
 		})
 		if !ok {
-			m.n.w.after(trip/2, func() { m.back(id, no, brain.NoRoute) })
+			m.n.w.after(trip/2, func() { m.back(id, no, brain.Unreachable) })
 		}
 	})
-	m.n.w.after(max(0, t.until-m.n.w.now), func() { m.back(id, no, brain.TooSlow) })
+	m.n.w.after(max(0, t.until-m.n.w.now), func() { m.back(id, no, brain.TimedOut) })
 }
 
 // back is the end of a dispatch; the first that is told counts.
@@ -159,7 +159,7 @@
 		}
 		t := p.tries[no]
 		t.out = false
-		if out == brain.Pass {
+		if out == brain.Succeeded {
 			m.meter.Carried()
 		}
 		m.m.Returned(id, no, out, m.n.w.now-t.at)
@@ -172,7 +172,7 @@
 		if l := m.n.w.load; l.out[t.id] != nil && l.readers[t.srv].Drop(m.n.w.now, t.id) {
 			delete(l.out, t.id)
 			l.look(t.srv)
-			m.n.w.after(trip/2, func() { m.back(id, no, brain.Undone) })
+			m.n.w.after(trip/2, func() { m.back(id, no, brain.Cancelled) })
 		}
 	})
 }
@@ -200,7 +200,7 @@
 func (m *mixer) Abandon(id uint64) { m.end(id, overload.Failed, 0) }
 func (m *mixer) Renew(int)         {}
 func (m *mixer) Subscribe()        {}
-func (m *mixer) Tell([]byte)       {}
+func (m *mixer) Gossip([]byte)     {}
 func (m *mixer) Wake(at time.Duration, token uint64) {
 	m.n.w.after(max(0, at+m.n.born-m.n.w.now), func() { m.in(func() { m.m.Woke(token) }) })
 }
@@ -224,6 +224,6 @@
 	if m.n.w.set.Shared {
 		var let []float64
 		let, m.n.Mood, m.room = m.n.Advice()
-		m.m.Let(let)
+		m.m.SetAdmission(let)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -99,21 +99,21 @@
 	return x
 }
 
-var effects = map[string]brain.Effect{"free": brain.Replayable, "guarded": brain.Keyed, "single_shot": brain.NonReplayable}
+var effects = map[string]brain.Effect{"free": brain.Idempotent, "guarded": brain.IdempotentByKey, "single_shot": brain.NonIdempotent}
 
 // Read takes settings as path and value, the form of the bench's wire, for an instance with that seed.
 func Read(kv map[string]string, seed uint64) (Settings, error) {
 	c := &conf{kv: kv}
-	s := brain.Settings{Seed: seed, Me: c.int("me"), Mixers: c.int("balancers"),
-		Cells: c.int("domain.places"), Reach: c.int("domain.width"), PartsPerCall: c.int("domain.bundleMax"),
-		MaxTries:     c.int("limits.attemptsCap"),
-		SecondCopies: c.bool("limits.secondCopies"), RetryAdvice: c.bool("limits.retryAfter"),
+	s := brain.Settings{Seed: seed, Instance: c.int("me"), Mixers: c.int("balancers"),
+		Shards: c.int("domain.places"), ShardSpan: c.int("domain.width"), PartsPerCall: c.int("domain.bundleMax"),
+		MaxAttempts: c.int("limits.attemptsCap"),
+		MayHedge:    c.bool("limits.secondCopies"), RetryAdvice: c.bool("limits.retryAfter"),
 		MayCancel: c.on("limits.cancel"),
-		MayTell:   c.on("limits.mayTell"),
-		AskFor:    c.text("discovery") == "ask", MaxRetryIn: c.span("limits.maxRetryAfter"),
-		Round: c.span("granularity"), AskEvery: c.span("rules.askEvery"),
-		ColdFor: c.span("rules.cold"), FallSpan: c.span("rules.fall"), ColdShare: c.float("rules.startCapacity"),
-		FallMultiple: c.float("rules.fallMultiple"), BudgetFree: c.maybe("rules.budgetFree"),
+		MayGossip: c.on("limits.mayTell"),
+		Subscribe: c.text("discovery") == "ask", MaxRetryAfter: c.span("limits.maxRetryAfter"),
+		Granularity: c.span("granularity"), ListInterval: c.span("rules.askEvery"),
+		WarmUp: c.span("rules.cold"), OverloadSpan: c.span("rules.fall"), ColdShare: c.float("rules.startCapacity"),
+		OverloadMultiple: c.float("rules.fallMultiple"), BudgetFree: c.maybe("rules.budgetFree"),
 		BudgetShare: c.maybe("rules.resendRatio"), BudgetSpan: Span(c.maybe("rules.resendSpan"))}
 	s.Budgeted = s.BudgetSpan > 0
 	set := Settings{Types: map[string]int{}, Tenants: map[string]int{},
@@ -139,7 +139,7 @@
 		set.Tenants[c.text(at+"name")] = i
 		s.Quotas = append(s.Quotas, c.float(at+"quotaPerS"))
 	}
-	if c.err == nil && (s.Cells < 1 || s.Reach < 1 || s.Round <= 0) {
+	if c.err == nil && (s.Shards < 1 || s.ShardSpan < 1 || s.Granularity <= 0) {
 		c.fail("domain.places, domain.width or granularity", "must be above 0")
 	}
 	set.Brain = s
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -113,7 +113,7 @@
 		if err != nil {
 			// Only a version that went back makes the list held worthless; a silent service does not.
 			whole = whole || errors.Is(err, errOld)
-			tell(brain.Failed, proto.List{})
+			tell(brain.Unavailable, proto.List{})
 			// A call that fell silent has taken its time already, and what it missed counts as told soon after that:
 			// it is made anew at once. A rest is for those that fail at once, which would else follow one another.
 			if !errors.Is(err, context.DeadlineExceeded) {
@@ -125,7 +125,7 @@
 		at.at = l.Version
 		switch {
 		case l.Whole:
-			tell(brain.Whole, l)
+			tell(brain.Full, l)
 		case len(l.Hosts) > 0:
 			tell(brain.Changes, l)
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -43,7 +43,7 @@
 
 func TestTheWholeListThenChanges(t *testing.T) {
 	d, _, next := follow(t, Limits{Body: 1 << 20, Call: 5 * time.Second, Wait: 5 * time.Second, Pause: time.Millisecond})
-	if x := next(); x.mode != brain.Whole || len(x.list.Hosts) != 1 {
+	if x := next(); x.mode != brain.Full || len(x.list.Hosts) != 1 {
 		t.Errorf("%+v", x)
 	}
 	d.Tell(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up"})
@@ -61,7 +61,7 @@
 	d, w, next := follow(t, Limits{Body: 1 << 20, Call: 500 * time.Millisecond, Wait: time.Millisecond, Pause: time.Hour})
 	next()
 	d.Silence(true)
-	if x := next(); x.mode != brain.Failed {
+	if x := next(); x.mode != brain.Unavailable {
 		t.Errorf("%+v", x)
 	}
 	d.Silence(false)
@@ -70,7 +70,7 @@
 		w.Ask()
 		if x := next(); x.mode == brain.Changes && x.list.Hosts[0].Name == "b" {
 			return
-		} else if x.mode != brain.Failed {
+		} else if x.mode != brain.Unavailable {
 			t.Fatalf("%+v", x)
 		}
 	}
@@ -88,7 +88,7 @@
 		d.Strand()
 		at := time.Now()
 		d.Tell(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up", Born: int64(i)})
-		if x := next(); x.mode != brain.Failed {
+		if x := next(); x.mode != brain.Unavailable {
 			t.Errorf("%+v", x)
 		}
 		if x := next(); x.mode != brain.Changes || x.list.Hosts[0].Name != "b" {
@@ -106,8 +106,8 @@
 	next()
 	d.Garble("{\n  \"seq\": 7,\n  \"whole\": true,\n  \"later\": {\"a\": [1]},\n  \"hosts\": [\n    {\n      \"host\": \"c\",\n" +
 		"      \"dial\": \"127.0.0.1:3\",\n      \"health\": \"up\",\n      \"share\": 1\n    }\n  ]\n}\n")
-	for x := next(); x.mode != brain.Whole || x.list.Version != 7 || x.list.Hosts[0].Name != "c"; x = next() {
-		if x.mode == brain.Failed {
+	for x := next(); x.mode != brain.Full || x.list.Version != 7 || x.list.Hosts[0].Name != "c"; x = next() {
+		if x.mode == brain.Unavailable {
 			t.Fatal("an indented list was not taken")
 		}
 	}
@@ -118,16 +118,16 @@
 	next()
 	for _, junk := range []string{"no json", `{"whole":true}`, `{"seq":99,"hosts":[{"host":""}]}`} {
 		d.Garble(junk)
-		for x := next(); x.mode != brain.Failed; x = next() {
+		for x := next(); x.mode != brain.Unavailable; x = next() {
 			t.Errorf("%q: told %+v", junk, x)
 		}
 	}
 	// An older version makes the list held worthless: the whole one is asked for.
 	d.Garble(`{"seq":0,"whole":true,"hosts":[]}`)
-	for x := next(); x.mode != brain.Whole; x = next() {
+	for x := next(); x.mode != brain.Full; x = next() {
 	}
 	d.Garble("")
-	for x := next(); x.mode != brain.Changes && (x.mode != brain.Whole || len(x.list.Hosts) != 1); x = next() {
+	for x := next(); x.mode != brain.Changes && (x.mode != brain.Full || len(x.list.Hosts) != 1); x = next() {
 	}
 }
 
@@ -148,7 +148,7 @@
 		}
 		defer to.Close()
 		w.Move(to.Addr())
-		if x := next(); x.mode != brain.Whole || x.list.Version != 1 || x.list.Hosts[0].Name != "b" {
+		if x := next(); x.mode != brain.Full || x.list.Version != 1 || x.list.Hosts[0].Name != "b" {
 			t.Errorf("%+v", x)
 		}
 		to.Tell(standin.Host{Host: "c", Dial: "127.0.0.1:3", Health: "up"})
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -132,7 +132,7 @@
 // ErrMute is why a connection ends that says nothing when it is asked for a receipt.
 var ErrMute = errors.New("silent when asked for a receipt")
 
-var ends = map[string]brain.Outcome{"200": brain.Pass, "500": brain.Fault, "503": brain.NoRoom}
+var ends = map[string]brain.Outcome{"200": brain.Succeeded, "500": brain.Failed, "503": brain.Overloaded}
 
 var (
 	errAnswer = errors.New("unreadable answer")
@@ -158,7 +158,7 @@
 		}
 	}
 	// Text that is none would reach the client as something else than the searcher's value.
-	if end == brain.Pass {
+	if end == brain.Succeeded {
 		if a.Value = string(value); !utf8.ValidString(a.Value) {
 			return Answer{}, errAnswer
 		}
--- a/internal/proto/list.go
+++ b/internal/proto/list.go
@@ -19,13 +19,13 @@
 // Host is one searcher as discovery tells of it.
 type Host struct {
 	Name, Addr string
-	State      brain.Standing
+	State      brain.SearcherState
 	Cell       int
 	Weight     float64
 	Born       time.Time // zero: long ago
 }
 
-var standings = map[string]brain.Standing{"up": brain.Ready, "draining": brain.Draining, "removed": brain.Gone}
+var standings = map[string]brain.SearcherState{"up": brain.Ready, "draining": brain.Draining, "removed": brain.Gone}
 
 // ReadList decodes what discovery answers.
 func ReadList(text []byte) (List, error) {
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -35,10 +35,10 @@
 
 func TestAnswersAsSearchersGiveThem(t *testing.T) {
 	for text, want := range map[string]Answer{
-		"9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2": {ID: "9b1f.3", End: brain.Pass, Score: 1840277719, Value: "5be2"},
-		"9b1f.3 200 7 \xff\xfe =,\x00\n5be2":               {ID: "9b1f.3", End: brain.Pass, Score: 7, Value: "5be2"}, // nobody needs the report
-		"9b1f.3 503 0 -\n":                                 {ID: "9b1f.3", End: brain.NoRoom},
-		"9b1f.3 500 - -\n":                                 {ID: "9b1f.3", End: brain.Fault},
+		"9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2": {ID: "9b1f.3", End: brain.Succeeded, Score: 1840277719, Value: "5be2"},
+		"9b1f.3 200 7 \xff\xfe =,\x00\n5be2":               {ID: "9b1f.3", End: brain.Succeeded, Score: 7, Value: "5be2"}, // nobody needs the report
+		"9b1f.3 503 0 -\n":                                 {ID: "9b1f.3", End: brain.Overloaded},
+		"9b1f.3 500 - -\n":                                 {ID: "9b1f.3", End: brain.Failed},
 	} {
 		if got, err := ReadAnswer([]byte(text)); err != nil || got != want {
 			t.Errorf("%q: %+v %v", text, got, err)
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -53,8 +53,8 @@
 func (in *inst) Complete(scan uint64, all bool) { in.say("SETTLE_QUERY").uint(scan).flag(all).end() }
 func (in *inst) Abandon(scan uint64)            { in.say("SURRENDER").uint(scan).end() }
 
-// Tell sends to all other instances.
-func (in *inst) Tell(news []byte) {
+// Gossip sends to all other instances.
+func (in *inst) Gossip(news []byte) {
 	in.say("BROADCAST_TO").out.WriteString(" all " + base64.StdEncoding.EncodeToString(news) + "\n")
 }
 
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -21,7 +21,7 @@
 	weight, started float64
 	cell            int
 	dated           bool
-	state           brain.Standing
+	state           brain.SearcherState
 }
 
 type host struct {
@@ -44,7 +44,7 @@
 	h       *host
 	name    string
 	base    time.Duration
-	m       *brain.Mixer
+	m       *brain.Engine
 	srv     map[string]int
 	addr    []string
 	types   map[string]int
@@ -178,7 +178,7 @@
 			err = nil
 		}
 	}()
-	in.m.At(h.now - in.base)
+	in.m.Advance(h.now - in.base)
 	return in.event(f)
 }
 
@@ -232,12 +232,12 @@
 	return nil
 }
 
-var modes = map[string]brain.ListMode{"diff": brain.Changes, "snapshot": brain.Whole, "disk": brain.Remembered,
-	"error": brain.Failed}
+var modes = map[string]brain.ListMode{"diff": brain.Changes, "snapshot": brain.Full, "disk": brain.Cached,
+	"error": brain.Unavailable}
 
-var outcomes = map[string]brain.Outcome{"pass": brain.Pass, "fault": brain.Fault, "no_room": brain.NoRoom,
-	"too_slow": brain.TooSlow, "no_route": brain.NoRoute, "cut": brain.Cut, "undone": brain.Undone,
-	"stale_send": brain.Stale}
+var outcomes = map[string]brain.Outcome{"pass": brain.Succeeded, "fault": brain.Failed, "no_room": brain.Overloaded,
+	"too_slow": brain.TimedOut, "no_route": brain.Unreachable, "cut": brain.ConnectionLost, "undone": brain.Cancelled,
+	"stale_send": brain.Expired}
 
 func (in *inst) event(f [][]byte) error {
 	switch string(f[0]) {
@@ -260,7 +260,7 @@
 		if err != nil {
 			return errNumber
 		}
-		in.m.Left(id)
+		in.m.ClientLeft(id)
 	case "TIMEOUT_FIRED":
 		ctx, err := strconv.ParseUint(string(f[2]), 10, 64)
 		if err != nil {
@@ -279,14 +279,14 @@
 		if err != nil {
 			return errNumber
 		}
-		in.m.Heard(from, news)
+		in.m.ReceiveGossip(from, news)
 	case "ENDPOINTS":
 		mode, ok := modes[string(f[2])]
 		if !ok {
 			return errWord
 		}
 		in.m.ListBegin(mode)
-		if mode == brain.Failed {
+		if mode == brain.Unavailable {
 			return nil
 		}
 		id, err := strconv.Atoi(string(f[4]))
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("error %v %s, reply\n%s", err, bad, got)
 	}
 	h := &host{}
-	(&inst{h: h, name: "mixer-3"}).Tell([]byte{4})
+	(&inst{h: h, name: "mixer-3"}).Gossip([]byte{4})
 	if got := h.out.String(); got != "BROADCAST_TO mixer-3 all BA==\n" {
 		t.Errorf("told %q", got)
 	}
--- a/lab/scale/bench_test.go
+++ b/lab/scale/bench_test.go
@@ -65,9 +65,9 @@
 		g.now += 3 * time.Millisecond
 		g.life.At(g.now)
 		for _, a := range g.acts {
-			out, reading, reply := brain.Pass, request.WasRead, g.reply
+			out, reading, reply := brain.Succeeded, request.WasRead, g.reply
 			if a.Cancel {
-				out, reading, reply = brain.Undone, request.MayRead, nil
+				out, reading, reply = brain.Cancelled, request.MayRead, nil
 			} else {
 				g.sent++
 			}
@@ -142,7 +142,7 @@
 			b.ReportAllocs()
 			from := cpu()
 			for i := 0; b.Loop(); i++ {
-				hosts[n/2].State = brain.Standing(i % 2)
+				hosts[n/2].State = brain.SearcherState(i % 2)
 				l.List(hosts)
 			}
 			perOp(b, from)
--- a/mixer/limits.go
+++ b/mixer/limits.go
@@ -80,7 +80,7 @@
 	sockets, memory := c.Sockets-otherSockets, c.MemoryMB<<20
 	gather := time.Duration(0)
 	if set.Brain.PartsPerCall > 1 {
-		gather = set.Brain.Round
+		gather = set.Brain.Granularity
 	}
 	return Limits{
 		Gather: gather,
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -79,7 +79,7 @@
 	var once sync.Once
 	told := func(mode brain.ListMode, l proto.List) {
 		o.post(func() { o.List(mode, l) })
-		if mode != brain.Failed {
+		if mode != brain.Unavailable {
 			o.post(func() { once.Do(func() { close(first) }) })
 		}
 	}
@@ -89,7 +89,7 @@
 		return err
 	}
 	defer unshow()
-	o.List(brain.Remembered, m.cfg.Known)
+	o.List(brain.Cached, m.cfg.Known)
 	o.Begin()
 
 	done := make(chan struct{})
--- a/mixer/mixer_test.go
+++ b/mixer/mixer_test.go
@@ -365,7 +365,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	o.List(brain.Whole, list)
+	o.List(brain.Full, list)
 	done := make(chan struct{})
 	go o.run(done)
 	defer func() { stop(); close(done); <-o.gone }()
--- a/mixer/world_test.go
+++ b/mixer/world_test.go
@@ -119,7 +119,7 @@
 	}
 	w.http.CloseIdleConnections()
 	w.fleet.Close()
-	if copies, _ := w.book.Copies(); len(copies) > 0 && !w.mix.cfg.Settings.Brain.SecondCopies {
+	if copies, _ := w.book.Copies(); len(copies) > 0 && !w.mix.cfg.Settings.Brain.MayHedge {
 		w.t.Errorf("%d second copies: %.3q", len(copies), copies)
 	}
 }
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -139,33 +139,33 @@
 	switch a.Outcome {
 	case upstream.Answered:
 		if promises(a.Status) {
-			return brain.Fault
+			return brain.Failed
 		}
 		if a.Status >= 200 && a.Status < 300 || a.Status < 500 && len(d.Request.Route.FanOut) == 0 {
-			return brain.Pass
+			return brain.Succeeded
 		}
-		return brain.Fault
+		return brain.Failed
 	case upstream.NotExecuted:
 		if a.Misdirected() {
-			return brain.NoRoute
+			return brain.Unreachable
 		}
-		return brain.NoRoom
+		return brain.Overloaded
 	case upstream.NoConnect, upstream.Unsendable:
 		if errors.Is(a.Err, upstream.ErrFull) {
-			return brain.NoRoom // our own share of its connections is in use: it is there, and busy
+			return brain.Overloaded // our own share of its connections is in use: it is there, and busy
 		}
-		return brain.NoRoute
+		return brain.Unreachable
 	case upstream.Broken:
-		return brain.Cut
+		return brain.ConnectionLost
 	case upstream.TimedOut:
-		return brain.TooSlow
+		return brain.TimedOut
 	case upstream.Cancelled:
 		if !a.Wrote {
-			return brain.Stale
+			return brain.Expired
 		}
-		return brain.Undone
+		return brain.Cancelled
 	}
-	return brain.Fault
+	return brain.Failed
 }
 
 // promises tells of the statuses that tell a client that its request has not run and never will. A searcher that gives one
--- a/proxy/sight.go
+++ b/proxy/sight.go
@@ -138,8 +138,8 @@
 	return b.String()
 }
 
-var outcomeNames = [brain.Stale + 1]string{brain.Pass: "answered", brain.Fault: "bad-answer", brain.NoRoom: "turned-away",
-	brain.TooSlow: "too-slow", brain.NoRoute: "unreachable", brain.Cut: "cut-off", brain.Undone: "called-off", brain.Stale: "not-sent"}
+var outcomeNames = [brain.Expired + 1]string{brain.Succeeded: "answered", brain.Failed: "bad-answer", brain.Overloaded: "turned-away",
+	brain.TimedOut: "too-slow", brain.Unreachable: "unreachable", brain.ConnectionLost: "cut-off", brain.Cancelled: "called-off", brain.Expired: "not-sent"}
 
 func outcomeName(o brain.Outcome) string {
 	if int(o) < len(outcomeNames) {
--- a/request/contain.go
+++ b/request/contain.go
@@ -45,7 +45,7 @@
 			if !d.out {
 				continue
 			}
-			d.out, d.outcome, d.took = false, brain.Undone, l.now-d.at
+			d.out, d.outcome, d.took = false, brain.Cancelled, l.now-d.at
 			l.noteReading(d, MayRead)
 			if d.Call != nil {
 				acts = append(acts, Act{Dispatch: d, Cancel: true})
--- a/request/explain.go
+++ b/request/explain.go
@@ -6,7 +6,7 @@
 
 // neverRan tells of the outcomes after which the searcher has surely not run the part and never will.
 func neverRan(out brain.Outcome) bool {
-	return out == brain.NoRoom || out == brain.NoRoute || out == brain.Stale
+	return out == brain.Overloaded || out == brain.Unreachable || out == brain.Expired
 }
 
 // mayHaveRun tells whether a searcher may have run the part, or may still.
--- a/request/freeze_test.go
+++ b/request/freeze_test.go
@@ -60,7 +60,7 @@
 		must.Len(t, 1, out)
 		return out[0].Dispatch, final
 	}
-	answer := func(d *Dispatch) { l.Returned(d, brain.Pass, WasRead, &Reply{Status: 200, Seal: d.Host.ID}) }
+	answer := func(d *Dispatch) { l.Returned(d, brain.Succeeded, WasRead, &Reply{Status: 200, Seal: d.Host.ID}) }
 	for range 50 { // it knows the pace of both
 		d, _ := begin()
 		now += 10 * ms
--- a/request/group.go
+++ b/request/group.go
@@ -29,7 +29,7 @@
 // set says nothing of another, whose work may take ten times as long.
 type group struct {
 	l       *Life
-	m       *brain.Mixer
+	m       *brain.Engine
 	cells   []string // services, by the module's cells
 	classes map[class]int
 	hosts   map[string]*host // by id
@@ -68,14 +68,14 @@
 		maps.DeleteFunc(l.groups, func(_ string, g *group) bool { return g.asleep }) // what is out there still comes back to it
 	}
 	g := &group{l: l, key: key, cells: services, classes: map[class]int{}, hosts: map[string]*host{}}
-	g.m = brain.New(brain.Settings{Seed: l.terms.Seed, Mixers: 1, Cells: len(services), Reach: 1, PartsPerCall: 1, MaxTries: 1,
-		SecondCopies: true, RetryAdvice: true, MaxRetryIn: retryMost, Round: granularity, AskEvery: time.Second,
-		Few: 3, Patient: true, Soonest: true, Spare: g.mayGoAgain}, port{g}, l.now)
+	g.m = brain.New(brain.Settings{Seed: l.terms.Seed, Mixers: 1, Shards: len(services), ShardSpan: 1, PartsPerCall: 1, MaxAttempts: 1,
+		MayHedge: true, RetryAdvice: true, MaxRetryAfter: retryMost, Granularity: granularity, ListInterval: time.Second,
+		InFlightAllowance: 3, WaitToDeadline: true, RankByExpectedAnswer: true, BudgetAllows: g.mayGoAgain}, port{g}, l.now)
 	l.groups[key] = g
 	for _, id := range slices.Sorted(maps.Keys(l.hosts)) {
 		g.note(l.hosts[id])
 	}
-	g.m.At(l.now)
+	g.m.Advance(l.now)
 	g.m.ListBegin(brain.Changes)
 	for _, h := range g.byIndex {
 		g.entry(h)
@@ -103,11 +103,11 @@
 	i, ok := g.classes[c]
 	if !ok {
 		t := brain.TableType{Target: min(c.setpoint, c.horizon), Timeout: c.horizon, LateShare: 0.5,
-			Benefit: float64(max(1, 3-r.Rank)), Effect: brain.NonReplayable, Need: 1, Floor: c.floor, Tries: c.retries}
+			Benefit: float64(max(1, 3-r.Rank)), Effect: brain.NonIdempotent, Need: 1, Floor: c.floor, MaxAttempts: c.retries}
 		if c.idempotent {
-			t.Effect = brain.Replayable
+			t.Effect = brain.Idempotent
 		}
-		i = g.m.Grow([]brain.TableType{t}, 0)
+		i = g.m.AddTypes([]brain.TableType{t}, 0)
 		g.classes[c] = i
 	}
 	return i
@@ -115,7 +115,7 @@
 
 func (g *group) begin(r *Request, left time.Duration) {
 	g.enter(StepBegin)
-	g.m.At(g.l.now)
+	g.m.Advance(g.l.now)
 	g.busy++
 	if g.asleep {
 		g.asleep = false
@@ -146,14 +146,14 @@
 		return
 	}
 	g.enter(StepWoke)
-	g.m.At(g.l.now)
+	g.m.Advance(g.l.now)
 	g.m.Woke(token)
 	g.done()
 }
 
 func (g *group) left(r *Request) {
-	g.m.At(g.l.now)
-	g.m.Left(r.id)
+	g.m.Advance(g.l.now)
+	g.m.ClientLeft(r.id)
 	g.busy--
 	r.ended = true
 	delete(g.l.reqs, r.id)
@@ -164,7 +164,7 @@
 
 func (g *group) returned(d *Dispatch, out brain.Outcome, took time.Duration) {
 	g.enter(StepReturned)
-	g.m.At(g.l.now)
+	g.m.Advance(g.l.now)
 	d.host.out--
 	g.m.Returned(d.part.id, d.no, out, took)
 	g.release(d.host)
@@ -234,4 +234,4 @@
 func (p port) Wake(at time.Duration, token uint64) { p.g.l.timers.add(at, p.g, token) }
 func (p port) Renew(int)                           {}
 func (p port) Subscribe()                          {}
-func (p port) Tell([]byte)                         {}
+func (p port) Gossip([]byte)                       {}
--- a/request/invariants_test.go
+++ b/request/invariants_test.go
@@ -18,17 +18,17 @@
 func TestPlantedViolations(t *testing.T) {
 	for name, plant := range map[invariant.Name]func(l *Life, p *part, h *host){
 		invariant.NoRepeatAfterRun: func(l *Life, p *part, h *host) {
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.Cut}}
+			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.ConnectionLost}}
 			l.checkDispatch(p, h)
 		},
 		invariant.TriesWithinRetries: func(l *Life, p *part, h *host) {
 			p.req.Route.Idempotent, p.req.Route.Retries = true, 1
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.NoRoom}}
+			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.Overloaded}}
 			l.checkDispatch(p, h)
 		},
 		invariant.TriesWithinBudget: func(l *Life, p *part, h *host) {
 			p.req.Route.Idempotent = true
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.NoRoom}}
+			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.Overloaded}}
 			l.checkDispatch(p, h)
 		},
 		invariant.ReadySearcherChosen: func(l *Life, p *part, h *host) {
--- a/request/life.go
+++ b/request/life.go
@@ -122,7 +122,7 @@
 		switch d := a.Dispatch; {
 		case !d.out: // called off, and back before that could be carried out
 		case d.Request.ended && !a.Cancel:
-			l.Returned(d, brain.Stale, NotRead, nil) // its request ended in the very event that sent it
+			l.Returned(d, brain.Expired, NotRead, nil) // its request ended in the very event that sent it
 		default:
 			into = append(into, a)
 		}
@@ -204,9 +204,9 @@
 	}
 	if r := d.Request; !r.ended && reply != nil {
 		switch {
-		case out == brain.Pass && d.part.reply == nil:
+		case out == brain.Succeeded && d.part.reply == nil:
 			d.part.reply = reply
-		case out != brain.Pass:
+		case out != brain.Succeeded:
 			r.refuse = reply
 		}
 	}
--- a/request/list.go
+++ b/request/list.go
@@ -93,7 +93,7 @@
 		if len(of) == 0 {
 			continue
 		}
-		g.m.At(l.now)
+		g.m.Advance(l.now)
 		g.m.ListBegin(brain.Changes)
 		for _, k := range of {
 			g.entry(k)
@@ -130,7 +130,7 @@
 func (g *group) entry(k *host) {
 	if k != nil {
 		g.m.ListEntry(k.index, k.State, 1, brain.LongAgo, slices.Index(g.cells, k.Service))
-		g.m.Far(k.index, k.Far)
+		g.m.SetDistance(k.index, k.Far)
 	}
 }
 
--- a/request/misdirected_test.go
+++ b/request/misdirected_test.go
@@ -30,7 +30,7 @@
 				ids = append(ids, a.Dispatch.Host.ID)
 				now += ms
 				l.At(now)
-				l.Returned(a.Dispatch, brain.Pass, WasRead, &Reply{Status: 200, Seal: "seal"})
+				l.Returned(a.Dispatch, brain.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
 			}
 		}
 		must.NoError(t, l.Check())
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -48,7 +48,7 @@
 	h := &Host{ID: fmt.Sprint("i", w.births), Address: address, Service: service, Far: w.births % 3}
 	w.listed[h.ID] = h
 	if w.r.IntN(3) == 0 {
-		w.moods[h.ID] = brain.Outcome(w.r.IntN(int(brain.Stale) + 1))
+		w.moods[h.ID] = brain.Outcome(w.r.IntN(int(brain.Expired) + 1))
 	}
 }
 
@@ -90,9 +90,9 @@
 				w.after(30*ms, func() { w.listed[id] = h; w.tell() })
 			}
 		case 3:
-			w.moods[id] = brain.Outcome(w.r.IntN(int(brain.Stale) + 1))
+			w.moods[id] = brain.Outcome(w.r.IntN(int(brain.Expired) + 1))
 		case 4, 5:
-			w.moods[id] = brain.Pass
+			w.moods[id] = brain.Succeeded
 			h.Calls++ // it has reported again
 			delete(w.gone, id)
 		}
--- a/request/starved_test.go
+++ b/request/starved_test.go
@@ -33,7 +33,7 @@
 			if reply := (&Reply{Status: 200, Seal: a.Dispatch.Host.ID}); a.Dispatch.Host.Service == "a" {
 				l.Returned(a.Dispatch, out, MayRead, nil)
 			} else if !a.Cancel {
-				l.Returned(a.Dispatch, brain.Pass, WasRead, reply)
+				l.Returned(a.Dispatch, brain.Succeeded, WasRead, reply)
 			}
 		}
 		next, ok := l.Next()
@@ -60,7 +60,7 @@
 	for final == nil {
 		for _, a := range l.Take(nil) {
 			l.Misdirected(a.Dispatch.Host, true)
-			l.Returned(a.Dispatch, brain.NoRoute, WasRead, nil)
+			l.Returned(a.Dispatch, brain.Unreachable, WasRead, nil)
 		}
 		now, _ = l.Next()
 		l.At(now)
@@ -85,11 +85,11 @@
 		out   brain.Outcome
 		kind  Kind
 	}{
-		"may be repeated":                 {&single, brain.Cut, Refused},
-		"may run once, and has not run":   {&once, brain.Stale, Refused},
-		"gathered, enough parts are in":   {&gathered, brain.Cut, Gathered},
-		"gathered, all parts are wanted":  {&whole, brain.Cut, Refused},
-		"gathered, refused by a searcher": {&gathered, brain.Stale, Gathered},
+		"may be repeated":                 {&single, brain.ConnectionLost, Refused},
+		"may run once, and has not run":   {&once, brain.Expired, Refused},
+		"gathered, enough parts are in":   {&gathered, brain.ConnectionLost, Gathered},
+		"gathered, all parts are wanted":  {&whole, brain.ConnectionLost, Refused},
+		"gathered, refused by a searcher": {&gathered, brain.Expired, Gathered},
 	} {
 		t.Run(name, func(t *testing.T) {
 			final, at := starved(t, c.route, c.out)
@@ -116,7 +116,7 @@
 			l.At(l.now + 50*ms)
 			l.Begin(&Request{Route: route, Until: l.now + horizon, Done: func(Final) {}})
 			for i, a := range l.Take(nil) {
-				out := []brain.Outcome{brain.Cut, brain.Pass}[(n+i)%2]
+				out := []brain.Outcome{brain.ConnectionLost, brain.Succeeded}[(n+i)%2]
 				l.Returned(a.Dispatch, out, MayRead, &Reply{Status: 200, Seal: "seal"})
 			}
 		}
--- a/request/types.go
+++ b/request/types.go
@@ -22,7 +22,7 @@
 // Host is one life of a searcher.
 type Host struct {
 	ID, Address, Service string
-	State                brain.Standing
+	State                brain.SearcherState
 	Calls                uint64 // of its reports, as last told: it rises
 	Silent               bool   // it has not been heard of lately
 	Far                  int    // 0 in this zone, 1 in this region, 2 elsewhere
@@ -138,6 +138,6 @@
 type Counts struct {
 	Taken, Relayed, Gathered, Partial, Refused, Failed, Left int
 	Sent, Further                                            int
-	Outcomes                                                 [brain.Stale + 1]int
+	Outcomes                                                 [brain.Expired + 1]int
 	Far                                                      [3]int // dispatches, by how far they went
 }
--- a/request/vouch_test.go
+++ b/request/vouch_test.go
@@ -36,7 +36,7 @@
 		l.At(l.now + ms)
 		for _, a := range acts {
 			got[a.Dispatch.Host.ID] = a.Dispatch.Vouched
-			l.Returned(a.Dispatch, brain.Pass, WasRead, &Reply{Status: 200, Seal: "seal"})
+			l.Returned(a.Dispatch, brain.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
 		}
 	}
 	return got
--- a/request/world_test.go
+++ b/request/world_test.go
@@ -136,7 +136,7 @@
 		fmt.Fprintln(w.log, w.now, a.Dispatch.Host.ID, a.Cancel, a.Dispatch.Until)
 		if a.Cancel {
 			d := a.Dispatch
-			w.after(time.Duration(w.r.IntN(3))*ms, func() { w.back(d, brain.Undone, nil) })
+			w.after(time.Duration(w.r.IntN(3))*ms, func() { w.back(d, brain.Cancelled, nil) })
 			continue
 		}
 		w.dispatch(a.Dispatch)
@@ -183,29 +183,29 @@
 	took := time.Duration(5+w.r.ExpFloat64()*20) * ms
 	out := w.moods[d.Host.ID]
 	if w.r.IntN(12) == 0 {
-		out = brain.Outcome(w.r.IntN(int(brain.Stale) + 1))
+		out = brain.Outcome(w.r.IntN(int(brain.Expired) + 1))
 	}
 	var reply *Reply
 	switch out {
-	case brain.Pass:
+	case brain.Succeeded:
 		reply = w.reply(d, 200)
-	case brain.Fault:
+	case brain.Failed:
 		if w.r.IntN(2) == 0 { // else it is garbled
 			reply = w.reply(d, 500)
 		}
-	case brain.TooSlow:
+	case brain.TimedOut:
 		took = time.Hour
-	case brain.NoRoom, brain.NoRoute, brain.Stale:
+	case brain.Overloaded, brain.Unreachable, brain.Expired:
 		took /= 10
-	case brain.Undone:
-		out = brain.Cut
+	case brain.Cancelled:
+		out = brain.ConnectionLost
 	}
 	if now := d.Until - w.now; took >= now { // the sockets end it then
-		out, took, reply = brain.TooSlow, now, nil
+		out, took, reply = brain.TimedOut, now, nil
 	}
-	if w.fault == "false proof" && out == brain.Cut {
+	if w.fault == "false proof" && out == brain.ConnectionLost {
 		w.tries[d].ran = true
-		w.after(took, func() { w.back(d, brain.NoRoom, nil) })
+		w.after(took, func() { w.back(d, brain.Overloaded, nil) })
 		return
 	}
 	w.after(took, func() { w.back(d, out, reply) })
@@ -214,11 +214,11 @@
 // reading rolls whether a searcher has read a dispatch that ended so.
 func (w *world) reading(out brain.Outcome) Reading {
 	switch out {
-	case brain.Pass, brain.Fault, brain.NoRoom:
+	case brain.Succeeded, brain.Failed, brain.Overloaded:
 		return WasRead
-	case brain.Stale:
+	case brain.Expired:
 		return NotRead
-	case brain.NoRoute:
+	case brain.Unreachable:
 		return []Reading{WasRead, NotRead}[w.r.IntN(2)]
 	}
 	return MayRead
@@ -239,21 +239,21 @@
 		return
 	}
 	t.out = false
-	t.ran = t.ran || out != brain.NoRoom && out != brain.NoRoute && out != brain.Stale
+	t.ran = t.ran || out != brain.Overloaded && out != brain.Unreachable && out != brain.Expired
 	if reply != nil {
-		if out == brain.Pass {
+		if out == brain.Succeeded {
 			t.req.replies[reply] = t.host.Service
 		} else {
 			t.req.errors[reply] = true
 		}
 	}
-	if out == brain.NoRoute && w.r.IntN(2) == 0 { // another has its address
+	if out == brain.Unreachable && w.r.IntN(2) == 0 { // another has its address
 		w.gone[d.Host.ID] = w.now + astrayFor
 		w.l.Misdirected(d.Host, true)
 	}
 	w.l.Returned(d, out, w.reading(out), reply)
 	if w.r.IntN(20) == 0 {
-		w.l.Returned(d, brain.Pass, WasRead, w.reply(d, 200)) // a second end of the same counts for nothing
+		w.l.Returned(d, brain.Succeeded, WasRead, w.reply(d, 200)) // a second end of the same counts for nothing
 	}
 }
 
