--- a/brain/pick.go
+++ b/brain/pick.go
@@ -55,8 +55,8 @@
 }
 
 // ReceiveGossip handles another mixer's report that it loses parts on connections idle for the given steps, so that not each
-// of many mixers has to lose a scan to find out. Several mixers must agree within seconds, since a single one may be partitioned or
-// mistake hung searchers for it. The loss decays like a measured one. It can cost unnecessary handshakes.
+// of many mixers has to lose a scan to find out. Several mixers must agree within seconds, since a single one may be
+// partitioned or mistake hung searchers for it. The loss decays like a measured one. It can cost unnecessary handshakes.
 func (e *Engine) ReceiveGossip(from int, gossip []byte) {
 	for _, n := range gossip {
 		if n == 0 || int(n) >= len(e.idleLoss) {
