--- a/attempt/admit.go
+++ b/attempt/admit.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // The second stage: a scan that fits the settings and the open count goes to the module.
@@ -64,7 +64,7 @@
 	if !ok {
 		return 0, fmt.Errorf("path: unknown class %.60q", s.Query.Class)
 	}
-	if o.set.Brain.Types[ty].Effect == brain.IdempotentByKey && s.Query.Key == "" {
+	if o.set.Brain.Types[ty].Effect == policy.IdempotentByKey && s.Query.Key == "" {
 		return 0, fmt.Errorf("Idempotency-Key: missing")
 	}
 	if _, ok := o.book.byReq[s.Query.ID]; ok {
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/config"
 	"peathollow/internal/proto"
 	"peathollow/internal/standin"
+	"peathollow/policy"
 )
 
 // wires is the outside as a test plays it: connections whose events come when the test says so.
@@ -159,13 +159,13 @@
 	for i := range 4 {
 		hosts = append(hosts, proto.Host{Name: fmt.Sprint(i), Addr: "nowhere", Cell: i, Weight: 1})
 	}
-	o.List(brain.Full, proto.List{Hosts: hosts})
+	o.List(policy.Full, proto.List{Hosts: hosts})
 	s := &Scan{Query: q, Reply: func(Answer) {}}
 	o.Admit(s, 0)
 	o.flush()
 	pass := func(wire string) {
 		p := o.book.byWire[wire]
-		o.Answered(p.tries[0].lane, proto.Answer{ID: wire, End: brain.Succeeded}, false)
+		o.Answered(p.tries[0].lane, proto.Answer{ID: wire, End: policy.Succeeded}, false)
 	}
 	for i, want := range []int{4, 3, 2} {
 		if pass(fmt.Sprintf("x.%d", i)); o.book.open != want {
@@ -190,7 +190,7 @@
 	for _, sent := range []bool{false, true} {
 		o, _ := begin(t, nil)
 		s := onePart("x")
-		o.List(brain.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 1, Weight: 1}}})
+		o.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 1, Weight: 1}}})
 		o.Admit(s, 0)
 		if len(o.out) != 1 {
 			t.Fatalf("%d parts sent", len(o.out))
@@ -225,10 +225,10 @@
 		for j := range 4 {
 			l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i+1, ".", j), Addr: addr, Cell: j, Weight: 1})
 			if !l.Whole {
-				l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i, ".", j), State: brain.Gone})
+				l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i, ".", j), State: policy.Gone})
 			}
 		}
-		o.List(map[bool]brain.ListMode{false: brain.Changes, true: brain.Full}[l.Whole], l)
+		o.List(map[bool]policy.ListMode{false: policy.Changes, true: policy.Full}[l.Whole], l)
 		s := onePart(fmt.Sprint(i))
 		o.Admit(s, 0)
 		if o.flush(); len(o.fleet.srvs) > 16 || len(o.fleet.byName) > 12 {
@@ -261,7 +261,7 @@
 // behind the last answer let it take nothing new.
 func TestAnswersOutOfStep(t *testing.T) {
 	o, w := begin(t, nil)
-	o.List(brain.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1}, {Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
+	o.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1}, {Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
 	ask := func(id string) (*Scan, *Lane) {
 		s := onePart(id)
 		o.Admit(s, 0)
@@ -269,7 +269,7 @@
 		return s, s.parts[0].tries[0].lane
 	}
 	_, l := ask("x")
-	pass := proto.Answer{ID: "x.1", End: brain.Succeeded, Value: "v"}
+	pass := proto.Answer{ID: "x.1", End: policy.Succeeded, Value: "v"}
 	o.Answered(l, pass, false)
 	o.Answered(l, pass, false)
 	if l.retired || len(l.out) > 0 {
@@ -302,9 +302,9 @@
 // dropping it, so that its scan waits for an answer that was given. Only where an earlier dispatch of the part is
 // still to be answered on the connection is it taken for the answer to that.
 func TestAnAnswerOvertakesItsWrite(t *testing.T) {
-	for _, end := range []brain.Outcome{brain.Succeeded, brain.Failed, brain.Overloaded} {
+	for _, end := range []policy.Outcome{policy.Succeeded, policy.Failed, policy.Overloaded} {
 		o, w := begin(t, nil)
-		o.List(brain.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
+		o.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
 		s := onePart("x")
 		var got *Answer
 		s.Reply = func(a Answer) { got = &a }
@@ -313,7 +313,7 @@
 		p := s.parts[0]
 		w.conns[0].queue = nil // taken up; the write has not returned
 		o.Answered(p.tries[0].lane, proto.Answer{ID: "x.1", End: end, Value: "v"}, false)
-		if p.tries[0].out || end == brain.Succeeded && (got == nil || got.Kind != Completed) {
+		if p.tries[0].out || end == policy.Succeeded && (got == nil || got.Kind != Completed) {
 			t.Errorf("outcome %d: still out %v, answered %+v", end, p.tries[0].out, got)
 		}
 	}
@@ -333,7 +333,7 @@
 		{"over", false, false, true, [2]bool{}},
 	} {
 		o, w := begin(t, func(set *config.Settings) { set.Brain.MayHedge = c.copies })
-		o.List(brain.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
+		o.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
 		s := onePart("x")
 		o.Admit(s, 0)
 		o.flush()
--- a/attempt/book.go
+++ b/attempt/book.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // The last stage: what is held, and how it ends.
@@ -26,7 +26,7 @@
 // Tally counts what ended since it was last written to the log.
 type Tally struct {
 	Scans [Unfit + 1]int
-	Parts [brain.Expired + 1]int
+	Parts [policy.Expired + 1]int
 	Left  int // clients that went away
 	Full  int // scans beyond what may be held
 	Doubt int // dispatches whose connection went without a word of their end
@@ -71,8 +71,8 @@
 	at    time.Duration
 	until time.Duration
 	out   bool
-	never bool          // it is back, and is proved never to have run
-	end   brain.Outcome // how it ends once the frame that gives it up is written
+	never bool           // it is back, and is proved never to have run
+	end   policy.Outcome // how it ends once the frame that gives it up is written
 }
 
 func (b *book) id() uint64 {
@@ -158,26 +158,26 @@
 }
 
 // returnLater is returned for an end that is known at once: the module is never called from its own actions.
-func (o *Life) returnLater(p *part, no int, end brain.Outcome) {
+func (o *Life) returnLater(p *part, no int, end policy.Outcome) {
 	o.later = append(o.later, task{what: back, p: p, no: int32(no), end: end})
 }
 
 // returned books how a dispatch ended and tells the module.
-func (o *Life) returned(p *part, no int, end brain.Outcome) {
+func (o *Life) returned(p *part, no int, end policy.Outcome) {
 	t := &p.tries[no]
 	if !t.out {
 		return
 	}
 	t.out = false
-	t.never = end == brain.Overloaded || end == brain.Unreachable || end == brain.Expired
+	t.never = end == policy.Overloaded || end == policy.Unreachable || end == policy.Expired
 	p.live--
 	t.srv.live--
 	o.book.tally.Parts[end]++
-	if o.sees != nil && end == brain.Succeeded {
+	if o.sees != nil && end == policy.Succeeded {
 		o.sees.Carried()
 	}
 	if l := t.lane; l != nil {
-		l.drop(p, no, end == brain.Cancelled || end == brain.TimedOut, o.now)
+		l.drop(p, no, end == policy.Cancelled || end == policy.TimedOut, o.now)
 	}
 	o.m.Returned(p.id, no, end, o.now-t.at)
 	o.book.forget(p)
--- a/attempt/copy.go
+++ b/attempt/copy.go
@@ -5,13 +5,13 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // Rest is what a copy of a life has in place of what the first is bound to.
 type Rest struct {
 	Port  Port
-	Fresh func(brain.Actions, time.Duration) Decider
+	Fresh func(policy.Actions, time.Duration) Decider
 	Conn  func(was Conn, l *Lane) Conn
 	Scan  func(was, is *Scan) func(Answer) // gives the copy's Reply
 }
@@ -19,7 +19,7 @@
 // Copy makes a second life that has gone through the same, and shares nothing with the first but the settings. Its
 // decider comes from m, which is handed the copy to act on. The explorer goes on from a copy in as many ways as there
 // are; that a copy behaves as what was copied is checked there, by playing the whole way again.
-func (o *Life) Copy(r Rest, m func(act brain.Actions) Decider) *Life {
+func (o *Life) Copy(r Rest, m func(act policy.Actions) Decider) *Life {
 	n := &Life{lim: o.lim, set: o.set, port: r.Port, start: o.start, now: o.now, fresh: r.Fresh, stopAt: o.stopAt, version: o.version}
 	n.leave = n.flush
 	n.run = func() { n.do(n.next) }
--- a/attempt/explore/conn.go
+++ b/attempt/explore/conn.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"peathollow/attempt"
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // conn is one connection as its port tells it.
@@ -50,7 +50,7 @@
 
 func (c *conn) Send(calls []proto.Call) (uint64, bool) {
 	w := c.w
-	if r := w.readers[c.reader]; r.state != brain.Ready && w.now > r.toldAt {
+	if r := w.readers[c.reader]; r.state != policy.Ready && w.now > r.toldAt {
 		w.broke(drains, "%s is handed parts %v after it was told", c.name(), w.now-r.toldAt)
 	}
 	if c.shut || c.full() {
--- a/attempt/explore/copy.go
+++ b/attempt/explore/copy.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"peathollow/attempt"
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // copy is the same run so far, to go on with in another way. Nil with the real module, which is played again instead.
@@ -60,7 +60,7 @@
 			s.s = is
 			return func(a attempt.Answer) { n.reply(s, a) }
 		}},
-		func(act brain.Actions) attempt.Decider {
+		func(act policy.Actions) attempt.Decider {
 			n.free = w.free.copy(n, act)
 			return watch{n, n.free}
 		})
@@ -74,7 +74,7 @@
 	return n.sents[slices.Index(w.sents, x)]
 }
 
-func (d *free) copy(w *World, act brain.Actions) *free {
+func (d *free) copy(w *World, act policy.Actions) *free {
 	n := &free{w: w, act: act, now: d.now, parts: make(map[uint64]*fpart, len(d.parts)), readers: slices.Clone(d.readers)}
 	scans := map[*fscan]*fscan{}
 	scan := func(s *fscan) *fscan {
--- a/attempt/explore/events.go
+++ b/attempt/explore/events.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"peathollow/attempt"
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // label says what happens: at a connection, to a dispatch. It is put into words only when somebody reads it.
@@ -191,18 +191,18 @@
 		in(label{text: "the list says that reader " + readerName(i) + " ", more: what}, func() {
 			w.spend()
 			edit(&w.readers[i])
-			w.list(brain.Changes)
+			w.list(policy.Changes)
 		})
 	}
 	for i, r := range w.readers {
-		if r.state == brain.Ready {
-			change(i, "drains", func(r *reader) { r.state, r.toldAt = brain.Draining, w.now })
+		if r.state == policy.Ready {
+			change(i, "drains", func(r *reader) { r.state, r.toldAt = policy.Draining, w.now })
 		}
-		if r.state != brain.Gone {
-			change(i, "is gone", func(r *reader) { r.state, r.gone, r.toldAt = brain.Gone, true, w.now })
+		if r.state != policy.Gone {
+			change(i, "is gone", func(r *reader) { r.state, r.gone, r.toldAt = policy.Gone, true, w.now })
 		}
-		if r.gone && r.state == brain.Gone {
-			change(i, "is back at another address", func(r *reader) { r.state, r.moved = brain.Ready, true })
+		if r.gone && r.state == policy.Gone {
+			change(i, "is back at another address", func(r *reader) { r.state, r.moved = policy.Ready, true })
 		}
 	}
 }
--- a/attempt/explore/free.go
+++ b/attempt/explore/free.go
@@ -5,18 +5,18 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // free decides by choice: it does anything that its interface allows, and keeps the rules that are a decider's own: what
 // may go again, and what may be throttled or completed. What is found broken with it is the life's fault.
 type free struct {
 	w       *World
-	act     brain.Actions
+	act     policy.Actions
 	now     time.Duration
 	scans   []*fscan
 	parts   map[uint64]*fpart
-	readers []brain.SearcherState // by the life's index
+	readers []policy.SearcherState // by the life's index
 }
 
 type fscan struct {
@@ -48,28 +48,28 @@
 	never  bool
 }
 
-func newFree(w *World, act brain.Actions, now time.Duration) *free {
+func newFree(w *World, act policy.Actions, now time.Duration) *free {
 	return &free{w: w, act: act, now: now, parts: map[uint64]*fpart{}}
 }
 
 func (d *free) Advance(now time.Duration) { d.now = now }
-func (d *free) ListBegin(mode brain.ListMode) {
-	if mode == brain.Full {
+func (d *free) ListBegin(mode policy.ListMode) {
+	if mode == policy.Full {
 		for i := range d.readers {
-			d.readers[i] = brain.Gone
+			d.readers[i] = policy.Gone
 		}
 	}
 }
 
-func (d *free) ListEntry(i int, st brain.SearcherState, _ float64, _ time.Duration, _ int) {
+func (d *free) ListEntry(i int, st policy.SearcherState, _ float64, _ time.Duration, _ int) {
 	for len(d.readers) <= i {
-		d.readers = append(d.readers, brain.Gone)
+		d.readers = append(d.readers, policy.Gone)
 	}
 	d.readers[i] = st
 }
 
-func (d *free) ListEnd(brain.ListMode)          {}
-func (d *free) Forget(i int)                    { d.readers[i] = brain.Gone }
+func (d *free) ListEnd(policy.ListMode)         {}
+func (d *free) Forget(i int)                    { d.readers[i] = policy.Gone }
 func (d *free) Probed(int, time.Duration, bool) {}
 func (d *free) SetAdmission([]float64)          {}
 
@@ -96,18 +96,18 @@
 	}
 }
 
-func (d *free) Returned(id uint64, no int, out brain.Outcome, _ time.Duration) {
+func (d *free) Returned(id uint64, no int, out policy.Outcome, _ time.Duration) {
 	p := d.parts[id]
 	if p == nil {
 		return
 	}
 	t := &p.tries[no]
 	t.out = false
-	t.never = out == brain.Overloaded || out == brain.Unreachable || out == brain.Expired
+	t.never = out == policy.Overloaded || out == policy.Unreachable || out == policy.Expired
 	if p.over {
 		return
 	}
-	if out == brain.Succeeded {
+	if out == policy.Succeeded {
 		p.in = true
 	}
 	d.moment(p.s)
@@ -215,7 +215,7 @@
 		}
 		fresh := false
 		for srv, st := range d.readers {
-			if st != brain.Ready || slices.ContainsFunc(p.tries, func(t ftry) bool { return t.out && t.srv == srv }) {
+			if st != policy.Ready || slices.ContainsFunc(p.tries, func(t ftry) bool { return t.out && t.srv == srv }) {
 				continue // a copy goes to another reader
 			}
 			// Of readers that nothing tells apart one will do.
@@ -249,7 +249,7 @@
 	}
 	if d.w.may(fRenew) {
 		for srv, st := range d.readers {
-			if st != brain.Gone {
+			if st != policy.Gone {
 				put(50+srv, false, "renews the connections of reader", srv, nil, func() { d.w.spend(); d.act.Renew(srv) })
 			}
 		}
--- a/attempt/explore/setup.go
+++ b/attempt/explore/setup.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"peathollow/attempt"
-	"peathollow/brain"
 	"peathollow/internal/config"
+	"peathollow/policy"
 )
 
 // Setup is what is explored: sizes, rules of the table type, who decides, and what may go wrong.
@@ -130,7 +130,7 @@
 	return all
 }
 
-var effects = map[string]brain.Effect{"replayable": brain.Idempotent, "keyed": brain.IdempotentByKey, "nonreplayable": brain.NonIdempotent}
+var effects = map[string]policy.Effect{"replayable": policy.Idempotent, "keyed": policy.IdempotentByKey, "nonreplayable": policy.NonIdempotent}
 
 // The times of a run. They are the explorer's own: what matters is which comes first, and that some fall together.
 const (
@@ -159,10 +159,10 @@
 	return &config.Settings{
 		Types: map[string]int{"t": 0}, Tenants: map[string]int{"one": 0}, Shards: s.Parts, OpenMost: 100, Streams: 8,
 		Idle: time.Hour, Connect: half,
-		Brain: brain.Settings{Seed: 1, Mixers: 1, Shards: 1, ShardSpan: 1, PartsPerCall: 2, MaxAttempts: s.Tries,
+		Brain: policy.Settings{Seed: 1, Mixers: 1, Shards: 1, ShardSpan: 1, PartsPerCall: 2, MaxAttempts: s.Tries,
 			MayHedge: s.Copies > 1, MayCancel: true, MaxRetryAfter: time.Second, Granularity: time.Millisecond, ListInterval: time.Hour,
 			Quotas: []float64{1000},
-			Types: []brain.TableType{{Target: half, Timeout: wait, RepeatWindow: window, LateShare: 0.5, Benefit: 1,
+			Types: []policy.TableType{{Target: half, Timeout: wait, RepeatWindow: window, LateShare: 0.5, Benefit: 1,
 				Effect: effects[s.Effect], Need: 1, Floor: 0.5, SecondStep: second}}}}
 }
 
--- a/attempt/explore/words.go
+++ b/attempt/explore/words.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // What a connection does to what is sent on it, and what its reader says.
@@ -26,15 +26,15 @@
 			continue
 		}
 		if x.state == onWire {
-			say(label{c, "answers", x, ""}, func() { c.answer(x, brain.Succeeded, false) })
+			say(label{c, "answers", x, ""}, func() { c.answer(x, policy.Succeeded, false) })
 			if w.may(fBehind) {
-				say(label{c, "answers", x, ", with bytes right behind"}, func() { w.spend(); c.answer(x, brain.Succeeded, true) })
+				say(label{c, "answers", x, ", with bytes right behind"}, func() { w.spend(); c.answer(x, policy.Succeeded, true) })
 			}
 			if w.may(fRefuse) && !x.killed {
-				say(label{c, "turns", x, " away"}, func() { w.spend(); c.answer(x, brain.Overloaded, false) })
+				say(label{c, "turns", x, " away"}, func() { w.spend(); c.answer(x, policy.Overloaded, false) })
 			}
 			if w.may(fError) {
-				say(label{c, "answers", x, " with an error"}, func() { w.spend(); c.answer(x, brain.Failed, false) })
+				say(label{c, "answers", x, " with an error"}, func() { w.spend(); c.answer(x, policy.Failed, false) })
 			}
 			if w.may(fSpoilt) && !c.closing {
 				say(label{c, "answers", x, " unreadably"}, func() { w.spend(); c.end(errSpoilt) })
@@ -53,7 +53,7 @@
 	if w.may(fStranger) && c.writ > 0 {
 		say(label{c: c, text: "answers what was never asked there"}, func() {
 			w.spend()
-			w.life.Answered(c.l, proto.Answer{ID: "nobody.0", End: brain.Succeeded}, false)
+			w.life.Answered(c.l, proto.Answer{ID: "nobody.0", End: policy.Succeeded}, false)
 		})
 	}
 }
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *conn) answer(x *sent, end brain.Outcome, more bool) {
+func (c *conn) answer(x *sent, end policy.Outcome, more bool) {
 	// It has read what came before.
 	c.heardTo(x.seq)
 	x.state, x.end = answered, end
@@ -168,13 +168,13 @@
 	c.finish(n)
 	after := c.writ
 	c.writ = before
-	c.answer(x, brain.Succeeded, false)
+	c.answer(x, policy.Succeeded, false)
 	c.writ = max(c.writ, after)
 }
 
-func (c *conn) hear(x *sent, end brain.Outcome, more bool) {
+func (c *conn) hear(x *sent, end policy.Outcome, more bool) {
 	value := fmt.Sprintf("%d.%d.%d.%d", x.scan.nr, x.step, x.shard, x.nr)
-	if end == brain.Succeeded {
+	if end == policy.Succeeded {
 		x.scan.in = append(x.scan.in, came{x.step, x.shard, value})
 	}
 	c.w.life.Answered(c.l, proto.Answer{ID: x.wire, End: end, Value: value, Score: 1}, more)
--- a/attempt/explore/world.go
+++ b/attempt/explore/world.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"peathollow/attempt"
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // World is one run: the life that is explored, its decider, and the outside with all that truly happened there. Every
@@ -19,7 +19,7 @@
 	life *attempt.Life
 	ask  func(n int, label func(int) string) int
 	free *free // nil with the real module
-	real *brain.Engine
+	real *policy.Engine
 
 	now     time.Duration
 	inBatch bool
@@ -84,7 +84,7 @@
 
 // reader is a searcher as the list has it.
 type reader struct {
-	state  brain.SearcherState
+	state  policy.SearcherState
 	moved  bool          // it came back at another address
 	gone   bool          // once
 	toldAt time.Duration // that it drains or is gone
@@ -112,8 +112,8 @@
 	step      int
 	nr        int // of the dispatches of its part that left the mixer's hands
 	state     state
-	end       brain.Outcome // of the answer
-	at        time.Duration // when it was written whole
+	end       policy.Outcome // of the answer
+	at        time.Duration  // when it was written whole
 	wrote     bool
 	killed    bool // a frame that gives it up is written behind it
 	twice     bool
@@ -134,7 +134,7 @@
 
 // mayHaveRun: it was written whole, and not turned away.
 func (x *sent) mayHaveRun() bool {
-	return x.wrote && (x.state != answered || x.end != brain.Overloaded)
+	return x.wrote && (x.state != answered || x.end != policy.Overloaded)
 }
 
 // mayHaveRun tells that any part of a scan may have run.
@@ -155,19 +155,19 @@
 // begin hands over the list and the scan; its choices are the first of a run.
 func (w *World) begin() {
 	w.open()
-	w.guard(func() { w.list(brain.Full) })
+	w.guard(func() { w.list(policy.Full) })
 	w.life.Begin()
 	w.submit("x")
 	w.close()
 }
 
-func (w *World) decider(act brain.Actions, now time.Duration) attempt.Decider {
+func (w *World) decider(act policy.Actions, now time.Duration) attempt.Decider {
 	w.free, w.real = nil, nil
 	if w.set.Decider == "free" {
 		w.free = newFree(w, act, now)
 		return watch{w, w.free}
 	}
-	w.real = brain.New(w.set.cfg.Brain, asked{act, w}, now)
+	w.real = policy.New(w.set.cfg.Brain, asked{act, w}, now)
 	return watch{w, w.real}
 }
 
@@ -240,9 +240,9 @@
 }
 
 // list tells the life what the readers are.
-func (w *World) list(mode brain.ListMode) {
+func (w *World) list(mode policy.ListMode) {
 	w.listed++
-	l := proto.List{Version: w.listed, Whole: mode == brain.Full}
+	l := proto.List{Version: w.listed, Whole: mode == policy.Full}
 	for i, r := range w.readers {
 		addr := readerName(i)
 		if r.moved {
@@ -291,14 +291,14 @@
 	attempt.Decider
 }
 
-func (d watch) Returned(id uint64, no int, out brain.Outcome, took time.Duration) {
-	d.w.returned(id, no, out == brain.Overloaded || out == brain.Unreachable || out == brain.Expired)
+func (d watch) Returned(id uint64, no int, out policy.Outcome, took time.Duration) {
+	d.w.returned(id, no, out == policy.Overloaded || out == policy.Unreachable || out == policy.Expired)
 	d.Decider.Returned(id, no, out, took)
 }
 
 // asked notes what the real module wants sent.
 type asked struct {
-	brain.Actions
+	policy.Actions
 	w *World
 }
 
--- a/attempt/life.go
+++ b/attempt/life.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/config"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // Limits bound what is held.
@@ -61,15 +61,15 @@
 }
 
 // Decider is what decides on all that is in hand: the module, or what the explorer puts in its place. It acts through
-// the brain.Actions it was given, within these calls.
+// the policy.Actions it was given, within these calls.
 type Decider interface {
 	Advance(now time.Duration)
-	ListBegin(mode brain.ListMode)
-	ListEntry(i int, st brain.SearcherState, weight float64, started time.Duration, cell int)
-	ListEnd(mode brain.ListMode)
+	ListBegin(mode policy.ListMode)
+	ListEntry(i int, st policy.SearcherState, weight float64, started time.Duration, cell int)
+	ListEnd(mode policy.ListMode)
 	Scan(id, no uint64, class, tenant int, left, work time.Duration, parts int, repeat bool)
 	Part(id, no uint64, shard int, weight float64)
-	Returned(id uint64, no int, out brain.Outcome, took time.Duration)
+	Returned(id uint64, no int, out policy.Outcome, took time.Duration)
 	ClientLeft(id uint64)
 	Woke(token uint64)
 	Forget(i int)
@@ -92,7 +92,7 @@
 	port  Port
 	start time.Time // what times are counted from; never read as a clock
 	now   time.Duration
-	fresh func(brain.Actions, time.Duration) Decider
+	fresh func(policy.Actions, time.Duration) Decider
 	m     Decider
 
 	ready  []task // results of the batch before, while the next opens
@@ -112,14 +112,14 @@
 
 // New makes one that holds nothing. Times are counted from start.
 func New(set *config.Settings, lim Limits, port Port, start time.Time) *Life {
-	return NewWith(set, lim, port, start, func(act brain.Actions, now time.Duration) Decider {
-		return brain.New(set.Brain, act, now)
+	return NewWith(set, lim, port, start, func(act policy.Actions, now time.Duration) Decider {
+		return policy.New(set.Brain, act, now)
 	})
 }
 
 // NewWith makes one that something else than the module decides for; fresh is called again after a panic.
 func NewWith(set *config.Settings, lim Limits, port Port, start time.Time,
-	fresh func(act brain.Actions, now time.Duration) Decider) *Life {
+	fresh func(act policy.Actions, now time.Duration) Decider) *Life {
 	o := &Life{lim: lim, set: set, port: port, start: start, fresh: fresh, book: newBook(), fleet: newFleet()}
 	o.leave = o.flush
 	o.run = func() { o.do(o.next) }
@@ -130,7 +130,7 @@
 // Watch has somebody told what comes and how it ends, from now on.
 func (o *Life) Watch(w Witness) { o.sees = w }
 
-// Let hands the module what the fleet as one has room for, see brain.Engine.SetAdmission.
+// Let hands the module what the fleet as one has room for, see policy.Engine.SetAdmission.
 func (o *Life) Let(shares []float64) { o.m.SetAdmission(shares) }
 
 // Begin starts what is done again and again, once the list last known was handed over.
@@ -206,7 +206,7 @@
 // Hosts are the searchers there are, in the order of their places.
 func (o *Life) Hosts() (hosts []proto.Host) {
 	for _, s := range o.fleet.srvs {
-		if s.host.Name != "" && s.host.State != brain.Gone {
+		if s.host.Name != "" && s.host.State != policy.Gone {
 			hosts = append(hosts, s.host)
 		}
 	}
@@ -219,7 +219,7 @@
 // Beside puts something that is no part on a connection to a searcher, one that is up if there is any.
 func (o *Life) Beside(name string, put func(Conn) bool) bool {
 	i, ok := o.fleet.byName[name]
-	if !ok || o.fleet.srvs[i].host.State == brain.Gone {
+	if !ok || o.fleet.srvs[i].host.State == policy.Gone {
 		return false
 	}
 	s := o.fleet.srvs[i]
--- a/attempt/relay.go
+++ b/attempt/relay.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // The fifth stage: what searchers say goes to the module, and what it settles becomes the client's answer.
@@ -30,10 +30,10 @@
 	}
 	// A quick searcher's answer is read before the write of its frame has returned, and counts. But not written yet and
 	// not begun, or with the end of an earlier dispatch due here that was given up without a receipt, it is that one's.
-	if t := &p.tries[no]; !l.conn.Ran(t.seq) && (!l.conn.Begun(t.seq) || a.End != brain.Succeeded && l.past.due(a.ID)) {
+	if t := &p.tries[no]; !l.conn.Ran(t.seq) && (!l.conn.Begun(t.seq) || a.End != policy.Succeeded && l.past.due(a.ID)) {
 		// A value counts all the same, and what waits is not to leave any more.
 		l.past.heard(a.ID)
-		if a.End != brain.Succeeded || !t.takeBack(p) {
+		if a.End != policy.Succeeded || !t.takeBack(p) {
 			return
 		}
 	}
@@ -48,7 +48,7 @@
 		slices.Sort(before)
 		o.Told(l, before)
 	}
-	if a.End == brain.Succeeded && !p.in && !p.over {
+	if a.End == policy.Succeeded && !p.in && !p.over {
 		p.in, p.value, p.score = true, a.Value, a.Score
 		o.book.open--
 	}
@@ -61,16 +61,16 @@
 // ran. What was is known to have ended only with the searcher's own end, and stays out till then where it may go
 // elsewhere and copies are barred.
 func (o *Life) Closing(l *Lane, why error) {
-	l.retired, l.ended, l.lost = true, true, brain.ConnectionLost
+	l.retired, l.ended, l.lost = true, true, policy.ConnectionLost
 	if errors.Is(why, proto.ErrMute) {
-		l.lost = brain.Cancelled // by this mixer
+		l.lost = policy.Cancelled // by this mixer
 	}
 	if len(l.out) > 0 {
 		o.port.Lost(l.s.host.Name, len(l.out), why)
 	}
 	for _, p := range l.held() {
 		if no := l.out[p]; !l.conn.Ran(p.tries[no].seq) {
-			o.returned(p, no, brain.Unreachable)
+			o.returned(p, no, policy.Unreachable)
 		} else if !o.single(p) {
 			o.returned(p, no, p.tries[no].lostAs())
 		}
@@ -100,8 +100,8 @@
 }
 
 // lostAs is how a dispatch ends that was out on a connection when that broke.
-func (t *try) lostAs() brain.Outcome {
-	if t.end != brain.Expired {
+func (t *try) lostAs() policy.Outcome {
+	if t.end != policy.Expired {
 		return t.end
 	}
 	return t.lane.lost
--- a/attempt/route.go
+++ b/attempt/route.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // The third stage: searchers, their connections, and which of these a dispatch takes.
@@ -36,9 +36,9 @@
 	used    time.Duration
 	heard   time.Duration // when its searcher last said anything on it
 	retired bool
-	ended   bool          // nothing more is sent or believed; what is out waits for the searcher's end
-	gone    bool          // the connection is closed
-	lost    brain.Outcome // how what was out when it ended has ended
+	ended   bool           // nothing more is sent or believed; what is out waits for the searcher's end
+	gone    bool           // the connection is closed
+	lost    policy.Outcome // how what was out when it ended has ended
 }
 
 // killed is a dispatch on its way to be given up.
@@ -131,21 +131,21 @@
 }
 
 // List hands the module what discovery told.
-func (o *Life) List(mode brain.ListMode, l proto.List) {
+func (o *Life) List(mode policy.ListMode, l proto.List) {
 	o.m.ListBegin(mode)
-	if mode == brain.Unavailable {
+	if mode == policy.Unavailable {
 		o.port.Silent()
 		return
 	}
-	if mode != brain.Changes {
+	if mode != policy.Changes {
 		for _, s := range o.fleet.srvs {
-			s.host.State = brain.Gone
+			s.host.State = policy.Gone
 		}
 	}
 	for _, h := range l.Hosts {
 		i, ok := o.fleet.byName[h.Name]
 		if !ok {
-			if h.State == brain.Gone {
+			if h.State == policy.Gone {
 				continue
 			}
 			i = o.fleet.place(h.Name)
@@ -183,7 +183,7 @@
 // their places go to others. Against tables that grow all day where searchers are replaced under new names.
 func (o *Life) clear() {
 	for i, s := range o.fleet.srvs {
-		if s.host.Name == "" || s.host.State != brain.Gone {
+		if s.host.Name == "" || s.host.State != policy.Gone {
 			continue
 		}
 		o.Renew(i)
@@ -198,7 +198,7 @@
 
 func (o *Life) entry(i int) {
 	h := &o.fleet.srvs[i].host
-	started := brain.LongAgo
+	started := policy.LongAgo
 	if !h.Born.IsZero() {
 		started = h.Born.Sub(o.start)
 	}
@@ -207,13 +207,13 @@
 
 // relist tells a module that starts anew what is known.
 func (o *Life) relist() {
-	o.m.ListBegin(brain.Cached)
+	o.m.ListBegin(policy.Cached)
 	for i, s := range o.fleet.srvs {
 		if s.host.Name != "" {
 			o.entry(i)
 		}
 	}
-	o.m.ListEnd(brain.Cached)
+	o.m.ListEnd(policy.Cached)
 }
 
 // lane finds a connection with room, or opens one. Where the limits allow no further one, parts wait on the one
--- a/attempt/send.go
+++ b/attempt/send.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // The fourth stage: dispatches leave as frames, and are given up.
@@ -25,7 +25,7 @@
 		return
 	}
 	s := o.fleet.srvs[srv]
-	p.tries = append(p.tries, try{srv: s, at: o.now, until: until, out: true, end: brain.Expired})
+	p.tries = append(p.tries, try{srv: s, at: o.now, until: until, out: true, end: policy.Expired})
 	p.live++
 	s.live++
 	o.out = append(o.out, sending{p, len(p.tries) - 1})
@@ -49,7 +49,7 @@
 // unwanted tells that a dispatch was overtaken by the end of its scan or was called off within its batch.
 func (p *part) unwanted(no int) bool {
 	t := &p.tries[no]
-	return !t.out || t.end != brain.Expired || p.over
+	return !t.out || t.end != policy.Expired || p.over
 }
 
 func (o *Life) send(srv *searcher, call []sending) {
@@ -66,7 +66,7 @@
 		q := &c.p.scan.Query
 		calls[i] = proto.Call{ID: c.p.wire, Shard: c.p.shard, Text: q.Text,
 			Until: o.start.Add(c.p.tries[c.no].until)}
-		if o.set.Brain.Types[c.p.scan.class].Effect == brain.IdempotentByKey {
+		if o.set.Brain.Types[c.p.scan.class].Effect == policy.IdempotentByKey {
 			calls[i].Key = q.Key
 		}
 		if c.p.scan.step > 0 {
@@ -80,7 +80,7 @@
 	}
 	for _, c := range call {
 		if !ok { // no connection may be had, or this one takes no more: it never left
-			o.returnLater(c.p, c.no, brain.Unreachable)
+			o.returnLater(c.p, c.no, policy.Unreachable)
 			continue
 		}
 		t := &c.p.tries[c.no]
@@ -96,22 +96,22 @@
 // Cancel is an action of the module.
 func (o *Life) Cancel(id uint64, no int) {
 	if p := o.book.parts[id]; p != nil && no < len(p.tries) {
-		o.giveUp(p, no, brain.Cancelled)
+		o.giveUp(p, no, policy.Cancelled)
 	}
 }
 
 // giveUp stops waiting for a dispatch. Its end is told once the searcher is known to have heard, where the part may
 // go elsewhere and copies are barred: nothing orders what is written on two connections, and what goes out elsewhere
 // before that may be a second copy.
-func (o *Life) giveUp(p *part, no int, end brain.Outcome) {
+func (o *Life) giveUp(p *part, no int, end policy.Outcome) {
 	t := &p.tries[no]
-	if !t.out || t.end != brain.Expired {
+	if !t.out || t.end != policy.Expired {
 		return
 	}
 	t.end = end
 	switch {
 	case t.takeBack(p):
-		o.returnLater(p, no, brain.Expired)
+		o.returnLater(p, no, policy.Expired)
 	case !o.set.Brain.MayCancel:
 		o.returnLater(p, no, end)
 	case t.lane.ended:
@@ -131,7 +131,7 @@
 // windowEnd is when a further dispatch of a keyed part must have left, if an earlier one may have run.
 func (o *Life) windowEnd(p *part, no int) (by time.Duration, ok bool) {
 	ty := &o.set.Brain.Types[p.scan.class]
-	if ty.Effect != brain.IdempotentByKey {
+	if ty.Effect != policy.IdempotentByKey {
 		return 0, false
 	}
 	for i := range no {
@@ -154,9 +154,9 @@
 		t.lane.conn.Fail(errWindow)
 		return
 	}
-	if t.end == brain.Expired {
-		t.end = brain.Cancelled
-		o.returnLater(p, no, brain.Expired)
+	if t.end == policy.Expired {
+		t.end = policy.Cancelled
+		o.returnLater(p, no, policy.Expired)
 	}
 }
 
@@ -169,7 +169,7 @@
 func (o *Life) recall(p *part) {
 	for no := range p.tries {
 		if t := &p.tries[no]; t.out && t.takeBack(p) {
-			o.returnLater(p, no, brain.Expired)
+			o.returnLater(p, no, policy.Expired)
 		}
 	}
 }
--- a/attempt/state.go
+++ b/attempt/state.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // What is in hand, told from outside: for the explorer, which must know two states that behave alike as one, and for
@@ -201,7 +201,7 @@
 func (e *encoder) try(p *part, t *try) {
 	e.flag(t.out)
 	if e.flag(t.never); !t.out {
-		if e.o.set.Brain.Types[p.scan.class].Effect == brain.IdempotentByKey {
+		if e.o.set.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
 			e.time(t.at)
 		}
 		return // it is back, and nobody looks at anything else of it
@@ -210,7 +210,7 @@
 	e.byte(byte(slices.Index(e.n.Searchers, t.srv.host.Name)))
 	i, ok := e.o.fleet.byName[t.srv.host.Name]
 	e.flag(ok && e.o.fleet.srvs[i] == t.srv)
-	if e.n.Took || e.o.set.Brain.Types[p.scan.class].Effect == brain.IdempotentByKey {
+	if e.n.Took || e.o.set.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
 		e.time(t.at)
 	}
 	switch {
@@ -250,7 +250,7 @@
 	switch t.what {
 	case tooSlow:
 		y := &t.p.tries[t.no]
-		return !y.out || y.end != brain.Expired
+		return !y.out || y.end != policy.Expired
 	case tooLate:
 		y := &t.p.tries[t.no]
 		return !y.out || y.lane == nil || y.lane.ended || y.lane.conn.Ran(y.seq)
--- a/attempt/timers.go
+++ b/attempt/timers.go
@@ -4,13 +4,13 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // task is something that is to be done later. It is data and no closure, so that what is in hand can be told.
 type task struct {
 	what  work
-	end   brain.Outcome
+	end   policy.Outcome
 	no    int32
 	p     *part
 	s     *Scan
@@ -35,7 +35,7 @@
 	case wake:
 		o.m.Woke(t.token)
 	case tooSlow:
-		o.giveUp(t.p, int(t.no), brain.TimedOut)
+		o.giveUp(t.p, int(t.no), policy.TimedOut)
 	case tooLate:
 		o.overWindow(t.p, int(t.no))
 	case back:
--- a/fleet/fleetsim/load.go
+++ b/fleet/fleetsim/load.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/fleet/overload"
 	"peathollow/lab/reader"
+	"peathollow/policy"
 )
 
 // Load is what clients ask for, and what there is to serve it.
@@ -78,7 +78,7 @@
 	l := &load{w: w, set: set, out: map[uint64]func(reader.End){}, dice: rand.New(rand.NewPCG(w.set.Seed, 99)),
 		due: make([]time.Duration, set.Readers), got: map[string]*Got{}, colds: make([]cold, set.Readers)}
 	for i := range set.Readers {
-		l.colds[i].from = brain.LongAgo
+		l.colds[i].from = policy.LongAgo
 		r, err := reader.New(reader.Settings{Cores: 2, Room: int(3 * set.Pace), Restart: restart, Cold: set.Cold.For,
 			ColdPace: set.Cold.Share})
 		if err != nil {
@@ -227,7 +227,7 @@
 func (l *load) count(i int) {
 	c, set := &l.colds[i], l.set.Cold
 	now := l.w.now
-	if set.For == 0 || c.from == brain.LongAgo || now-c.from > set.For {
+	if set.For == 0 || c.from == policy.LongAgo || now-c.from > set.For {
 		return
 	}
 	c.at = append(slices.DeleteFunc(c.at, func(t time.Duration) bool { return t <= now-set.Span }), now)
--- a/fleet/fleetsim/mixer.go
+++ b/fleet/fleetsim/mixer.go
@@ -4,16 +4,16 @@
 	"math"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/fleet/overload"
 	"peathollow/lab/reader"
+	"peathollow/policy"
 )
 
 // mixer is the real module of one life of a node, with what it has in hand.
 type mixer struct {
 	n     *Node
 	life  int
-	m     *brain.Engine
+	m     *policy.Engine
 	ids   uint64
 	scans map[uint64]*scan
 	parts map[uint64]*part
@@ -46,7 +46,7 @@
 func newMixer(n *Node) *mixer {
 	l := n.w.load
 	m := &mixer{n: n, life: n.life, scans: map[uint64]*scan{}, parts: map[uint64]*part{}, room: math.Inf(1), meter: overload.NewMeter(l.kinds)}
-	set := brain.Settings{Seed: n.w.set.Seed*1000 + n.Inc, Instance: n.i, Mixers: n.w.set.Mixers, Shards: l.set.Readers, ShardSpan: 2,
+	set := policy.Settings{Seed: n.w.set.Seed*1000 + n.Inc, Instance: n.i, Mixers: n.w.set.Mixers, Shards: l.set.Readers, ShardSpan: 2,
 		PartsPerCall: 1, MaxAttempts: 3, MayHedge: true, RetryAdvice: true, MaxRetryAfter: 5 * time.Second, MayCancel: true,
 		Granularity: 5 * time.Millisecond, ListInterval: 10 * time.Second, WarmUp: l.set.Cold.For, OverloadSpan: l.set.Cold.Span,
 		ColdShare: l.set.Cold.Share, OverloadMultiple: l.set.Cold.Multiple}
@@ -54,29 +54,29 @@
 		set.WarmUp, set.OverloadSpan = 0, 0
 	}
 	for _, b := range worth {
-		set.Types = append(set.Types, brain.TableType{Target: target, Timeout: timeout, Benefit: b, Need: 1, Floor: 1})
+		set.Types = append(set.Types, policy.TableType{Target: target, Timeout: timeout, Benefit: b, Need: 1, Floor: 1})
 	}
 	for _, t := range l.set.Tenants {
 		set.Quotas = append(set.Quotas, t.Share)
 	}
-	m.m = brain.New(set, m, 0)
-	m.m.ListBegin(brain.Full)
+	m.m = policy.New(set, m, 0)
+	m.m.ListBegin(policy.Full)
 	for i := range l.readers {
 		from := l.colds[i].from
-		if from != brain.LongAgo {
+		if from != policy.LongAgo {
 			from -= n.born
 		}
-		m.m.ListEntry(i, brain.Ready, 1, from, i)
+		m.m.ListEntry(i, policy.Ready, 1, from, i)
 	}
-	m.m.ListEnd(brain.Full)
+	m.m.ListEnd(policy.Full)
 	return m
 }
 
 // told is the list's word that a searcher has started anew.
 func (m *mixer) told(i int, from time.Duration) {
-	m.m.ListBegin(brain.Changes)
-	m.m.ListEntry(i, brain.Ready, 1, from-m.n.born, i)
-	m.m.ListEnd(brain.Changes)
+	m.m.ListBegin(policy.Changes)
+	m.m.ListEntry(i, policy.Ready, 1, from-m.n.born, i)
+	m.m.ListEnd(policy.Changes)
 }
 
 // in has the module take an event, now or when its process wakes; never after its life.
@@ -140,18 +140,18 @@
 	m.n.w.after(trip/2, func() {
 		var ok bool
 		t.id, ok = l.arrive(srv, t.until, func(how reader.End) {
-			m.back(id, no, map[reader.End]brain.Outcome{reader.Done: brain.Succeeded, reader.Refused: brain.Overloaded, reader.Late: brain.TimedOut,
-				reader.Lost: brain.ConnectionLost}[how])
+			m.back(id, no, map[reader.End]policy.Outcome{reader.Done: policy.Succeeded, reader.Refused: policy.Overloaded, reader.Late: policy.TimedOut,
+				reader.Lost: policy.ConnectionLost}[how])
 		})
 		if !ok {
-			m.n.w.after(trip/2, func() { m.back(id, no, brain.Unreachable) })
+			m.n.w.after(trip/2, func() { m.back(id, no, policy.Unreachable) })
 		}
 	})
-	m.n.w.after(max(0, t.until-m.n.w.now), func() { m.back(id, no, brain.TimedOut) })
+	m.n.w.after(max(0, t.until-m.n.w.now), func() { m.back(id, no, policy.TimedOut) })
 }
 
 // back is the end of a dispatch; the first that is told counts.
-func (m *mixer) back(id uint64, no int, out brain.Outcome) {
+func (m *mixer) back(id uint64, no int, out policy.Outcome) {
 	m.in(func() {
 		p := m.parts[id]
 		if p == nil || !p.tries[no].out {
@@ -159,7 +159,7 @@
 		}
 		t := p.tries[no]
 		t.out = false
-		if out == brain.Succeeded {
+		if out == policy.Succeeded {
 			m.meter.Carried()
 		}
 		m.m.Returned(id, no, out, m.n.w.now-t.at)
@@ -172,7 +172,7 @@
 		if l := m.n.w.load; l.out[t.id] != nil && l.readers[t.srv].Drop(m.n.w.now, t.id) {
 			delete(l.out, t.id)
 			l.look(t.srv)
-			m.n.w.after(trip/2, func() { m.back(id, no, brain.Cancelled) })
+			m.n.w.after(trip/2, func() { m.back(id, no, policy.Cancelled) })
 		}
 	})
 }
--- a/fleet/mind.go
+++ b/fleet/mind.go
@@ -177,7 +177,7 @@
 }
 
 // Advice is what the module is to know of the fleet: the share of each kind of scan that there is room for, see
-// brain.Engine.SetAdmission; nil where nothing is known or there is room for all. An instance without a majority is on its own.
+// policy.Engine.SetAdmission; nil where nothing is known or there is room for all. An instance without a majority is on its own.
 func (m *Mind) Advice() (let []float64, mood overload.Mood, room float64) {
 	if !m.View.May(view.Count) {
 		m.judge.Forget()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/proto"
 	"peathollow/internal/standin"
+	"peathollow/policy"
 )
 
 func text(t *testing.T) string {
@@ -31,7 +31,7 @@
 	}
 	s := c.Settings
 	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || s.Streams != 8 || s.Idle != 15*time.Second || !s.Brain.MayCancel ||
-		s.Shards != 8 || len(s.Brain.Types) != 4 || s.Brain.Types[0].SecondStep != 2 || s.Brain.Types[3].Effect != brain.NonIdempotent ||
+		s.Shards != 8 || len(s.Brain.Types) != 4 || s.Brain.Types[0].SecondStep != 2 || s.Brain.Types[3].Effect != policy.NonIdempotent ||
 		s.Brain.Quotas[0] != 1000 || s.Tenants["acme"] != 0 || s.Types["keyed"] != 2 {
 		t.Errorf("%+v", c)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // Settings is what an instance is told of its deployment: the module's part of it, the names by which clients
 // call things, and the facts that only a mixer on sockets needs.
 type Settings struct {
-	Brain          brain.Settings
+	Brain          policy.Settings
 	Types, Tenants map[string]int
 	Shards         int
 	OpenMost       int
@@ -99,12 +99,12 @@
 	return x
 }
 
-var effects = map[string]brain.Effect{"free": brain.Idempotent, "guarded": brain.IdempotentByKey, "single_shot": brain.NonIdempotent}
+var effects = map[string]policy.Effect{"free": policy.Idempotent, "guarded": policy.IdempotentByKey, "single_shot": policy.NonIdempotent}
 
 // Read takes settings as path and value, the form of the bench's wire, for an instance with that seed.
 func Read(kv map[string]string, seed uint64) (Settings, error) {
 	c := &conf{kv: kv}
-	s := brain.Settings{Seed: seed, Instance: c.int("me"), Mixers: c.int("balancers"),
+	s := policy.Settings{Seed: seed, Instance: c.int("me"), Mixers: c.int("balancers"),
 		Shards: c.int("domain.places"), ShardSpan: c.int("domain.width"), PartsPerCall: c.int("domain.bundleMax"),
 		MaxAttempts: c.int("limits.attemptsCap"),
 		MayHedge:    c.bool("limits.secondCopies"), RetryAdvice: c.bool("limits.retryAfter"),
@@ -126,7 +126,7 @@
 		if !ok {
 			c.fail(at+"semantics", "unreadable")
 		}
-		t := brain.TableType{Target: c.span(at + "objective"), Timeout: c.span(at + "deadline"),
+		t := policy.TableType{Target: c.span(at + "objective"), Timeout: c.span(at + "deadline"),
 			RepeatWindow: Span(c.maybe(at + "keyTtl")), LateShare: c.float(at + "lateWorth"),
 			Benefit: c.float(at + "points"), Stretch: c.maybe(at + "aimStretch"), Effect: kind,
 			Need: c.nth("domain.wholeAt", i), Floor: c.nth("domain.floorByClass", i),
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // Limits are the sizes and times of the watch.
@@ -80,7 +80,7 @@
 var errOld = errors.New("an older version than before")
 
 // Run follows the list until the context ends and hands on what it is told, in order.
-func (w *Watcher) Run(ctx context.Context, tell func(brain.ListMode, proto.List)) {
+func (w *Watcher) Run(ctx context.Context, tell func(policy.ListMode, proto.List)) {
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
 		w.mu.Lock()
@@ -101,7 +101,7 @@
 }
 
 // follow starts with the whole list: versions of one service owe nothing to those of another.
-func (w *Watcher) follow(ctx context.Context, addr string, tell func(brain.ListMode, proto.List)) {
+func (w *Watcher) follow(ctx context.Context, addr string, tell func(policy.ListMode, proto.List)) {
 	tr := &http.Transport{MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, DisableCompression: true}
 	defer tr.CloseIdleConnections()
 	at := watch{addr: addr, lim: w.lim, http: http.Client{Transport: tr}}
@@ -113,7 +113,7 @@
 		if err != nil {
 			// Only a version that went back makes the list held worthless; a silent service does not.
 			whole = whole || errors.Is(err, errOld)
-			tell(brain.Unavailable, proto.List{})
+			tell(policy.Unavailable, proto.List{})
 			// A call that fell silent has taken its time already, and what it missed counts as told soon after that:
 			// it is made anew at once. A rest is for those that fail at once, which would else follow one another.
 			if !errors.Is(err, context.DeadlineExceeded) {
@@ -125,9 +125,9 @@
 		at.at = l.Version
 		switch {
 		case l.Whole:
-			tell(brain.Full, l)
+			tell(policy.Full, l)
 		case len(l.Hosts) > 0:
-			tell(brain.Changes, l)
+			tell(policy.Changes, l)
 		}
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/proto"
 	"peathollow/internal/standin"
+	"peathollow/policy"
 )
 
 type told struct {
-	mode brain.ListMode
+	mode policy.ListMode
 	list proto.List
 }
 
@@ -26,7 +26,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		w.Run(ctx, func(m brain.ListMode, l proto.List) { heard <- told{m, l} })
+		w.Run(ctx, func(m policy.ListMode, l proto.List) { heard <- told{m, l} })
 		close(ended)
 	}()
 	t.Cleanup(func() { stop(); <-ended; d.Close() })
@@ -43,15 +43,15 @@
 
 func TestTheWholeListThenChanges(t *testing.T) {
 	d, _, next := follow(t, Limits{Body: 1 << 20, Call: 5 * time.Second, Wait: 5 * time.Second, Pause: time.Millisecond})
-	if x := next(); x.mode != brain.Full || len(x.list.Hosts) != 1 {
+	if x := next(); x.mode != policy.Full || len(x.list.Hosts) != 1 {
 		t.Errorf("%+v", x)
 	}
 	d.Tell(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up"})
-	if x := next(); x.mode != brain.Changes || len(x.list.Hosts) != 1 || x.list.Hosts[0].Name != "b" {
+	if x := next(); x.mode != policy.Changes || len(x.list.Hosts) != 1 || x.list.Hosts[0].Name != "b" {
 		t.Errorf("%+v", x)
 	}
 	d.Tell(standin.Host{Host: "a", Health: "removed"})
-	if x := next(); x.mode != brain.Changes || x.list.Hosts[0].State != brain.Gone {
+	if x := next(); x.mode != policy.Changes || x.list.Hosts[0].State != policy.Gone {
 		t.Errorf("%+v", x)
 	}
 }
@@ -61,16 +61,16 @@
 	d, w, next := follow(t, Limits{Body: 1 << 20, Call: 500 * time.Millisecond, Wait: time.Millisecond, Pause: time.Hour})
 	next()
 	d.Silence(true)
-	if x := next(); x.mode != brain.Unavailable {
+	if x := next(); x.mode != policy.Unavailable {
 		t.Errorf("%+v", x)
 	}
 	d.Silence(false)
 	d.Tell(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up"})
 	for {
 		w.Ask()
-		if x := next(); x.mode == brain.Changes && x.list.Hosts[0].Name == "b" {
+		if x := next(); x.mode == policy.Changes && x.list.Hosts[0].Name == "b" {
 			return
-		} else if x.mode != brain.Unavailable {
+		} else if x.mode != policy.Unavailable {
 			t.Fatalf("%+v", x)
 		}
 	}
@@ -88,10 +88,10 @@
 		d.Strand()
 		at := time.Now()
 		d.Tell(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up", Born: int64(i)})
-		if x := next(); x.mode != brain.Unavailable {
+		if x := next(); x.mode != policy.Unavailable {
 			t.Errorf("%+v", x)
 		}
-		if x := next(); x.mode != brain.Changes || x.list.Hosts[0].Name != "b" {
+		if x := next(); x.mode != policy.Changes || x.list.Hosts[0].Name != "b" {
 			t.Errorf("%+v", x)
 		}
 		if took := time.Since(at); took < lim.Call {
@@ -106,8 +106,8 @@
 	next()
 	d.Garble("{\n  \"seq\": 7,\n  \"whole\": true,\n  \"later\": {\"a\": [1]},\n  \"hosts\": [\n    {\n      \"host\": \"c\",\n" +
 		"      \"dial\": \"127.0.0.1:3\",\n      \"health\": \"up\",\n      \"share\": 1\n    }\n  ]\n}\n")
-	for x := next(); x.mode != brain.Full || x.list.Version != 7 || x.list.Hosts[0].Name != "c"; x = next() {
-		if x.mode == brain.Unavailable {
+	for x := next(); x.mode != policy.Full || x.list.Version != 7 || x.list.Hosts[0].Name != "c"; x = next() {
+		if x.mode == policy.Unavailable {
 			t.Fatal("an indented list was not taken")
 		}
 	}
@@ -118,16 +118,16 @@
 	next()
 	for _, junk := range []string{"no json", `{"whole":true}`, `{"seq":99,"hosts":[{"host":""}]}`} {
 		d.Garble(junk)
-		for x := next(); x.mode != brain.Unavailable; x = next() {
+		for x := next(); x.mode != policy.Unavailable; x = next() {
 			t.Errorf("%q: told %+v", junk, x)
 		}
 	}
 	// An older version makes the list held worthless: the whole one is asked for.
 	d.Garble(`{"seq":0,"whole":true,"hosts":[]}`)
-	for x := next(); x.mode != brain.Full; x = next() {
+	for x := next(); x.mode != policy.Full; x = next() {
 	}
 	d.Garble("")
-	for x := next(); x.mode != brain.Changes && (x.mode != brain.Full || len(x.list.Hosts) != 1); x = next() {
+	for x := next(); x.mode != policy.Changes && (x.mode != policy.Full || len(x.list.Hosts) != 1); x = next() {
 	}
 }
 
@@ -148,11 +148,11 @@
 		}
 		defer to.Close()
 		w.Move(to.Addr())
-		if x := next(); x.mode != brain.Full || x.list.Version != 1 || x.list.Hosts[0].Name != "b" {
+		if x := next(); x.mode != policy.Full || x.list.Version != 1 || x.list.Hosts[0].Name != "b" {
 			t.Errorf("%+v", x)
 		}
 		to.Tell(standin.Host{Host: "c", Dial: "127.0.0.1:3", Health: "up"})
-		if x := next(); x.mode != brain.Changes || x.list.Hosts[0].Name != "c" {
+		if x := next(); x.mode != policy.Changes || x.list.Hosts[0].Name != "c" {
 			t.Errorf("%+v", x)
 		}
 		d = to
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -12,7 +12,7 @@
 	"time"
 	"unicode/utf8"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // Letters of frames.
@@ -124,7 +124,7 @@
 // Answer is a searcher's word on one part.
 type Answer struct {
 	ID    string
-	End   brain.Outcome
+	End   policy.Outcome
 	Score float64
 	Value string
 }
@@ -132,7 +132,7 @@
 // ErrMute is why a connection ends that says nothing when it is asked for a receipt.
 var ErrMute = errors.New("silent when asked for a receipt")
 
-var ends = map[string]brain.Outcome{"200": brain.Succeeded, "500": brain.Failed, "503": brain.Overloaded}
+var ends = map[string]policy.Outcome{"200": policy.Succeeded, "500": policy.Failed, "503": policy.Overloaded}
 
 var (
 	errAnswer = errors.New("unreadable answer")
@@ -158,7 +158,7 @@
 		}
 	}
 	// Text that is none would reach the client as something else than the searcher's value.
-	if end == brain.Succeeded {
+	if end == policy.Succeeded {
 		if a.Value = string(value); !utf8.ValidString(a.Value) {
 			return Answer{}, errAnswer
 		}
--- a/internal/proto/list.go
+++ b/internal/proto/list.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // List is discovery's answer: the whole list of searchers, or what changed.
@@ -19,13 +19,13 @@
 // Host is one searcher as discovery tells of it.
 type Host struct {
 	Name, Addr string
-	State      brain.SearcherState
+	State      policy.SearcherState
 	Cell       int
 	Weight     float64
 	Born       time.Time // zero: long ago
 }
 
-var standings = map[string]brain.SearcherState{"up": brain.Ready, "draining": brain.Draining, "removed": brain.Gone}
+var standings = map[string]policy.SearcherState{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone}
 
 // ReadList decodes what discovery answers.
 func ReadList(text []byte) (List, error) {
@@ -53,7 +53,7 @@
 		if !ok || h.Host == "" {
 			return List{}, fmt.Errorf("list: host %.60q has health %.20q", h.Host, h.Health)
 		}
-		if _, _, err := net.SplitHostPort(h.Dial); err != nil && st != brain.Gone {
+		if _, _, err := net.SplitHostPort(h.Dial); err != nil && st != policy.Gone {
 			return List{}, fmt.Errorf("list: host %.60q: dial %.60q", h.Host, h.Dial)
 		}
 		e := Host{Name: h.Host, Addr: h.Dial, State: st, Cell: -1, Weight: 1}
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 var t0 = time.UnixMilli(1796129758000)
@@ -35,10 +35,10 @@
 
 func TestAnswersAsSearchersGiveThem(t *testing.T) {
 	for text, want := range map[string]Answer{
-		"9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2": {ID: "9b1f.3", End: brain.Succeeded, Score: 1840277719, Value: "5be2"},
-		"9b1f.3 200 7 \xff\xfe =,\x00\n5be2":               {ID: "9b1f.3", End: brain.Succeeded, Score: 7, Value: "5be2"}, // nobody needs the report
-		"9b1f.3 503 0 -\n":                                 {ID: "9b1f.3", End: brain.Overloaded},
-		"9b1f.3 500 - -\n":                                 {ID: "9b1f.3", End: brain.Failed},
+		"9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2": {ID: "9b1f.3", End: policy.Succeeded, Score: 1840277719, Value: "5be2"},
+		"9b1f.3 200 7 \xff\xfe =,\x00\n5be2":               {ID: "9b1f.3", End: policy.Succeeded, Score: 7, Value: "5be2"}, // nobody needs the report
+		"9b1f.3 503 0 -\n":                                 {ID: "9b1f.3", End: policy.Overloaded},
+		"9b1f.3 500 - -\n":                                 {ID: "9b1f.3", End: policy.Failed},
 	} {
 		if got, err := ReadAnswer([]byte(text)); err != nil || got != want {
 			t.Errorf("%q: %+v %v", text, got, err)
@@ -119,8 +119,8 @@
 func TestAListAsDiscoveryGivesIt(t *testing.T) {
 	got, err := ReadList([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s-5b","dial":"10.1.0.18:3000","site":"a",
 		"class":"m2","block":3,"health":"draining","share":0.5,"born_ms":1796129758000},{"host":"s-6","health":"removed"}]}`))
-	want := List{Version: 43, Hosts: []Host{{"s-5b", "10.1.0.18:3000", brain.Draining, 3, 0.5, t0},
-		{Name: "s-6", State: brain.Gone, Cell: -1, Weight: 1}}}
+	want := List{Version: 43, Hosts: []Host{{"s-5b", "10.1.0.18:3000", policy.Draining, 3, 0.5, t0},
+		{Name: "s-6", State: policy.Gone, Cell: -1, Weight: 1}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v %v", got, err)
 	}
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -42,7 +42,7 @@
 	return in.h
 }
 
-// Dispatch and the methods below are the actions that brain asks for.
+// Dispatch and the methods below are the actions that the policy asks for.
 func (in *inst) Dispatch(part uint64, srv int, until time.Duration) {
 	in.say("CALL_OUT").uint(part).time(in.base + until).out.WriteString(" " + in.addr[srv] + "\n")
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/config"
+	"peathollow/policy"
 )
 
 type entry struct {
@@ -21,7 +21,7 @@
 	weight, started float64
 	cell            int
 	dated           bool
-	state           brain.SearcherState
+	state           policy.SearcherState
 }
 
 type host struct {
@@ -44,7 +44,7 @@
 	h       *host
 	name    string
 	base    time.Duration
-	m       *brain.Engine
+	m       *policy.Engine
 	srv     map[string]int
 	addr    []string
 	types   map[string]int
@@ -186,11 +186,11 @@
 	e := entry{addr: string(f[5])}
 	switch string(f[1]) {
 	case "ready":
-		e.state = brain.Ready
+		e.state = policy.Ready
 	case "draining":
-		e.state = brain.Draining
+		e.state = policy.Draining
 	case "gone":
-		e.state = brain.Gone
+		e.state = policy.Gone
 	default:
 		return errWord
 	}
@@ -228,16 +228,16 @@
 	}
 	in := &inst{h: h, name: string(f[1]), base: h.now, srv: map[string]int{}, types: set.Types, tenants: set.Tenants}
 	h.insts[in.name] = in
-	in.m = brain.New(set.Brain, in, 0)
+	in.m = policy.New(set.Brain, in, 0)
 	return nil
 }
 
-var modes = map[string]brain.ListMode{"diff": brain.Changes, "snapshot": brain.Full, "disk": brain.Cached,
-	"error": brain.Unavailable}
+var modes = map[string]policy.ListMode{"diff": policy.Changes, "snapshot": policy.Full, "disk": policy.Cached,
+	"error": policy.Unavailable}
 
-var outcomes = map[string]brain.Outcome{"pass": brain.Succeeded, "fault": brain.Failed, "no_room": brain.Overloaded,
-	"too_slow": brain.TimedOut, "no_route": brain.Unreachable, "cut": brain.ConnectionLost, "undone": brain.Cancelled,
-	"stale_send": brain.Expired}
+var outcomes = map[string]policy.Outcome{"pass": policy.Succeeded, "fault": policy.Failed, "no_room": policy.Overloaded,
+	"too_slow": policy.TimedOut, "no_route": policy.Unreachable, "cut": policy.ConnectionLost, "undone": policy.Cancelled,
+	"stale_send": policy.Expired}
 
 func (in *inst) event(f [][]byte) error {
 	switch string(f[0]) {
@@ -286,7 +286,7 @@
 			return errWord
 		}
 		in.m.ListBegin(mode)
-		if mode == brain.Unavailable {
+		if mode == policy.Unavailable {
 			return nil
 		}
 		id, err := strconv.Atoi(string(f[4]))
@@ -303,7 +303,7 @@
 				in.srv[e.addr] = i
 				in.addr = append(in.addr, e.addr)
 			}
-			started := brain.LongAgo
+			started := policy.LongAgo
 			if e.dated {
 				started = config.Span(e.started) - in.base
 			}
--- a/lab/scale/bench_test.go
+++ b/lab/scale/bench_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/request"
 	"peathollow/retrybudget"
 )
@@ -41,7 +41,7 @@
 		g.route.FanOut = append(g.route.FanOut, service)
 		for k := range copiesOfShard {
 			hosts = append(hosts, request.Host{ID: fmt.Sprintf("i-%05d-%d", i, k), Address: fmt.Sprintf("10.%d.%d.%d:8080", k, i/250, i%250),
-				Service: service, State: brain.Ready, Far: k})
+				Service: service, State: policy.Ready, Far: k})
 		}
 	}
 	g.life.List(hosts)
@@ -65,9 +65,9 @@
 		g.now += 3 * time.Millisecond
 		g.life.At(g.now)
 		for _, a := range g.acts {
-			out, reading, reply := brain.Succeeded, request.WasRead, g.reply
+			out, reading, reply := policy.Succeeded, request.WasRead, g.reply
 			if a.Cancel {
-				out, reading, reply = brain.Cancelled, request.MayRead, nil
+				out, reading, reply = policy.Cancelled, request.MayRead, nil
 			} else {
 				g.sent++
 			}
@@ -142,7 +142,7 @@
 			b.ReportAllocs()
 			from := cpu()
 			for i := 0; b.Loop(); i++ {
-				hosts[n/2].State = brain.SearcherState(i % 2)
+				hosts[n/2].State = policy.SearcherState(i % 2)
 				l.List(hosts)
 			}
 			perOp(b, from)
--- a/mixer/ally.go
+++ b/mixer/ally.go
@@ -12,11 +12,11 @@
 	"go.uber.org/zap"
 
 	"peathollow/attempt"
-	"peathollow/brain"
 	"peathollow/fleet"
 	"peathollow/fleet/overload"
 	"peathollow/fleet/view"
 	"peathollow/internal/periodic"
+	"peathollow/policy"
 )
 
 // ally handles overload with the other mixers as one: package fleet decides, the group carries, the module is handed what
@@ -25,7 +25,7 @@
 	log   *zap.Logger
 	o     *owner
 	send  func(to string, b []byte)
-	types []brain.TableType
+	types []policy.TableType
 	beat  time.Duration
 	start time.Time
 
--- a/mixer/duties.go
+++ b/mixer/duties.go
@@ -14,11 +14,11 @@
 	"go.uber.org/zap"
 
 	"peathollow/attempt"
-	"peathollow/brain"
 	"peathollow/duty"
 	"peathollow/internal/discovery"
 	"peathollow/internal/link"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // Duties shared with other instances, where the settings file turns them on: package duty decides, package member
@@ -305,7 +305,7 @@
 		held[h.Name] = h
 	}
 	for _, h := range l.Hosts {
-		if was, ok := held[h.Name]; h.State != brain.Gone && (!ok || was.State != h.State || was.Addr != h.Addr) {
+		if was, ok := held[h.Name]; h.State != policy.Gone && (!ok || was.State != h.State || was.Addr != h.Addr) {
 			n++
 		}
 		delete(held, h.Name)
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -1,4 +1,4 @@
-// Package mixer is the service on sockets: it takes scans over HTTP, has the module of package brain decide, and
+// Package mixer is the service on sockets: it takes scans over HTTP, has the module of package policy decide, and
 // speaks frames with searchers. Others embed it by New and Run.
 package mixer
 
@@ -17,10 +17,10 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"peathollow/brain"
 	"peathollow/internal/config"
 	"peathollow/internal/discovery"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // Config is what a mixer is told at its start.
@@ -77,9 +77,9 @@
 	o := newOwner(links, &m.cfg, m.lim, m.log, m.watch.Ask)
 	first := make(chan struct{})
 	var once sync.Once
-	told := func(mode brain.ListMode, l proto.List) {
+	told := func(mode policy.ListMode, l proto.List) {
 		o.post(func() { o.List(mode, l) })
-		if mode != brain.Unavailable {
+		if mode != policy.Unavailable {
 			o.post(func() { once.Do(func() { close(first) }) })
 		}
 	}
@@ -89,7 +89,7 @@
 		return err
 	}
 	defer unshow()
-	o.List(brain.Cached, m.cfg.Known)
+	o.List(policy.Cached, m.cfg.Known)
 	o.Begin()
 
 	done := make(chan struct{})
--- a/mixer/mixer_test.go
+++ b/mixer/mixer_test.go
@@ -19,9 +19,9 @@
 	"go.uber.org/zap"
 
 	"peathollow/attempt"
-	"peathollow/brain"
 	"peathollow/internal/proto"
 	"peathollow/internal/standin"
+	"peathollow/policy"
 )
 
 // Rules on sockets, after random troubles: one whole answer each, in time; honest values; no repeat and no
@@ -365,7 +365,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	o.List(brain.Full, list)
+	o.List(policy.Full, list)
 	done := make(chan struct{})
 	go o.run(done)
 	defer func() { stop(); close(done); <-o.gone }()
--- a/mixer/owner.go
+++ b/mixer/owner.go
@@ -8,10 +8,10 @@
 	"go.uber.org/zap"
 
 	"peathollow/attempt"
-	"peathollow/brain"
 	"peathollow/internal/config"
 	"peathollow/internal/link"
 	"peathollow/internal/proto"
+	"peathollow/policy"
 )
 
 // owner is the one goroutine that drives the life of all that is in hand, and the module with it. Others hand it
@@ -140,7 +140,7 @@
 func (p outside) Tally(t attempt.Tally) {
 	ends := map[string]int{}
 	for i, name := range []string{"pass", "fault", "no room", "too slow", "no route", "cut", "undone", "stale"} {
-		if n := t.Parts[brain.Outcome(i)]; n > 0 {
+		if n := t.Parts[policy.Outcome(i)]; n > 0 {
 			ends[name] = n
 		}
 	}
--- a/brain/admit.go
+++ b/policy/admit.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 // Admission: which scans are rejected before any part is sent.
 
--- a/brain/end.go
+++ b/policy/end.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 // When a scan ends and with which answer, and how its duration adjusts the threshold.
 
--- a/brain/brain_test.go
+++ b/policy/engine_test.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"math/rand"
--- a/brain/learn.go
+++ b/policy/learn.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 // What the outcomes of dispatches show about searchers.
 
--- a/brain/pick.go
+++ b/policy/pick.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 // Choice of a searcher for a part: the replica rule, and what excludes searchers.
 
--- a/brain/types.go
+++ b/policy/types.go
@@ -1,4 +1,4 @@
-// Package brain implements the dispatch policy of a routing instance (mixer): it decides whether each scan is admitted, which
+// Package policy implements the dispatch policy of a routing instance (mixer): it decides whether each scan is admitted, which
 // searchers get its parts, when parts are retried, hedged or cancelled, and when the scan ends. It reads no clock and does no
 // I/O.
 //
@@ -6,10 +6,10 @@
 // events in the order in which they arrive: list entries, scans and their parts, outcomes of dispatches, wake-ups. The policy
 // responds by calling the Actions given to New, before the event method returns.
 //
-// This file holds the interface, state.go the state, slab.go helpers. The decisions are made in brain.go (events and ticks),
+// This file holds the interface, state.go the state, slab.go helpers. The decisions are made in engine.go (events and ticks),
 // admit.go (admission), pick.go (choice of a searcher), send.go (dispatches, retries, hedges and cancellations), end.go (when
 // and how a scan ends) and learn.go (what outcomes show about searchers).
-package brain
+package policy
 
 import "time"
 
--- a/proxy/contain_test.go
+++ b/proxy/contain_test.go
@@ -13,10 +13,10 @@
 	"github.com/phuslu/log"
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/internal/settings"
 	"peathollow/internal/standin/faulty"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/request"
 )
 
@@ -36,7 +36,7 @@
 		s, err := faulty.Start(faulty.Options{ID: "i-" + service, Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Work: 300 * time.Millisecond} }})
 		must.NoError(t, err)
 		t.Cleanup(s.Close)
-		hosts = append(hosts, request.Host{ID: s.ID(), Address: s.Addr(), Service: service, State: brain.Ready})
+		hosts = append(hosts, request.Host{ID: s.ID(), Address: s.Addr(), Service: service, State: policy.Ready})
 	}
 	q.do(func() {
 		q.hosts = hosts
--- a/proxy/figures.go
+++ b/proxy/figures.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/figures"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
@@ -44,7 +44,7 @@
 	emit("dispatches_total", float64(c.Sent))
 	emit("dispatches_further_total", float64(c.Further))
 	for o, n := range c.Outcomes {
-		emit("dispatch_outcomes_total", float64(n), figures.Label{Name: "outcome", Value: outcomeName(brain.Outcome(o))})
+		emit("dispatch_outcomes_total", float64(n), figures.Label{Name: "outcome", Value: outcomeName(policy.Outcome(o))})
 	}
 	emit("pools", float64(pools))
 	emit("identity_probes_total", float64(p.probes.First.Load()), figures.Label{Name: "reason", Value: "first"})
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -7,11 +7,11 @@
 	"github.com/phuslu/log"
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/internal/settings"
 	"peathollow/internal/standin/faulty"
 	"peathollow/internal/upstream"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/request"
 )
 
@@ -33,7 +33,7 @@
 	s, err := faulty.Start(faulty.Options{Capacity: 100, Script: func(faulty.Call) faulty.Reply { at <- true; return faulty.Reply{Hold: hold} }})
 	must.NoError(t, err)
 	defer s.Close()
-	host := request.Host{ID: s.ID(), Address: s.Addr(), Service: "s", State: brain.Ready}
+	host := request.Host{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready}
 	q.do(func() {
 		q.hosts = []request.Host{host}
 		q.life.List(q.hosts)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -13,7 +13,6 @@
 	"github.com/go-faster/errors"
 	"github.com/phuslu/log"
 
-	"peathollow/brain"
 	"peathollow/distribution"
 	"peathollow/internal/connlimit"
 	"peathollow/internal/figures"
@@ -23,6 +22,7 @@
 	"peathollow/internal/settings"
 	"peathollow/internal/upstream"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/registry"
 	"peathollow/request"
 	"peathollow/retrybudget"
@@ -205,9 +205,9 @@
 		if distribution.Reserved(e.Plant) {
 			continue // a mixer, not a searcher
 		}
-		st := brain.Ready
+		st := policy.Ready
 		if e.State != registry.Ready {
-			st = brain.Draining
+			st = policy.Draining
 		}
 		hosts = append(hosts, request.Host{ID: e.ID, Address: e.Address, Service: e.Plant, State: st, Calls: e.Calls, Silent: e.Silent,
 			Far: p.set.Far(e.Zone)})
--- a/proxy/restart_test.go
+++ b/proxy/restart_test.go
@@ -11,10 +11,10 @@
 	"github.com/phuslu/log"
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/internal/settings"
 	"peathollow/internal/standin/faulty"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/request"
 )
 
@@ -33,7 +33,7 @@
 		s, err := faulty.Start(faulty.Options{Ledger: ledger, Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Way: faulty.Refuse} }})
 		must.NoError(t, err)
 		t.Cleanup(s.Close)
-		hosts = append(hosts, request.Host{ID: s.ID(), Address: s.Addr(), Service: "s", State: brain.Ready})
+		hosts = append(hosts, request.Host{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready})
 	}
 	q.do(func() {
 		q.mixers, q.hosts = 1, hosts
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -6,9 +6,9 @@
 
 	"github.com/go-faster/errors"
 
-	"peathollow/brain"
 	"peathollow/internal/invariant"
 	"peathollow/internal/upstream"
+	"peathollow/policy"
 	"peathollow/request"
 )
 
@@ -135,37 +135,37 @@
 }
 
 // outcome says in the module's words what became of a dispatch.
-func outcome(a *upstream.Answer, d *request.Dispatch) brain.Outcome {
+func outcome(a *upstream.Answer, d *request.Dispatch) policy.Outcome {
 	switch a.Outcome {
 	case upstream.Answered:
 		if promises(a.Status) {
-			return brain.Failed
+			return policy.Failed
 		}
 		if a.Status >= 200 && a.Status < 300 || a.Status < 500 && len(d.Request.Route.FanOut) == 0 {
-			return brain.Succeeded
+			return policy.Succeeded
 		}
-		return brain.Failed
+		return policy.Failed
 	case upstream.NotExecuted:
 		if a.Misdirected() {
-			return brain.Unreachable
+			return policy.Unreachable
 		}
-		return brain.Overloaded
+		return policy.Overloaded
 	case upstream.NoConnect, upstream.Unsendable:
 		if errors.Is(a.Err, upstream.ErrFull) {
-			return brain.Overloaded // our own share of its connections is in use: it is there, and busy
+			return policy.Overloaded // our own share of its connections is in use: it is there, and busy
 		}
-		return brain.Unreachable
+		return policy.Unreachable
 	case upstream.Broken:
-		return brain.ConnectionLost
+		return policy.ConnectionLost
 	case upstream.TimedOut:
-		return brain.TimedOut
+		return policy.TimedOut
 	case upstream.Cancelled:
 		if !a.Wrote {
-			return brain.Expired
+			return policy.Expired
 		}
-		return brain.Cancelled
+		return policy.Cancelled
 	}
-	return brain.Failed
+	return policy.Failed
 }
 
 // promises tells of the statuses that tell a client that its request has not run and never will. A searcher that gives one
--- a/proxy/sight.go
+++ b/proxy/sight.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/logbound"
+	"peathollow/policy"
 	"peathollow/request"
 )
 
@@ -138,10 +138,10 @@
 	return b.String()
 }
 
-var outcomeNames = [brain.Expired + 1]string{brain.Succeeded: "answered", brain.Failed: "bad-answer", brain.Overloaded: "turned-away",
-	brain.TimedOut: "too-slow", brain.Unreachable: "unreachable", brain.ConnectionLost: "cut-off", brain.Cancelled: "called-off", brain.Expired: "not-sent"}
+var outcomeNames = [policy.Expired + 1]string{policy.Succeeded: "answered", policy.Failed: "bad-answer", policy.Overloaded: "turned-away",
+	policy.TimedOut: "too-slow", policy.Unreachable: "unreachable", policy.ConnectionLost: "cut-off", policy.Cancelled: "called-off", policy.Expired: "not-sent"}
 
-func outcomeName(o brain.Outcome) string {
+func outcomeName(o policy.Outcome) string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
 	}
--- a/request/check.go
+++ b/request/check.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // Check returns what is wrong with the book, or nil. It costs a walk over everything.
@@ -82,7 +82,7 @@
 		if h.out != out[h] {
 			return fmt.Errorf("searcher %s counts %d out, there are %d", h.ID, h.out, out[h])
 		}
-		if h.State == brain.Gone && h.out == 0 {
+		if h.State == policy.Gone && h.out == 0 {
 			return fmt.Errorf("searcher %s is gone and keeps its place", h.ID)
 		}
 	}
@@ -91,7 +91,7 @@
 	}
 	for id, h := range l.hosts {
 		for _, s := range g.cells {
-			if k := g.hosts[id]; s == h.Service && h.State != brain.Gone && (k == nil || k.Host != h) {
+			if k := g.hosts[id]; s == h.Service && h.State != policy.Gone && (k == nil || k.Host != h) {
 				return fmt.Errorf("searcher %s is listed as %v and not known so", id, h.State)
 			}
 		}
--- a/request/contain.go
+++ b/request/contain.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // Contain ends what a fault has struck, after a panic out of this life: the requests on the set of services whose module was
@@ -45,7 +45,7 @@
 			if !d.out {
 				continue
 			}
-			d.out, d.outcome, d.took = false, brain.Cancelled, l.now-d.at
+			d.out, d.outcome, d.took = false, policy.Cancelled, l.now-d.at
 			l.noteReading(d, MayRead)
 			if d.Call != nil {
 				acts = append(acts, Act{Dispatch: d, Cancel: true})
--- a/request/doc.go
+++ b/request/doc.go
@@ -1,6 +1,6 @@
 // Package request is the life of a client's request through a mixer of the system: from the moment it has been read,
 // by the route that was in force then, till its one final answer, and of every dispatch made for it. The module in
-// brain chooses shards and searchers, retrybudget bounds further dispatches; this package keeps the book: which services a
+// policy chooses shards and searchers, retrybudget bounds further dispatches; this package keeps the book: which services a
 // request was split over, what is out where, which parts are in, and what the client may be told.
 //
 // proxy drives it with sockets, tests with a stand-in port. It reads no clock, does no I/O and starts no goroutine:
--- a/request/explain.go
+++ b/request/explain.go
@@ -1,12 +1,12 @@
 package request
 
 import (
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // neverRan tells of the outcomes after which the searcher has surely not run the part and never will.
-func neverRan(out brain.Outcome) bool {
-	return out == brain.Overloaded || out == brain.Unreachable || out == brain.Expired
+func neverRan(out policy.Outcome) bool {
+	return out == policy.Overloaded || out == policy.Unreachable || out == policy.Expired
 }
 
 // mayHaveRun tells whether a searcher may have run the part, or may still.
@@ -38,7 +38,7 @@
 	for _, service := range r.shards {
 		listed := false
 		for _, h := range r.group.hosts {
-			listed = listed || h.Service == service && h.State == brain.Ready
+			listed = listed || h.Service == service && h.State == policy.Ready
 		}
 		if !listed {
 			return true
--- a/request/freeze_test.go
+++ b/request/freeze_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/internal/invariant"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
@@ -17,7 +17,7 @@
 func TestFreezeIsNoOverdueDispatch(t *testing.T) {
 	l := New(Terms{Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
-	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: brain.Ready}})
+	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: policy.Ready}})
 	var final *Final
 	l.Begin(&Request{Route: &manifest.Route{Plant: "s", Idempotent: true, Horizon: time.Second, Setpoint: time.Second, Retries: 1}, Until: time.Second,
 		Done: func(f Final) { final = &f }})
@@ -50,7 +50,7 @@
 func TestFreezeIsNoSilence(t *testing.T) {
 	l := New(Terms{Budget: retrybudget.Terms{Window: 10 * time.Second, Slack: 1000, Ratio: 1}}, 0)
 	l.Mixers(1)
-	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: brain.Ready}, {ID: "i2", Address: "b", Service: "s", State: brain.Ready}})
+	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: policy.Ready}, {ID: "i2", Address: "b", Service: "s", State: policy.Ready}})
 	route := &manifest.Route{Plant: "s", Idempotent: true, Horizon: 8 * time.Second, Setpoint: time.Second, Retries: 3}
 	now := time.Duration(0)
 	begin := func() (d *Dispatch, final *Final) {
@@ -60,7 +60,7 @@
 		must.Len(t, 1, out)
 		return out[0].Dispatch, final
 	}
-	answer := func(d *Dispatch) { l.Returned(d, brain.Succeeded, WasRead, &Reply{Status: 200, Seal: d.Host.ID}) }
+	answer := func(d *Dispatch) { l.Returned(d, policy.Succeeded, WasRead, &Reply{Status: 200, Seal: d.Host.ID}) }
 	for range 50 { // it knows the pace of both
 		d, _ := begin()
 		now += 10 * ms
--- a/request/group.go
+++ b/request/group.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/invariant"
 	"peathollow/manifest"
+	"peathollow/policy"
 )
 
 // granularity is what the module takes a round of its own to cost at most.
@@ -29,7 +29,7 @@
 // set says nothing of another, whose work may take ten times as long.
 type group struct {
 	l       *Life
-	m       *brain.Engine
+	m       *policy.Engine
 	cells   []string // services, by the module's cells
 	classes map[class]int
 	hosts   map[string]*host // by id
@@ -68,7 +68,7 @@
 		maps.DeleteFunc(l.groups, func(_ string, g *group) bool { return g.asleep }) // what is out there still comes back to it
 	}
 	g := &group{l: l, key: key, cells: services, classes: map[class]int{}, hosts: map[string]*host{}}
-	g.m = brain.New(brain.Settings{Seed: l.terms.Seed, Mixers: 1, Shards: len(services), ShardSpan: 1, PartsPerCall: 1, MaxAttempts: 1,
+	g.m = policy.New(policy.Settings{Seed: l.terms.Seed, Mixers: 1, Shards: len(services), ShardSpan: 1, PartsPerCall: 1, MaxAttempts: 1,
 		MayHedge: true, RetryAdvice: true, MaxRetryAfter: retryMost, Granularity: granularity, ListInterval: time.Second,
 		InFlightAllowance: 3, WaitToDeadline: true, RankByExpectedAnswer: true, BudgetAllows: g.mayGoAgain}, port{g}, l.now)
 	l.groups[key] = g
@@ -76,11 +76,11 @@
 		g.note(l.hosts[id])
 	}
 	g.m.Advance(l.now)
-	g.m.ListBegin(brain.Changes)
+	g.m.ListBegin(policy.Changes)
 	for _, h := range g.byIndex {
 		g.entry(h)
 	}
-	g.m.ListEnd(brain.Changes)
+	g.m.ListEnd(policy.Changes)
 	return g
 }
 
@@ -102,12 +102,12 @@
 	}
 	i, ok := g.classes[c]
 	if !ok {
-		t := brain.TableType{Target: min(c.setpoint, c.horizon), Timeout: c.horizon, LateShare: 0.5,
-			Benefit: float64(max(1, 3-r.Rank)), Effect: brain.NonIdempotent, Need: 1, Floor: c.floor, MaxAttempts: c.retries}
+		t := policy.TableType{Target: min(c.setpoint, c.horizon), Timeout: c.horizon, LateShare: 0.5,
+			Benefit: float64(max(1, 3-r.Rank)), Effect: policy.NonIdempotent, Need: 1, Floor: c.floor, MaxAttempts: c.retries}
 		if c.idempotent {
-			t.Effect = brain.Idempotent
+			t.Effect = policy.Idempotent
 		}
-		i = g.m.AddTypes([]brain.TableType{t}, 0)
+		i = g.m.AddTypes([]policy.TableType{t}, 0)
 		g.classes[c] = i
 	}
 	return i
@@ -162,7 +162,7 @@
 	}
 }
 
-func (g *group) returned(d *Dispatch, out brain.Outcome, took time.Duration) {
+func (g *group) returned(d *Dispatch, out policy.Outcome, took time.Duration) {
 	g.enter(StepReturned)
 	g.m.Advance(g.l.now)
 	d.host.out--
--- a/request/invariants.go
+++ b/request/invariants.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/invariant"
+	"peathollow/policy"
 )
 
 // overdueAfter is how long after its deadline a dispatch may still be out: its connection has to be given up meanwhile.
@@ -22,7 +22,7 @@
 	if len(p.tries) > 0 && !l.book.Room(l.now, p.service, l.roomUntil) {
 		invariant.Violated(invariant.TriesWithinBudget, "service %s: try %d", p.service, len(p.tries)+1)
 	}
-	if h.State != brain.Ready {
+	if h.State != policy.Ready {
 		invariant.Violated(invariant.ReadySearcherChosen, "searcher %s is %v", h.ID, h.State)
 	}
 }
--- a/request/invariants_test.go
+++ b/request/invariants_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/internal/invariant"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
@@ -18,21 +18,21 @@
 func TestPlantedViolations(t *testing.T) {
 	for name, plant := range map[invariant.Name]func(l *Life, p *part, h *host){
 		invariant.NoRepeatAfterRun: func(l *Life, p *part, h *host) {
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.ConnectionLost}}
+			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: policy.ConnectionLost}}
 			l.checkDispatch(p, h)
 		},
 		invariant.TriesWithinRetries: func(l *Life, p *part, h *host) {
 			p.req.Route.Idempotent, p.req.Route.Retries = true, 1
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.Overloaded}}
+			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: policy.Overloaded}}
 			l.checkDispatch(p, h)
 		},
 		invariant.TriesWithinBudget: func(l *Life, p *part, h *host) {
 			p.req.Route.Idempotent = true
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: brain.Overloaded}}
+			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: policy.Overloaded}}
 			l.checkDispatch(p, h)
 		},
 		invariant.ReadySearcherChosen: func(l *Life, p *part, h *host) {
-			p.tries, h.State = nil, brain.Draining
+			p.tries, h.State = nil, policy.Draining
 			l.checkDispatch(p, h)
 		},
 		invariant.InHandBalance: func(l *Life, _ *part, _ *host) {
@@ -51,7 +51,7 @@
 		t.Run(string(name), func(t *testing.T) {
 			l := New(Terms{Budget: retrybudget.Terms{Ratio: 0.1, Slack: 0, Window: 10 * time.Second}}, 0)
 			l.Mixers(1)
-			l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: brain.Ready}})
+			l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: policy.Ready}})
 			r := &Request{Route: &manifest.Route{Name: "r", Plant: "s", Horizon: time.Second, Setpoint: time.Second, Retries: 3},
 				Until: time.Second, Done: func(Final) {}}
 			l.Begin(r)
--- a/request/life.go
+++ b/request/life.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
@@ -122,7 +122,7 @@
 		switch d := a.Dispatch; {
 		case !d.out: // called off, and back before that could be carried out
 		case d.Request.ended && !a.Cancel:
-			l.Returned(d, brain.Expired, NotRead, nil) // its request ended in the very event that sent it
+			l.Returned(d, policy.Expired, NotRead, nil) // its request ended in the very event that sent it
 		default:
 			into = append(into, a)
 		}
@@ -193,7 +193,7 @@
 }
 
 // Returned tells how a dispatch ended, and whether it was read; reply is what came, if anything whole did.
-func (l *Life) Returned(d *Dispatch, out brain.Outcome, reading Reading, reply *Reply) {
+func (l *Life) Returned(d *Dispatch, out policy.Outcome, reading Reading, reply *Reply) {
 	if !d.out || d.Request.group.l != l || l.over {
 		return
 	}
@@ -204,9 +204,9 @@
 	}
 	if r := d.Request; !r.ended && reply != nil {
 		switch {
-		case out == brain.Succeeded && d.part.reply == nil:
+		case out == policy.Succeeded && d.part.reply == nil:
 			d.part.reply = reply
-		case out != brain.Succeeded:
+		case out != policy.Succeeded:
 			r.refuse = reply
 		}
 	}
--- a/request/list.go
+++ b/request/list.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
+	"peathollow/policy"
 )
 
 // List tells of all searchers that are known; those told before and not now are gone.
@@ -16,7 +16,7 @@
 		h := hosts[i]
 		seen[h.ID] = true
 		if l.isAstray(&h) {
-			h.State = brain.Gone
+			h.State = policy.Gone
 		}
 		if was := l.hosts[h.ID]; was == nil {
 			l.hosts[h.ID] = &h
@@ -31,7 +31,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.hosts)) {
 		if h := l.hosts[id]; !seen[id] {
-			h.State = brain.Gone
+			h.State = policy.Gone
 			changed = append(changed, h)
 			delete(l.hosts, id)
 		}
@@ -75,8 +75,8 @@
 		return
 	}
 	l.astray[h.ID] = misdirection{calls: listed.Calls, until: l.now + astrayFor}
-	if listed.State != brain.Gone {
-		listed.State = brain.Gone
+	if listed.State != policy.Gone {
+		listed.State = policy.Gone
 		l.tell([]*Host{listed})
 	}
 }
@@ -94,11 +94,11 @@
 			continue
 		}
 		g.m.Advance(l.now)
-		g.m.ListBegin(brain.Changes)
+		g.m.ListBegin(policy.Changes)
 		for _, k := range of {
 			g.entry(k)
 		}
-		g.m.ListEnd(brain.Changes)
+		g.m.ListEnd(policy.Changes)
 		for _, k := range of {
 			g.release(k)
 		}
@@ -111,7 +111,7 @@
 		k.Host = h // one that vanished and is back while something was out there
 		return k
 	}
-	if h.State == brain.Gone || !slices.Contains(g.cells, h.Service) {
+	if h.State == policy.Gone || !slices.Contains(g.cells, h.Service) {
 		return nil
 	}
 	k := &host{Host: h}
@@ -129,14 +129,14 @@
 
 func (g *group) entry(k *host) {
 	if k != nil {
-		g.m.ListEntry(k.index, k.State, 1, brain.LongAgo, slices.Index(g.cells, k.Service))
+		g.m.ListEntry(k.index, k.State, 1, policy.LongAgo, slices.Index(g.cells, k.Service))
 		g.m.SetDistance(k.index, k.Far)
 	}
 }
 
 // release gives back the place of a searcher that is gone once nothing is out there.
 func (g *group) release(k *host) {
-	if k.State != brain.Gone || k.out > 0 || k.gone {
+	if k.State != policy.Gone || k.out > 0 || k.gone {
 		return
 	}
 	k.gone = true
--- a/request/misdirected_test.go
+++ b/request/misdirected_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
@@ -17,7 +17,7 @@
 	l := New(Terms{Seed: 1, Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
 	route := &manifest.Route{Plant: "s", Idempotent: true, Horizon: time.Second, Setpoint: 200 * ms, Retries: 1}
-	gone, other := Host{ID: "i1", Address: "a", Service: "s", State: brain.Ready}, Host{ID: "i2", Address: "b", Service: "s", State: brain.Ready}
+	gone, other := Host{ID: "i1", Address: "a", Service: "s", State: policy.Ready}, Host{ID: "i2", Address: "b", Service: "s", State: policy.Ready}
 	l.List([]Host{gone, other})
 	l.Misdirected(&gone, false)
 	now := time.Duration(0)
@@ -30,7 +30,7 @@
 				ids = append(ids, a.Dispatch.Host.ID)
 				now += ms
 				l.At(now)
-				l.Returned(a.Dispatch, brain.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
+				l.Returned(a.Dispatch, policy.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
 			}
 		}
 		must.NoError(t, l.Check())
@@ -38,7 +38,7 @@
 	}
 	silent := gone
 	silent.Silent = true
-	newcomer := Host{ID: "i3", Address: "c", Service: "t", State: brain.Ready}
+	newcomer := Host{ID: "i3", Address: "c", Service: "t", State: policy.Ready}
 	for _, c := range []struct {
 		what string
 		list []Host
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/manifest"
+	"peathollow/policy"
 )
 
 // configure puts the next version in force: shards come and go, routes change their time-outs and what they want.
@@ -48,7 +48,7 @@
 	h := &Host{ID: fmt.Sprint("i", w.births), Address: address, Service: service, Far: w.births % 3}
 	w.listed[h.ID] = h
 	if w.r.IntN(3) == 0 {
-		w.moods[h.ID] = brain.Outcome(w.r.IntN(int(brain.Expired) + 1))
+		w.moods[h.ID] = policy.Outcome(w.r.IntN(int(policy.Expired) + 1))
 	}
 }
 
@@ -56,10 +56,10 @@
 func (w *world) tell() {
 	var hosts []Host
 	for _, id := range w.ids() {
-		if h := *w.listed[id]; w.fault != "list untold" || h.State == brain.Ready {
+		if h := *w.listed[id]; w.fault != "list untold" || h.State == policy.Ready {
 			hosts = append(hosts, h)
 		} else {
-			h.State = brain.Ready
+			h.State = policy.Ready
 			hosts = append(hosts, h)
 		}
 	}
@@ -80,19 +80,19 @@
 	for _, id := range w.ids() {
 		switch h := w.listed[id]; w.r.IntN(40) {
 		case 0:
-			h.State = brain.Draining
+			h.State = policy.Draining
 		case 1:
 			delete(w.listed, id)
 			w.birth(w.services[w.r.IntN(6)], h.Address)
 		case 2: // a list that lost it for a moment
 			delete(w.listed, id)
-			if h.State == brain.Ready {
+			if h.State == policy.Ready {
 				w.after(30*ms, func() { w.listed[id] = h; w.tell() })
 			}
 		case 3:
-			w.moods[id] = brain.Outcome(w.r.IntN(int(brain.Expired) + 1))
+			w.moods[id] = policy.Outcome(w.r.IntN(int(policy.Expired) + 1))
 		case 4, 5:
-			w.moods[id] = brain.Succeeded
+			w.moods[id] = policy.Succeeded
 			h.Calls++ // it has reported again
 			delete(w.gone, id)
 		}
@@ -100,7 +100,7 @@
 	for _, s := range w.services {
 		n := 0
 		for _, h := range w.listed {
-			if h.Service == s && h.State == brain.Ready {
+			if h.Service == s && h.State == policy.Ready {
 				n++
 			}
 		}
--- a/request/starved_test.go
+++ b/request/starved_test.go
@@ -6,21 +6,21 @@
 
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
 // starved plays one request whose first part fails at once while the retry budget has no room, and others pass; it gives the
 // answer and when it came.
-func starved(t *testing.T, route *manifest.Route, out brain.Outcome) (final Final, at time.Duration) {
+func starved(t *testing.T, route *manifest.Route, out policy.Outcome) (final Final, at time.Duration) {
 	t.Helper()
 	l := New(Terms{Seed: 1, Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
 	var hosts []Host
 	for _, s := range append([]string{"a"}, route.FanOut...) {
 		for _, id := range []string{"1", "2", "3"} {
-			hosts = append(hosts, Host{ID: s + id, Address: s + id, Service: s, State: brain.Ready})
+			hosts = append(hosts, Host{ID: s + id, Address: s + id, Service: s, State: policy.Ready})
 		}
 	}
 	l.List(hosts)
@@ -33,7 +33,7 @@
 			if reply := (&Reply{Status: 200, Seal: a.Dispatch.Host.ID}); a.Dispatch.Host.Service == "a" {
 				l.Returned(a.Dispatch, out, MayRead, nil)
 			} else if !a.Cancel {
-				l.Returned(a.Dispatch, brain.Succeeded, WasRead, reply)
+				l.Returned(a.Dispatch, policy.Succeeded, WasRead, reply)
 			}
 		}
 		next, ok := l.Next()
@@ -53,14 +53,14 @@
 	route := &manifest.Route{Plant: "a", Horizon: 4 * time.Second, Setpoint: 800 * ms, Retries: 3}
 	l := New(Terms{Seed: 1, Budget: retrybudget.Terms{Window: 10 * time.Second, Slack: 100}}, 0)
 	l.Mixers(1)
-	l.List([]Host{{ID: "a1", Address: "a1", Service: "a", State: brain.Ready}})
+	l.List([]Host{{ID: "a1", Address: "a1", Service: "a", State: policy.Ready}})
 	var final *Final
 	now, at := time.Duration(0), time.Duration(0)
 	l.Begin(&Request{Route: route, Until: route.Horizon, Done: func(f Final) { final, at = &f, now }})
 	for final == nil {
 		for _, a := range l.Take(nil) {
 			l.Misdirected(a.Dispatch.Host, true)
-			l.Returned(a.Dispatch, brain.Unreachable, WasRead, nil)
+			l.Returned(a.Dispatch, policy.Unreachable, WasRead, nil)
 		}
 		now, _ = l.Next()
 		l.At(now)
@@ -82,14 +82,14 @@
 	whole.MinCoverage = 1
 	for name, c := range map[string]struct {
 		route *manifest.Route
-		out   brain.Outcome
+		out   policy.Outcome
 		kind  Kind
 	}{
-		"may be repeated":                 {&single, brain.ConnectionLost, Refused},
-		"may run once, and has not run":   {&once, brain.Expired, Refused},
-		"gathered, enough parts are in":   {&gathered, brain.ConnectionLost, Gathered},
-		"gathered, all parts are wanted":  {&whole, brain.ConnectionLost, Refused},
-		"gathered, refused by a searcher": {&gathered, brain.Expired, Gathered},
+		"may be repeated":                 {&single, policy.ConnectionLost, Refused},
+		"may run once, and has not run":   {&once, policy.Expired, Refused},
+		"gathered, enough parts are in":   {&gathered, policy.ConnectionLost, Gathered},
+		"gathered, all parts are wanted":  {&whole, policy.ConnectionLost, Refused},
+		"gathered, refused by a searcher": {&gathered, policy.Expired, Gathered},
 	} {
 		t.Run(name, func(t *testing.T) {
 			final, at := starved(t, c.route, c.out)
@@ -106,7 +106,7 @@
 // TestBudgetIsCheckedAsItWasAsked: a dispatch is held against the budget by the same end that the module asked with; by the request's own
 // end, some milliseconds later, a window more may come into view (soak seeds 9001 to 9004 at the incident's size).
 func TestBudgetIsCheckedAsItWasAsked(t *testing.T) {
-	hosts := []Host{{ID: "i1", Address: "a", Service: "a", State: brain.Ready}, {ID: "i2", Address: "b", Service: "a", State: brain.Ready}}
+	hosts := []Host{{ID: "i1", Address: "a", Service: "a", State: policy.Ready}, {ID: "i2", Address: "b", Service: "a", State: policy.Ready}}
 	for horizon := 500 * ms; horizon < 1200*ms; horizon += 3 * ms {
 		l := New(Terms{Seed: 1, Budget: retrybudget.Terms{Ratio: 0.2, Window: 10 * time.Second}}, 0)
 		l.Mixers(1)
@@ -116,7 +116,7 @@
 			l.At(l.now + 50*ms)
 			l.Begin(&Request{Route: route, Until: l.now + horizon, Done: func(Final) {}})
 			for i, a := range l.Take(nil) {
-				out := []brain.Outcome{brain.ConnectionLost, brain.Succeeded}[(n+i)%2]
+				out := []policy.Outcome{policy.ConnectionLost, policy.Succeeded}[(n+i)%2]
 				l.Returned(a.Dispatch, out, MayRead, &Reply{Status: 200, Seal: "seal"})
 			}
 		}
--- a/request/types.go
+++ b/request/types.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"peathollow/brain"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
@@ -22,7 +22,7 @@
 // Host is one life of a searcher.
 type Host struct {
 	ID, Address, Service string
-	State                brain.SearcherState
+	State                policy.SearcherState
 	Calls                uint64 // of its reports, as last told: it rises
 	Silent               bool   // it has not been heard of lately
 	Far                  int    // 0 in this zone, 1 in this region, 2 elsewhere
@@ -70,7 +70,7 @@
 type Try struct {
 	Searcher string
 	Out      bool // its outcome was still open
-	Outcome  brain.Outcome
+	Outcome  policy.Outcome
 	Took     time.Duration // until its outcome, or until the request ended
 }
 
@@ -103,7 +103,7 @@
 	paused time.Duration // for how long the process had not run by then, in all
 	out    bool
 	// Once it is not out any more: what became of it, and how long that took.
-	outcome brain.Outcome
+	outcome policy.Outcome
 	took    time.Duration
 	host    *host
 }
@@ -138,6 +138,6 @@
 type Counts struct {
 	Taken, Relayed, Gathered, Partial, Refused, Failed, Left int
 	Sent, Further                                            int
-	Outcomes                                                 [brain.Expired + 1]int
+	Outcomes                                                 [policy.Expired + 1]int
 	Far                                                      [3]int // dispatches, by how far they went
 }
--- a/request/vouch_test.go
+++ b/request/vouch_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
@@ -16,7 +16,7 @@
 	l = New(Terms{Seed: 1, Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
 	for _, id := range []string{"i1", "i2", "i3", "i4"} {
-		hosts = append(hosts, Host{ID: id, Address: "at " + id, Service: "s", State: brain.Ready})
+		hosts = append(hosts, Host{ID: id, Address: "at " + id, Service: "s", State: policy.Ready})
 	}
 	l.List(hosts)
 	return l, hosts
@@ -36,7 +36,7 @@
 		l.At(l.now + ms)
 		for _, a := range acts {
 			got[a.Dispatch.Host.ID] = a.Dispatch.Vouched
-			l.Returned(a.Dispatch, brain.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
+			l.Returned(a.Dispatch, policy.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
 		}
 	}
 	return got
--- a/request/world_test.go
+++ b/request/world_test.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
@@ -35,7 +35,7 @@
 	services []string
 	listed   map[string]*Host         // as last told
 	gone     map[string]time.Duration // by a 421, and until when
-	moods    map[string]brain.Outcome
+	moods    map[string]policy.Outcome
 	births   int
 
 	reqs  []*wreq
@@ -83,7 +83,7 @@
 
 func newWorld(seed uint64, fault string) *world {
 	w := &world{r: rand.New(rand.NewPCG(seed, 7)), fault: fault, log: fnv.New64a(), listed: map[string]*Host{},
-		gone: map[string]time.Duration{}, moods: map[string]brain.Outcome{}, tries: map[*Dispatch]*wtry{}}
+		gone: map[string]time.Duration{}, moods: map[string]policy.Outcome{}, tries: map[*Dispatch]*wtry{}}
 	w.l = New(Terms{Seed: seed, Budget: retrybudget.Terms{Ratio: 0.5, Slack: 200, Window: 10 * time.Second}}, 0)
 	w.l.Mixers(1)
 	return w
@@ -136,7 +136,7 @@
 		fmt.Fprintln(w.log, w.now, a.Dispatch.Host.ID, a.Cancel, a.Dispatch.Until)
 		if a.Cancel {
 			d := a.Dispatch
-			w.after(time.Duration(w.r.IntN(3))*ms, func() { w.back(d, brain.Cancelled, nil) })
+			w.after(time.Duration(w.r.IntN(3))*ms, func() { w.back(d, policy.Cancelled, nil) })
 			continue
 		}
 		w.dispatch(a.Dispatch)
@@ -153,7 +153,7 @@
 	switch {
 	case q.finals > 0 || q.left:
 		w.fail("request %d is sent after its end: %d answers, left: %v, %+v", q.no, q.finals, q.left, q.Route)
-	case h == nil || h.State != brain.Ready || w.gone[d.Host.ID] > w.now || h.Address != d.Host.Address:
+	case h == nil || h.State != policy.Ready || w.gone[d.Host.ID] > w.now || h.Address != d.Host.Address:
 		w.fail("request %d is sent to %s, listed: %+v, gone: %v", q.no, d.Host.ID, h, w.gone[d.Host.ID])
 	case !slices.Contains(q.allowed, d.Host.Service):
 		w.fail("request %d of version %d, %v, is sent to %s", q.no, q.version, q.allowed, d.Host.Service)
@@ -183,42 +183,42 @@
 	took := time.Duration(5+w.r.ExpFloat64()*20) * ms
 	out := w.moods[d.Host.ID]
 	if w.r.IntN(12) == 0 {
-		out = brain.Outcome(w.r.IntN(int(brain.Expired) + 1))
+		out = policy.Outcome(w.r.IntN(int(policy.Expired) + 1))
 	}
 	var reply *Reply
 	switch out {
-	case brain.Succeeded:
+	case policy.Succeeded:
 		reply = w.reply(d, 200)
-	case brain.Failed:
+	case policy.Failed:
 		if w.r.IntN(2) == 0 { // else it is garbled
 			reply = w.reply(d, 500)
 		}
-	case brain.TimedOut:
+	case policy.TimedOut:
 		took = time.Hour
-	case brain.Overloaded, brain.Unreachable, brain.Expired:
+	case policy.Overloaded, policy.Unreachable, policy.Expired:
 		took /= 10
-	case brain.Cancelled:
-		out = brain.ConnectionLost
+	case policy.Cancelled:
+		out = policy.ConnectionLost
 	}
 	if now := d.Until - w.now; took >= now { // the sockets end it then
-		out, took, reply = brain.TimedOut, now, nil
+		out, took, reply = policy.TimedOut, now, nil
 	}
-	if w.fault == "false proof" && out == brain.ConnectionLost {
+	if w.fault == "false proof" && out == policy.ConnectionLost {
 		w.tries[d].ran = true
-		w.after(took, func() { w.back(d, brain.Overloaded, nil) })
+		w.after(took, func() { w.back(d, policy.Overloaded, nil) })
 		return
 	}
 	w.after(took, func() { w.back(d, out, reply) })
 }
 
 // reading rolls whether a searcher has read a dispatch that ended so.
-func (w *world) reading(out brain.Outcome) Reading {
+func (w *world) reading(out policy.Outcome) Reading {
 	switch out {
-	case brain.Succeeded, brain.Failed, brain.Overloaded:
+	case policy.Succeeded, policy.Failed, policy.Overloaded:
 		return WasRead
-	case brain.Expired:
+	case policy.Expired:
 		return NotRead
-	case brain.Unreachable:
+	case policy.Unreachable:
 		return []Reading{WasRead, NotRead}[w.r.IntN(2)]
 	}
 	return MayRead
@@ -233,27 +233,27 @@
 }
 
 // back hands over how a dispatch ended, once; the sockets may have called it off just as it was answered.
-func (w *world) back(d *Dispatch, out brain.Outcome, reply *Reply) {
+func (w *world) back(d *Dispatch, out policy.Outcome, reply *Reply) {
 	t := w.tries[d]
 	if !t.out {
 		return
 	}
 	t.out = false
-	t.ran = t.ran || out != brain.Overloaded && out != brain.Unreachable && out != brain.Expired
+	t.ran = t.ran || out != policy.Overloaded && out != policy.Unreachable && out != policy.Expired
 	if reply != nil {
-		if out == brain.Succeeded {
+		if out == policy.Succeeded {
 			t.req.replies[reply] = t.host.Service
 		} else {
 			t.req.errors[reply] = true
 		}
 	}
-	if out == brain.Unreachable && w.r.IntN(2) == 0 { // another has its address
+	if out == policy.Unreachable && w.r.IntN(2) == 0 { // another has its address
 		w.gone[d.Host.ID] = w.now + astrayFor
 		w.l.Misdirected(d.Host, true)
 	}
 	w.l.Returned(d, out, w.reading(out), reply)
 	if w.r.IntN(20) == 0 {
-		w.l.Returned(d, brain.Succeeded, WasRead, w.reply(d, 200)) // a second end of the same counts for nothing
+		w.l.Returned(d, policy.Succeeded, WasRead, w.reply(d, 200)) // a second end of the same counts for nothing
 	}
 }
 
