--- a/policy/state.go
+++ b/policy/state.go
@@ -10,6 +10,7 @@
 
 // The state that the policy works on. No decisions are made in this file.
 
+// class holds the settings and statistics of a table type.
 type class struct {
 	target, timeout, repeatWindow time.Duration
 	stretch, benefit              float64
@@ -17,8 +18,8 @@
 	effect                        Effect
 	need, floor, minShare         float64 // minShare: lower limit of share
 	secondStep                    int
-	threshold                     float64 // part latency in seconds above which share decreases
-	share                         float64
+	threshold                     float64       // part latency in seconds above which share decreases
+	share                         float64       // share of a scan's weight that is sent, heaviest parts first
 	maxAttempts                   int           // dispatches allowed per part
 	latencyRatio                  ewma          // a scan's time in part latencies
 	size                          ewma          // parts per scan
@@ -28,6 +29,7 @@
 	shortAttempts                 ewma          // share of first attempts with a shorter remaining time
 }
 
+// searcher holds what is known of one searcher.
 type searcher struct {
 	state          SearcherState
 	shard          int
@@ -57,10 +59,12 @@
 	distance       int // 0 near, 1 farther, 2 farthest
 }
 
+// call is a group of parts that go to one searcher in the same batch; it counts once in the searcher's load.
 type call struct {
 	total, inFlight int
 }
 
+// attempt is one dispatch of a part.
 type attempt struct {
 	searcher, call int32
 	sentAt         time.Duration
@@ -71,6 +75,7 @@
 	neverRan       bool // proved not to have run
 }
 
+// part is the piece of a scan that goes to one shard.
 type part struct {
 	id       uint64
 	scan     int32
@@ -86,6 +91,7 @@
 	failedAt time.Duration // last outcome without an answer
 }
 
+// scan is a pending scan. It has one step, or two if its table type has a second one.
 type scan struct {
 	id, number                 uint64
 	class                      int32
@@ -124,6 +130,7 @@
 	connectionLost bool
 }
 
+// stepHandler handles the events of a scan in its current phase.
 type stepHandler func(e *Engine, si int32, r result)
 
 // Engine is the dispatch policy of one routing instance: pending scans, statistics, and values derived from its settings.
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,6 +1,5 @@
 // Package policy implements the dispatch policy of a routing instance (mixer): it decides whether each scan is admitted, which
-// searchers get its parts, when parts are retried, hedged or cancelled, and when the scan ends. It reads no clock and does no
-// I/O.
+// searchers get its parts, when parts are retried, hedged or cancelled, and when the scan ends. It reads no clock, does no I/O.
 //
 // The owner creates one Engine per routing instance with New, sets its clock with Advance before each batch of events, and passes
 // events in the order in which they arrive: list entries, scans and their parts, outcomes of dispatches, wake-ups. The policy
@@ -17,42 +16,42 @@
 type Outcome uint8
 
 const (
-	Succeeded      Outcome = iota
-	Failed                 // an error was returned; may have run
-	Overloaded             // refused as full; never ran
-	TimedOut               // no answer in time; may have run, may still be running
-	Unreachable            // no connection; never ran
-	ConnectionLost         // the connection broke; may have run
-	Cancelled              // cancelled by the policy; may have run
-	Expired                // never left this mixer
+	Succeeded      Outcome = iota // an answer was returned
+	Failed                        // an error was returned; may have run
+	Overloaded                    // refused as full; never ran
+	TimedOut                      // no answer in time; may have run, may still be running
+	Unreachable                   // no connection; never ran
+	ConnectionLost                // the connection broke; may have run
+	Cancelled                     // cancelled by the policy; may have run
+	Expired                       // never left this mixer
 )
 
 // Effect is the effect of running a part more than once.
 type Effect uint8
 
 const (
-	Idempotent Effect = iota
-	IdempotentByKey
-	NonIdempotent
+	Idempotent      Effect = iota // harmless at any time
+	IdempotentByKey               // harmless within TableType.RepeatWindow of the first run
+	NonIdempotent                 // not harmless
 )
 
 // ListMode is the kind of a searcher list update.
 type ListMode uint8
 
 const (
-	Changes ListMode = iota
-	Full
-	Cached
-	Unavailable
+	Changes     ListMode = iota // only the entries that changed
+	Full                        // all entries
+	Cached                      // all entries, from an earlier list
+	Unavailable                 // the list could not be had
 )
 
 // SearcherState is the state of a searcher according to the list.
 type SearcherState uint8
 
 const (
-	Ready SearcherState = iota
-	Draining
-	Gone
+	Ready    SearcherState = iota // accepts parts
+	Draining                      // finishes its parts and accepts no further ones
+	Gone                          // not in the list any more
 )
 
 // LongAgo is a time before all events: the start of a searcher that the list doesn't date, and the time of events that haven't
