--- a/agent/heartbeat_test.go
+++ b/agent/heartbeat_test.go
@@ -43,7 +43,7 @@
 	me.board.With(func(r *registry.Registry) bool {
 		for n, life := range []string{me.life, "agent/b/2"} {
 			m := distribution.Mixer{Life: life, Zone: "z", Addr: at(n + 1), Calls: 1}
-			r.Beat(time.Now(), m.Searcher())
+			r.Heartbeat(time.Now(), m.Searcher())
 		}
 		return true
 	})
@@ -87,6 +87,6 @@
 	})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	must.True(t, h.look.Heard(time.Now(), key, 999, at(2)), must.Sprint("the stranger's number was taken"))
+	must.True(t, h.look.ReceiveHeartbeat(time.Now(), key, 999, at(2)), must.Sprint("the stranger's number was taken"))
 	must.NoError(t, h.look.Check())
 }
