--- a/proxy/send.go
+++ b/proxy/send.go
@@ -6,9 +6,9 @@
 
 	"github.com/go-faster/errors"
 
-	"peathollow/brain"
 	"peathollow/internal/invariant"
 	"peathollow/internal/upstream"
+	"peathollow/policy"
 	"peathollow/request"
 )
 
@@ -135,37 +135,37 @@
 }
 
 // outcome says in the module's words what became of a dispatch.
-func outcome(a *upstream.Answer, d *request.Dispatch) brain.Outcome {
+func outcome(a *upstream.Answer, d *request.Dispatch) policy.Outcome {
 	switch a.Outcome {
 	case upstream.Answered:
 		if promises(a.Status) {
-			return brain.Fault
+			return policy.Failed
 		}
 		if a.Status >= 200 && a.Status < 300 || a.Status < 500 && len(d.Request.Route.FanOut) == 0 {
-			return brain.Pass
+			return policy.Succeeded
 		}
-		return brain.Fault
+		return policy.Failed
 	case upstream.NotExecuted:
 		if a.Misdirected() {
-			return brain.NoRoute
+			return policy.Unreachable
 		}
-		return brain.NoRoom
+		return policy.Overloaded
 	case upstream.NoConnect, upstream.Unsendable:
 		if errors.Is(a.Err, upstream.ErrFull) {
-			return brain.NoRoom // our own share of its connections is in use: it is there, and busy
+			return policy.Overloaded // our own share of its connections is in use: it is there, and busy
 		}
-		return brain.NoRoute
+		return policy.Unreachable
 	case upstream.Broken:
-		return brain.Cut
+		return policy.ConnectionLost
 	case upstream.TimedOut:
-		return brain.TooSlow
+		return policy.TimedOut
 	case upstream.Cancelled:
 		if !a.Wrote {
-			return brain.Stale
+			return policy.Expired
 		}
-		return brain.Undone
+		return policy.Cancelled
 	}
-	return brain.Fault
+	return policy.Failed
 }
 
 // promises tells of the statuses that tell a client that its request has not run and never will. A searcher that gives one
