--- a/duty/doc.go
+++ b/duty/doc.go
@@ -1,11 +1,12 @@
-// Package duty divides periodic duties among instances that may talk: each target of each kind of duty is looked
-// after by one instance at a time, at the intended rate, and taken over when that one dies.
+// Package duty divides periodic duties among cooperating instances: one instance at a time runs the duty for each
+// target at the intended rate, and another takes the target over when that instance fails.
 //
-// Targets fall into shares by a hash. An instance looks after a share while a majority of all instances has leased it
-// to that one; an instance without the lease may take a turn at a target of which it has heard nothing for long, so
-// rarely that all such turns together stay under half the intended rate. docs/duties.md has the proof of both bounds.
+// Targets are assigned to shares by a hash. An instance runs the duties of a share while it holds a lease on the share,
+// granted by a majority of all instances. An instance without the lease may run a duty out of lease if, as
+// far as it knows, the target has not answered for a long time. Such runs are so rare that all of them together stay
+// below half the intended rate. docs/duties.md proves both bounds.
 //
-// The package holds decisions only: no sockets, no files, no goroutines, no clock. A caller hands events over (At,
+// The package only makes decisions: it has no sockets, files, goroutines or clock. The caller passes events in (At,
 // Members, Targets, Heard, Permit, Done, Leave) and carries out the Actions. The same events give the same actions.
-// It never runs a duty without having been asked for a permit at the very moment of the write.
+// No duty runs unless Permit was asked at the moment of the write.
 package duty
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -5,268 +5,275 @@
 	"time"
 )
 
-// Who holds which share: leases by majority. An instance claims a share from all; each promises it to one at a time.
-// Two majorities of one set of instances have a member in common, and that one does not promise the share again
-// before the lease has run out by any clock: so no two hold it at once, whatever anybody believes of the others.
+// Shares are owned by majority leases. An instance claims a share from all instances, and each of them promises it to
+// one claimant at a time. Any two majorities of one set of instances have a member in common, and that member doesn't
+// promise the share again before the lease has expired by any clock. So no two instances hold a share at the same
+// time, however wrong their views are.
 
-// claims asks for what is held, and for what should be, once every part of a lease.
-func (c *Core) claims() {
-	c.claim = c.now + c.set.Lease/renewPart
-	var want []uint16
-	for i := range c.shares {
-		s := &c.shares[i]
+// sendClaims claims the shares to be renewed or acquired. It runs claimsPerLease times per lease.
+func (s *Core) sendClaims() {
+	s.nextClaim = s.now + s.settings.Lease/claimsPerLease
+	var wanted []uint16
+	for i := range s.shares {
+		share := &s.shares[i]
 		switch {
-		case c.holds(s):
-			if to := s.first; to != c.set.Me && c.handOver(s, to) {
-				c.handOn(i, to)
+		case s.holdsLease(share):
+			if to := share.preferred; to != s.settings.Me && s.shouldHandOver(share, to) {
+				s.handOver(i, to)
 				continue
 			}
-			want = append(want, uint16(i))
-		case c.open(s) && (s.handed > c.now || c.now-s.unheld >= time.Duration(s.rank)*c.set.Lease):
-			want = append(want, uint16(i))
+			wanted = append(wanted, uint16(i))
+		case s.canClaim(share) &&
+			(share.handedOverUntil > s.now || s.now-share.freeSince >= time.Duration(share.rank)*s.settings.Lease):
+			wanted = append(wanted, uint16(i))
 		}
 	}
-	c.withdraw()
-	if len(want) == 0 {
+	s.releaseUnacquired()
+	if len(wanted) == 0 {
 		return
 	}
-	c.seq++
-	a := ask{seq: c.seq, at: c.now, shares: want, votes: make([]int, len(want)), voters: map[string]bool{}}
-	if len(c.asks) >= claimsKept {
-		c.asks = slices.Delete(c.asks, 0, 1)
+	s.claimSeq++
+	claim := pendingClaim{seq: s.claimSeq, sentAt: s.now, shares: wanted, votes: make([]int, len(wanted)), voters: map[string]bool{}}
+	if len(s.pending) >= maxPendingClaims {
+		s.pending = slices.Delete(s.pending, 0, 1)
 	}
-	c.asks = append(c.asks, a)
-	c.send("", Message{Kind: Claim, Seq: c.seq, Shares: want})
-	c.vote(c.set.Me, c.seq, c.promise(c.set.Me, c.set.Inc, c.seq, want))
+	s.pending = append(s.pending, claim)
+	s.send("", Message{Kind: Claim, Seq: s.claimSeq, Shares: wanted})
+	s.countVote(s.settings.Me, s.claimSeq, s.grant(s.settings.Me, s.settings.Inc, s.claimSeq, wanted))
 }
 
-// open tells that this instance has promised a share to nobody else.
-func (c *Core) open(s *share) bool {
-	return s.promise <= c.now || s.holder == c.set.Me && s.holderInc == c.set.Inc
+// canClaim reports whether this instance has promised the share to no other instance.
+func (s *Core) canClaim(share *shareState) bool {
+	return share.promisedUntil <= s.now || share.promisedTo == s.settings.Me && share.promisedIncarnation == s.settings.Inc
 }
 
-// handOver tells whether a share goes to the one that is first for it now. One that did not take it when it could
-// is not offered it again for long: it may be seen and yet not get a majority.
-func (c *Core) handOver(s *share, to string) bool {
-	if c.now-s.since < 2*c.set.Lease || s.offered == to && c.now < s.notYet {
+// shouldHandOver reports whether the share is to be handed over to its preferred member, and records the offer. A
+// member that did not acquire the share is offered it again only after handOverRetryLeases: it may be in the view and
+// still be unable to get a majority.
+func (s *Core) shouldHandOver(share *shareState, to string) bool {
+	if s.now-share.leasedSince < 2*s.settings.Lease || share.lastOfferedTo == to && s.now < share.nextOffer {
 		return false
 	}
-	s.offered, s.notYet = to, c.now+holdOff*c.set.Lease
+	share.lastOfferedTo, share.nextOffer = to, s.now+handOverRetryLeases*s.settings.Lease
 	return true
 }
 
-// withdraw lets voters go that promised what this instance did not get: it may be another that can.
-func (c *Core) withdraw() {
-	var lost []uint16
-	for i := range c.shares {
-		s := &c.shares[i]
-		if !c.holds(s) && s.promise > c.now && s.holder == c.set.Me {
-			s.promise = 0
-			s.unheld = c.now
-			lost = append(lost, uint16(i))
+// releaseUnacquired withdraws claims on shares that this instance did not acquire, so that another instance can.
+func (s *Core) releaseUnacquired() {
+	var released []uint16
+	for i := range s.shares {
+		share := &s.shares[i]
+		if !s.holdsLease(share) && share.promisedUntil > s.now && share.promisedTo == s.settings.Me {
+			share.promisedUntil = 0
+			share.freeSince = s.now
+			released = append(released, uint16(i))
 		}
 	}
-	if len(lost) == 0 {
+	if len(released) == 0 {
 		return
 	}
-	// Grants that are still under way must not count: the votes they rest on are given back.
-	for k := range c.asks {
-		a := &c.asks[k]
-		for j, sh := range a.shares {
-			if _, ok := slices.BinarySearch(lost, sh); ok {
-				a.votes[j] = -c.set.Instances
+	// Grants that are still on their way must not count, because the votes behind them are released.
+	for k := range s.pending {
+		claim := &s.pending[k]
+		for j, id := range claim.shares {
+			if _, ok := slices.BinarySearch(released, id); ok {
+				claim.votes[j] = -s.settings.Instances
 			}
 		}
 	}
-	c.send("", Message{Kind: Release, Seq: c.seq, Shares: lost})
+	s.send("", Message{Kind: Release, Seq: s.claimSeq, Shares: released})
 }
 
-// promise promises shares to a claimant, and says which.
-func (c *Core) promise(to string, inc, seq uint64, shares []uint16) (granted []uint16) {
-	if c.now < c.mute {
+// grant promises shares to a claimant and returns the granted ones.
+func (s *Core) grant(to string, incarnation, seq uint64, shares []uint16) (granted []uint16) {
+	if s.now < s.grantsFrom {
 		return nil
 	}
 	for _, i := range shares {
-		s := &c.shares[i]
-		if s.promise > c.now && (s.holder != to || s.holderInc != inc) {
+		share := &s.shares[i]
+		if share.promisedUntil > s.now && (share.promisedTo != to || share.promisedIncarnation != incarnation) {
 			continue
 		}
-		if to != c.set.Me {
-			c.unsure(s)
+		if to != s.settings.Me {
+			s.discardHandOver(share)
 		}
-		if s.holder != to || s.holderInc != inc {
-			s.holderSeq = 0
+		if share.promisedTo != to || share.promisedIncarnation != incarnation {
+			share.promisedSeq = 0
 		}
-		s.holder, s.holderInc, s.holderSeq, s.promise = to, inc, max(seq, s.holderSeq), c.now+c.set.promise()
-		s.unheld = s.promise
+		share.promisedTo, share.promisedIncarnation, share.promisedSeq, share.promisedUntil =
+			to, incarnation, max(seq, share.promisedSeq), s.now+s.settings.promiseDuration()
+		share.freeSince = share.promisedUntil
 		granted = append(granted, i)
 	}
 	return granted
 }
 
-// unsure forgets what was handed on with a share.
-func (c *Core) unsure(s *share) {
-	if s.handed == 0 {
+// discardHandOver ignores what the previous holder confirmed when it handed the share over.
+func (s *Core) discardHandOver(share *shareState) {
+	if share.handedOverUntil == 0 {
 		return
 	}
-	s.handed = 0
-	for _, i := range s.items {
-		c.items[i].sure = false
+	share.handedOverUntil = 0
+	for _, i := range share.targets {
+		s.targets[i].handedOver = false
 	}
 }
 
-// vote counts what a voter granted of a claim. The lease runs from when the claim went out.
-func (c *Core) vote(from string, seq uint64, granted []uint16) {
-	k := slices.IndexFunc(c.asks, func(a ask) bool { return a.seq == seq })
-	// Names that are in nobody's view would let one peer be a majority.
-	if k < 0 || c.peers[from] == nil || c.asks[k].voters[from] || len(c.asks[k].voters) >= c.set.Instances {
+// countVote counts the grants of one voter for a claim. A lease starts when its claim was sent.
+func (s *Core) countVote(from string, seq uint64, granted []uint16) {
+	k := slices.IndexFunc(s.pending, func(claim pendingClaim) bool { return claim.seq == seq })
+	// A voter outside the view doesn't count: one peer could form a majority under invented names.
+	if k < 0 || s.peers[from] == nil || s.pending[k].voters[from] || len(s.pending[k].voters) >= s.settings.Instances {
 		return
 	}
-	a := &c.asks[k]
-	a.voters[from] = true
-	for _, sh := range granted {
-		j, ok := slices.BinarySearch(a.shares, sh)
+	claim := &s.pending[k]
+	claim.voters[from] = true
+	for _, id := range granted {
+		j, ok := slices.BinarySearch(claim.shares, id)
 		if !ok {
 			continue
 		}
-		if a.votes[j]++; a.votes[j] >= c.set.majority() {
-			c.take(int(sh), a.at)
+		if claim.votes[j]++; claim.votes[j] >= s.settings.majority() {
+			s.acquireLease(int(id), claim.sentAt)
 		}
 	}
 }
 
-// take begins or extends a lease by a claim that went out at a time.
-func (c *Core) take(i int, asked time.Duration) {
-	s := &c.shares[i]
-	until := asked + c.set.Lease
-	if until <= c.now || until <= s.until {
+// acquireLease starts or extends the lease of a share, counted from sentAt, when the claim was sent.
+func (s *Core) acquireLease(i int, sentAt time.Duration) {
+	share := &s.shares[i]
+	until := sentAt + s.settings.Lease
+	if until <= s.now || until <= share.leasedUntil {
 		return
 	}
-	held := c.holds(s)
-	s.until = until
-	if held {
+	renewal := s.holdsLease(share)
+	share.leasedUntil = until
+	if renewal {
 		return
 	}
-	s.since = c.now
-	c.counts.Took++
-	c.act.Note(Note{Event: Took, Share: i})
-	if asked > s.handed {
-		c.unsure(s)
+	share.leasedSince = s.now
+	s.counts.Took++
+	s.actions.Note(Note{Event: Took, Share: i})
+	if sentAt > share.handedOverUntil {
+		s.discardHandOver(share)
 	}
-	s.handed = 0
-	for _, k := range s.items {
-		c.begin(&c.items[k])
-		c.plan(k)
+	share.handedOverUntil = 0
+	for _, k := range share.targets {
+		s.scheduleFirstRun(&s.targets[k])
+		s.schedule(k)
 	}
 }
 
-// lose ends a lease that ran out, or that a pause made worthless.
-func (c *Core) lose(i int) {
-	s := &c.shares[i]
-	if s.until == 0 {
+// loseLease ends a lease that expired or that a clock jump invalidated.
+func (s *Core) loseLease(i int) {
+	share := &s.shares[i]
+	if share.leasedUntil == 0 {
 		return
 	}
-	s.until = 0
-	c.counts.Lost++
-	c.act.Note(Note{Event: Lost, Share: i})
-	c.replan(s)
+	share.leasedUntil = 0
+	s.counts.Lost++
+	s.actions.Note(Note{Event: Lost, Share: i})
+	s.rescheduleShare(share)
 }
 
-func (c *Core) replan(s *share) {
-	for _, k := range s.items {
-		c.plan(k)
+func (s *Core) rescheduleShare(share *shareState) {
+	for _, k := range share.targets {
+		s.schedule(k)
 	}
 }
 
-// handOn gives a share up, with all that is known of it: who takes it need not wait a whole interval.
-func (c *Core) handOn(i int, to string) {
-	s := &c.shares[i]
-	s.until, s.promise, s.unheld = 0, 0, c.now
-	m := Message{Kind: Release, Seq: c.seq, Shares: []uint16{uint16(i)}, To: to}
-	for _, k := range s.items {
-		if it := &c.items[k]; it.known && it.gen == c.gen && len(m.Results) < batchMost {
-			m.Results = append(m.Results, c.result(it))
+// handOver releases a share to a member together with the latest results of its targets, so that the new holder need
+// not wait for a whole interval.
+func (s *Core) handOver(i int, to string) {
+	share := &s.shares[i]
+	share.leasedUntil, share.promisedUntil, share.freeSince = 0, 0, s.now
+	m := Message{Kind: Release, Seq: s.claimSeq, Shares: []uint16{uint16(i)}, To: to}
+	for _, k := range share.targets {
+		if t := &s.targets[k]; t.lastRunCertain && t.generation == s.generation && len(m.Results) < maxBatchResults {
+			m.Results = append(m.Results, s.latestResult(t))
 		}
 	}
-	for k := range c.asks {
-		if j, ok := slices.BinarySearch(c.asks[k].shares, uint16(i)); ok {
-			c.asks[k].votes[j] = -c.set.Instances
+	for k := range s.pending {
+		if j, ok := slices.BinarySearch(s.pending[k].shares, uint16(i)); ok {
+			s.pending[k].votes[j] = -s.settings.Instances
 		}
 	}
-	c.counts.HandedOn++
-	c.act.Note(Note{Event: HandedOn, Share: i, Peer: to})
-	c.send("", m)
-	c.replan(s)
+	s.counts.HandedOn++
+	s.actions.Note(Note{Event: HandedOn, Share: i, Peer: to})
+	s.send("", m)
+	s.rescheduleShare(share)
 }
 
-// Heard takes a message of a peer. What cannot be believed is counted and does nothing.
-func (c *Core) Heard(m Message) {
-	if err := c.plausible(&m); err != nil {
-		c.counts.Foreign++
-		c.act.Note(Note{Event: Ignored, Share: -1, Peer: m.From})
+// Heard handles a message from a peer. Invalid messages are counted and have no effect.
+func (s *Core) Heard(m Message) {
+	if err := s.validate(&m); err != nil {
+		s.counts.Foreign++
+		s.actions.Note(Note{Event: Ignored, Share: -1, Peer: m.From})
 		return
 	}
 	switch m.Kind {
 	case Claim:
-		if c.left {
+		if s.stopped {
 			return
 		}
-		// Who claims after a restart holds nothing from before it, but its old process might: that has to run out.
-		c.send(m.From, Message{Kind: Grant, Seq: m.Seq, Shares: c.promise(m.From, m.Inc, m.Seq, m.Shares)})
+		// A claimant that has restarted holds no lease from before, but its old process may: that promise must expire.
+		s.send(m.From, Message{Kind: Grant, Seq: m.Seq, Shares: s.grant(m.From, m.Inc, m.Seq, m.Shares)})
 	case Grant:
-		c.vote(m.From, m.Seq, m.Shares)
+		s.countVote(m.From, m.Seq, m.Shares)
 	case Release:
-		if c.now < c.dim {
+		if s.now < s.agesKnownFrom {
 			m.To, m.Results = "", nil
 		}
 		for _, r := range m.Results {
-			c.believe(m.From, r)
+			s.applyResult(m.From, r)
 		}
 		for _, i := range m.Shares {
-			c.released(&c.shares[i], &m)
+			s.applyRelease(&s.shares[i], &m)
 		}
 	case Results:
-		if c.now < c.dim {
+		if s.now < s.agesKnownFrom {
 			return
 		}
 		for _, r := range m.Results {
-			c.believe(m.From, r)
+			s.applyResult(m.From, r)
 		}
 	}
 }
 
-func (c *Core) released(s *share, m *Message) {
-	// Of claims up to that one: a later claim that came first stands, and its grant with it.
-	if s.promise > c.now && s.holder == m.From && s.holderInc == m.Inc && m.Seq >= s.holderSeq {
-		s.promise, s.unheld = 0, c.now
+// applyRelease ends the promise for a released share and prepares a claim if it is handed over to this instance.
+func (s *Core) applyRelease(share *shareState, m *Message) {
+	// A release covers claims up to its sequence number. A later claim that arrived first stands, and so does its grant.
+	if share.promisedUntil > s.now && share.promisedTo == m.From && share.promisedIncarnation == m.Inc &&
+		m.Seq >= share.promisedSeq {
+		share.promisedUntil, share.freeSince = 0, s.now
 	}
-	if m.To != c.set.Me || len(m.Shares) != 1 {
+	if m.To != s.settings.Me || len(m.Shares) != 1 {
 		return
 	}
-	s.handed = c.now + c.set.Lease
+	share.handedOverUntil = s.now + s.settings.Lease
 	for _, r := range m.Results {
-		if i, ok := c.byID[r.Kind][r.ID]; ok && c.items[i].share == int32(m.Shares[0]) {
-			c.items[i].sure = true
+		if i, ok := s.byID[r.Kind][r.ID]; ok && s.targets[i].share == int32(m.Shares[0]) {
+			s.targets[i].handedOver = true
 		}
 	}
-	c.claim = c.now
+	s.nextClaim = s.now
 }
 
-// believe takes one result of a peer.
-func (c *Core) believe(from string, r Result) {
-	i, ok := c.byID[r.Kind][r.ID]
+// applyResult records a result that a peer sent.
+func (s *Core) applyResult(from string, r Result) {
+	i, ok := s.byID[r.Kind][r.ID]
 	if !ok {
-		c.counts.Unknown++
+		s.counts.Unknown++
 		return
 	}
-	it := &c.items[i]
-	at := c.now - r.Age
-	c.counts.Heard++
+	t := &s.targets[i]
+	at := s.now - r.Age
+	s.counts.Heard++
 	if r.Outcome == Reached || r.Outcome == Refused {
-		it.reached = max(it.reached, at)
+		t.lastReached = max(t.lastReached, at)
 	}
-	if at > it.any {
-		it.any, it.who, it.last, it.lastAt, it.gen = at, from, r, at, c.gen
-		c.act.Learned(it.name, r, from)
+	if at > t.lastRun {
+		t.lastRun, t.lastRunBy, t.lastResult, t.lastResultAt, t.generation = at, from, r, at, s.generation
+		s.actions.Learned(t.name, r, from)
 	}
 }
--- a/duty/message.go
+++ b/duty/message.go
@@ -9,66 +9,67 @@
 	"time"
 )
 
-// The form of messages: a version byte, a kind byte, then fields of fixed order, numbers as varints, texts and lists
-// behind their length. All lengths are bounded, so that a message costs no more than its bytes, and nothing may be
-// left over. Another version is refused as a whole: claims read wrong would break what leases rest on.
+// The encoding of messages: a version byte, a kind byte, then fields in a fixed order, with numbers as varints, and
+// strings and lists prefixed with their length. All lengths are bounded, so that decoding a message costs no more than
+// its size, and trailing bytes are an error. Messages of another version are rejected as a whole, because misread claims
+// would break the guarantees of leases.
 const (
-	version  = 1
-	loadMost = 64
-	bytesMax = 32 << 10
-	ageMost  = 30 * 24 * time.Hour
+	messageVersion  = 1
+	maxLoadLength   = 64
+	maxMessageBytes = 32 << 10
+	maxAge          = 30 * 24 * time.Hour
 )
 
-// Errors of messages that cannot be believed.
+// Errors of invalid messages.
 var (
-	ErrVersion   = errors.New("duty message: another version")
-	ErrForm      = errors.New("duty message: unreadable")
-	errInstances = errors.New("duty message: another number of instances")
-	errSelf      = errors.New("duty message: from this instance's own name")
-	errShares    = errors.New("duty message: shares out of range or order")
-	errResult    = errors.New("duty message: a result that can't be")
-	errSender    = errors.New("duty message: no such sender")
+	ErrVersion   = errors.New("duty message: unsupported version")
+	ErrForm      = errors.New("duty message: malformed")
+	errInstances = errors.New("duty message: sender has a different number of instances configured")
+	errOwnName   = errors.New("duty message: sent under this instance's own name")
+	errShares    = errors.New("duty message: shares out of range or not in ascending order")
+	errResult    = errors.New("duty message: invalid result")
+	errSender    = errors.New("duty message: name of the sender missing, or a name too long")
 )
 
-// plausible checks a message against the settings: what it names must be there, and what it says be possible.
-func (c *Core) plausible(m *Message) error {
+// validate checks a message against the settings: all that it refers to must exist, and its values must be possible.
+func (s *Core) validate(m *Message) error {
 	switch {
-	case m.From == "" || len(m.From) > nameMost || len(m.To) > nameMost:
+	case m.From == "" || len(m.From) > maxNameLength || len(m.To) > maxNameLength:
 		return errSender
-	case m.From == c.set.Me:
-		return errSelf
-	case m.Instances != c.set.Instances:
-		return errInstances // a majority of another number is none
-	case m.Kind == 0 || m.Kind >= messageKinds:
+	case m.From == s.settings.Me:
+		return errOwnName
+	case m.Instances != s.settings.Instances:
+		return errInstances // the sender has another idea of a majority
+	case m.Kind == 0 || m.Kind >= messageKindCount:
 		return ErrForm
 	}
-	for i, s := range m.Shares {
-		if int(s) >= len(c.shares) || i > 0 && s <= m.Shares[i-1] {
+	for i, share := range m.Shares {
+		if int(share) >= len(s.shares) || i > 0 && share <= m.Shares[i-1] {
 			return errShares
 		}
 	}
 	for _, r := range m.Results {
-		if r.Kind < 0 || r.Kind >= len(c.byID) || r.Age < 0 || r.Age > ageMost || r.Took < 0 || r.Outcome >= outcomes ||
-			len(r.Load) > loadMost {
+		if r.Kind < 0 || r.Kind >= len(s.byID) || r.Age < 0 || r.Age > maxAge || r.Took < 0 || r.Outcome >= outcomeCount ||
+			len(r.Load) > maxLoadLength {
 			return errResult
 		}
 	}
 	return nil
 }
 
-// Append writes a message behind b.
+// Append appends the encoded message to b.
 func (m *Message) Append(b []byte) []byte {
-	b = append(b, version, byte(m.Kind))
+	b = append(b, messageVersion, byte(m.Kind))
 	b = appendText(b, m.From)
 	b = binary.AppendUvarint(b, m.Inc)
 	b = binary.AppendUvarint(b, uint64(m.Instances))
 	b = binary.AppendUvarint(b, m.Seq)
 	b = appendText(b, m.To)
 	b = binary.AppendUvarint(b, uint64(len(m.Shares)))
-	last := uint16(0)
+	previous := uint16(0)
 	for _, s := range m.Shares {
-		b = binary.AppendUvarint(b, uint64(s-last)) // they rise: small steps
-		last = s
+		b = binary.AppendUvarint(b, uint64(s-previous)) // ascending, so the differences are small
+		previous = s
 	}
 	b = binary.AppendUvarint(b, uint64(len(m.Results)))
 	for i := range m.Results {
@@ -86,89 +87,89 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Read decodes a message that fills b.
+// Read decodes a message that takes up all of b.
 func Read(b []byte) (m Message, err error) {
-	if len(b) > bytesMax {
+	if len(b) > maxMessageBytes {
 		return m, fmt.Errorf("%w: %d bytes", ErrForm, len(b))
 	}
-	if len(b) < 2 || b[0] != version {
+	if len(b) < 2 || b[0] != messageVersion {
 		return m, ErrVersion
 	}
-	r := reader{b: b[2:]}
+	d := decoder{rest: b[2:]}
 	m.Kind = MessageKind(b[1])
-	m.From = r.text(nameMost)
-	m.Inc = r.number(math.MaxUint64)
-	m.Instances = int(r.number(instancesMost))
-	m.Seq = r.number(math.MaxUint64)
-	m.To = r.text(nameMost)
-	if n := r.count(sharesMost, 1); n > 0 {
+	m.From = d.text(maxNameLength)
+	m.Inc = d.uvarint(math.MaxUint64)
+	m.Instances = int(d.uvarint(maxInstances))
+	m.Seq = d.uvarint(math.MaxUint64)
+	m.To = d.text(maxNameLength)
+	if n := d.listLength(maxShares, 1); n > 0 {
 		m.Shares = make([]uint16, 0, n)
-		last := uint64(0)
+		previous := uint64(0)
 		for range n {
-			last += r.number(sharesMost)
-			if last >= sharesMost {
+			previous += d.uvarint(maxShares)
+			if previous >= maxShares {
 				return Message{}, ErrForm
 			}
-			m.Shares = append(m.Shares, uint16(last))
+			m.Shares = append(m.Shares, uint16(previous))
 		}
 	}
-	if n := r.count(batchMost, 13); n > 0 {
+	if n := d.listLength(maxBatchResults, 13); n > 0 {
 		m.Results = make([]Result, 0, n)
 		for range n {
-			m.Results = append(m.Results, r.result())
+			m.Results = append(m.Results, d.result())
 		}
 	}
-	if r.bad || len(r.b) > 0 || m.Kind == 0 || m.Kind >= messageKinds || !slices.IsSorted(m.Shares) {
+	if d.failed || len(d.rest) > 0 || m.Kind == 0 || m.Kind >= messageKindCount || !slices.IsSorted(m.Shares) {
 		return Message{}, ErrForm
 	}
 	return m, nil
 }
 
-// reader takes fields off the front, and remembers that one could not be had.
-type reader struct {
-	b   []byte
-	bad bool
+// decoder reads fields from the front of rest. After an error, failed is set and rest is empty.
+type decoder struct {
+	rest   []byte
+	failed bool
 }
 
-func (r *reader) number(most uint64) uint64 {
-	x, n := binary.Uvarint(r.b)
-	if n <= 0 || x > most {
-		r.bad, r.b = true, nil
+func (d *decoder) uvarint(limit uint64) uint64 {
+	x, n := binary.Uvarint(d.rest)
+	if n <= 0 || x > limit {
+		d.failed, d.rest = true, nil
 		return 0
 	}
-	r.b = r.b[n:]
+	d.rest = d.rest[n:]
 	return x
 }
 
-// count reads the length of a list whose entries take so many bytes each, at the least.
-func (r *reader) count(most, each int) int {
-	n := int(r.number(uint64(most)))
-	if n*each > len(r.b) {
-		r.bad, r.b = true, nil
+// listLength reads the length of a list whose entries take at least entrySize bytes each.
+func (d *decoder) listLength(limit, entrySize int) int {
+	n := int(d.uvarint(uint64(limit)))
+	if n*entrySize > len(d.rest) {
+		d.failed, d.rest = true, nil
 		return 0
 	}
 	return n
 }
 
-func (r *reader) take(n int) []byte {
-	if n > len(r.b) {
-		r.bad, r.b = true, nil
+func (d *decoder) bytes(n int) []byte {
+	if n > len(d.rest) {
+		d.failed, d.rest = true, nil
 		return make([]byte, n)
 	}
-	out := r.b[:n]
-	r.b = r.b[n:]
+	out := d.rest[:n]
+	d.rest = d.rest[n:]
 	return out
 }
 
-func (r *reader) text(most int) string { return string(r.take(r.count(most, 1))) }
+func (d *decoder) text(limit int) string { return string(d.bytes(d.listLength(limit, 1))) }
 
-func (r *reader) span() time.Duration {
-	return time.Duration(r.number(uint64(ageMost/time.Microsecond))) * time.Microsecond
+func (d *decoder) duration() time.Duration {
+	return time.Duration(d.uvarint(uint64(maxAge/time.Microsecond))) * time.Microsecond
 }
 
-func (r *reader) result() Result {
-	head := r.take(10)
-	x := Result{Kind: int(head[0]), Outcome: Outcome(head[1]), ID: binary.LittleEndian.Uint64(head[2:])}
-	x.Age, x.Took, x.Load = r.span(), r.span(), r.text(loadMost)
-	return x
+func (d *decoder) result() Result {
+	head := d.bytes(10)
+	r := Result{Kind: int(head[0]), Outcome: Outcome(head[1]), ID: binary.LittleEndian.Uint64(head[2:])}
+	r.Age, r.Took, r.Load = d.duration(), d.duration(), d.text(maxLoadLength)
+	return r
 }
--- a/duty/message_test.go
+++ b/duty/message_test.go
@@ -11,26 +11,29 @@
 )
 
 func drawMessage(t *rapid.T) Message {
-	m := Message{Kind: MessageKind(rapid.IntRange(1, int(messageKinds)-1).Draw(t, "kind")), From: rapid.StringN(0, 9, nameMost).Draw(t, "from"),
-		Inc: rapid.Uint64().Draw(t, "inc"), Instances: rapid.IntRange(0, instancesMost).Draw(t, "n"), Seq: rapid.Uint64().Draw(t, "seq"),
-		To: rapid.StringN(0, 9, nameMost).Draw(t, "to")}
+	m := Message{Kind: MessageKind(rapid.IntRange(1, int(messageKindCount)-1).Draw(t, "kind")),
+		From: rapid.StringN(0, 9, maxNameLength).Draw(t, "from"),
+		Inc:  rapid.Uint64().Draw(t, "inc"), Instances: rapid.IntRange(0, maxInstances).Draw(t, "n"),
+		Seq: rapid.Uint64().Draw(t, "seq"),
+		To:  rapid.StringN(0, 9, maxNameLength).Draw(t, "to")}
 	at := 0
 	for range rapid.IntRange(0, 20).Draw(t, "shares") {
-		if at += rapid.IntRange(1, 300).Draw(t, "step"); at < sharesMost {
+		if at += rapid.IntRange(1, 300).Draw(t, "step"); at < maxShares {
 			m.Shares = append(m.Shares, uint16(at))
 		}
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "results") {
 		span := func(name string) time.Duration {
-			return time.Duration(rapid.Int64Range(0, int64(ageMost/time.Microsecond)).Draw(t, name)) * time.Microsecond
+			return time.Duration(rapid.Int64Range(0, int64(maxAge/time.Microsecond)).Draw(t, name)) * time.Microsecond
 		}
-		m.Results = append(m.Results, Result{Kind: rapid.IntRange(0, 255).Draw(t, "of"), ID: rapid.Uint64().Draw(t, "id"), Age: span("age"),
-			Took: span("took"), Outcome: Outcome(rapid.IntRange(0, 255).Draw(t, "outcome")), Load: rapid.StringN(0, 9, loadMost).Draw(t, "load")})
+		m.Results = append(m.Results, Result{Kind: rapid.IntRange(0, 255).Draw(t, "of"), ID: rapid.Uint64().Draw(t, "id"),
+			Age: span("age"), Took: span("took"), Outcome: Outcome(rapid.IntRange(0, 255).Draw(t, "outcome")),
+			Load: rapid.StringN(0, 9, maxLoadLength).Draw(t, "load")})
 	}
 	return m
 }
 
-func TestMessagesThereAndBack(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
 		b := m.Append(nil)
@@ -38,45 +41,45 @@
 		if err != nil || !reflect.DeepEqual(got, m) {
 			t.Fatalf("%+v: %+v %v", m, got, err)
 		}
-		// Cut anywhere, or with anything behind, it is none.
+		// A truncated message or one with trailing bytes is rejected.
 		if _, err := Read(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]); err == nil {
-			t.Fatal("cut short and believed")
+			t.Fatal("truncated message accepted")
 		}
 		if _, err := Read(append(b, 0)); err == nil {
-			t.Fatal("longer and believed")
+			t.Fatal("message with a trailing byte accepted")
 		}
 	})
 }
 
-func TestMessagesNotBelieved(t *testing.T) {
-	good := Message{Kind: Claim, From: "a", Inc: 1, Instances: 3, Seq: 1, Shares: []uint16{1, 2}}
-	other := good.Append(nil)
-	other[0]++
-	if _, err := Read(other); !errors.Is(err, ErrVersion) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	valid := Message{Kind: Claim, From: "a", Inc: 1, Instances: 3, Seq: 1, Shares: []uint16{1, 2}}
+	otherVersion := valid.Append(nil)
+	otherVersion[0]++
+	if _, err := Read(otherVersion); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
-	c, _ := alone(t, 3)
+	s, _ := newTestScheduler(t, 3)
 	for name, edit := range map[string]func(m *Message){
 		"own name":     func(m *Message) { m.From = "me" },
 		"no name":      func(m *Message) { m.From = "" },
-		"long name":    func(m *Message) { m.From = strings.Repeat("x", nameMost+1) },
+		"long name":    func(m *Message) { m.From = strings.Repeat("x", maxNameLength+1) },
 		"other number": func(m *Message) { m.Instances = 5 },
-		"kind":         func(m *Message) { m.Kind = messageKinds },
+		"kind":         func(m *Message) { m.Kind = messageKindCount },
 		"share":        func(m *Message) { m.Shares = []uint16{1, 9999} },
 		"order":        func(m *Message) { m.Shares = []uint16{2, 1} },
 		"twice":        func(m *Message) { m.Shares = []uint16{2, 2} },
 		"kind of duty": func(m *Message) { m.Kind, m.Results = Results, []Result{{Kind: 7}} },
 		"age":          func(m *Message) { m.Kind, m.Results = Results, []Result{{Age: -time.Second}} },
-		"very old":     func(m *Message) { m.Kind, m.Results = Results, []Result{{Age: 2 * ageMost}} },
-		"outcome":      func(m *Message) { m.Kind, m.Results = Results, []Result{{Outcome: outcomes}} },
+		"very old":     func(m *Message) { m.Kind, m.Results = Results, []Result{{Age: 2 * maxAge}} },
+		"outcome":      func(m *Message) { m.Kind, m.Results = Results, []Result{{Outcome: outcomeCount}} },
 		"long load":    func(m *Message) { m.Kind, m.Results = Results, []Result{{Load: strings.Repeat("x", 99)}} },
 		"not listed":   func(m *Message) { m.Kind, m.Results = Results, []Result{{ID: 12345}} },
 	} {
-		m := good
+		m := valid
 		edit(&m)
-		before := c.Counts()
-		c.Heard(m)
-		if after := c.Counts(); after.Foreign+after.Unknown != before.Foreign+before.Unknown+1 || after.Heard != before.Heard {
+		before := s.Counts()
+		s.Heard(m)
+		if after := s.Counts(); after.Foreign+after.Unknown != before.Foreign+before.Unknown+1 || after.Heard != before.Heard {
 			t.Errorf("%s: %+v", name, after)
 		}
 	}
@@ -85,7 +88,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add((&Message{Kind: Claim, From: "a", Inc: 7, Instances: 3, Seq: 9, Shares: []uint16{0, 5}}).Append(nil))
 	f.Add((&Message{Kind: Results, From: "b", Results: []Result{{ID: 1, Age: time.Second, Load: "inflight=1"}}}).Append(nil))
-	f.Add([]byte{version, byte(Grant), 0xff, 0xff, 0xff, 0xff, 0x7f})
+	f.Add([]byte{messageVersion, byte(Grant), 0xff, 0xff, 0xff, 0xff, 0x7f})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := Read(b)
 		if err != nil {
@@ -97,8 +100,8 @@
 		if again, err := Read(m.Append(nil)); err != nil || !reflect.DeepEqual(again, m) {
 			t.Errorf("%+v: %+v %v", m, again, err)
 		}
-		c, _ := alone(t, 3)
-		c.Heard(m)
-		c.Wake()
+		s, _ := newTestScheduler(t, 3)
+		s.Heard(m)
+		s.Wake()
 	})
 }
--- a/duty/targets.go
+++ b/duty/targets.go
@@ -5,138 +5,146 @@
 	"time"
 )
 
-// Targets sets all targets of a kind.
-func (c *Core) Targets(kind int, ts []Target) {
-	if kind < 0 || kind >= len(c.byID) || len(ts) > targetsMost {
+// Targets replaces the list of targets of a kind.
+func (s *Core) Targets(kind int, targets []Target) {
+	if kind < 0 || kind >= len(s.byID) || len(targets) > maxTargets {
 		return
 	}
-	byID := c.byID[kind]
-	seen := make(map[uint64]bool, len(ts))
-	for _, t := range ts {
-		id := ID(kind, t.Name)
+	byID := s.byID[kind]
+	seen := make(map[uint64]bool, len(targets))
+	for _, target := range targets {
+		id := ID(kind, target.Name)
 		if seen[id] {
 			continue
 		}
 		seen[id] = true
 		i, ok := byID[id]
 		if !ok {
-			i = c.add(kind, id, t.Name)
+			i = s.addTarget(kind, id, target.Name)
 		}
-		it := &c.items[i]
-		if born := c.now - t.Age; !t.Since {
-			it.born = -1 << 62
-		} else if d := it.born - born; !ok || d < -startSlack || d > startSlack {
-			it.born = born // else the same start, told by a clock that runs a little differently
+		t := &s.targets[i]
+		if startedAt := s.now - target.Age; !target.Since {
+			t.startedAt = -1 << 62
+		} else if shift := t.startedAt - startedAt; !ok || shift < -startTimeTolerance || shift > startTimeTolerance {
+			t.startedAt = startedAt // a smaller shift is the same start time, seen by a clock with a slightly different rate
 		}
 		if !ok {
-			c.begin(it)
+			s.scheduleFirstRun(t)
 		}
-		c.plan(i)
+		s.schedule(i)
 	}
 	for id, i := range byID {
 		if !seen[id] {
-			c.remove(i)
+			s.removeTarget(i)
 		}
 	}
 }
 
-const startSlack = 50 * time.Millisecond
+// startTimeTolerance is the largest difference at which two start times of a target count as the same.
+const startTimeTolerance = 50 * time.Millisecond
 
-func (c *Core) add(kind int, id uint64, name string) int32 {
-	var i int32
-	if n := len(c.free); n > 0 {
-		i, c.free = c.free[n-1], c.free[:n-1]
+func (s *Core) addTarget(kind int, id uint64, name string) int32 {
+	var slot int32
+	if n := len(s.freeSlots); n > 0 {
+		slot, s.freeSlots = s.freeSlots[n-1], s.freeSlots[:n-1]
 	} else {
-		c.items = append(c.items, item{})
-		i = int32(len(c.items) - 1)
+		s.targets = append(s.targets, targetState{})
+		slot = int32(len(s.targets) - 1)
 	}
-	sh := int32(id % uint64(len(c.shares)))
-	s := &c.shares[sh]
-	c.items[i] = item{kind: kind, id: id, name: name, share: sh, at: int32(len(s.items)), any: c.now, reached: c.now, own: c.now}
-	s.items = append(s.items, i)
-	c.byID[kind][id] = i
-	return i
+	index := int32(id % uint64(len(s.shares)))
+	share := &s.shares[index]
+	s.targets[slot] = targetState{kind: kind, id: id, name: name, share: index, shareIndex: int32(len(share.targets)),
+		lastRun: s.now, lastReached: s.now, lastOwnRun: s.now}
+	share.targets = append(share.targets, slot)
+	s.byID[kind][id] = slot
+	return slot
 }
 
-func (c *Core) remove(i int32) {
-	it := &c.items[i]
-	delete(c.byID[it.kind], it.id)
-	s := &c.shares[it.share]
-	last := s.items[len(s.items)-1]
-	s.items[it.at] = last
-	c.items[last].at = it.at
-	s.items = s.items[:len(s.items)-1]
-	c.wheel.Drop(i)
-	c.say = slices.DeleteFunc(c.say, func(j int32) bool { return j == i })
-	c.waiting = slices.DeleteFunc(c.waiting, func(j int32) bool { return j == i })
-	*it = item{kind: -1}
-	c.free = append(c.free, i)
+func (s *Core) removeTarget(i int32) {
+	t := &s.targets[i]
+	delete(s.byID[t.kind], t.id)
+	share := &s.shares[t.share]
+	moved := share.targets[len(share.targets)-1]
+	share.targets[t.shareIndex] = moved
+	s.targets[moved].shareIndex = t.shareIndex
+	share.targets = share.targets[:len(share.targets)-1]
+	s.timers.Drop(i)
+	s.unsent = slices.DeleteFunc(s.unsent, func(j int32) bool { return j == i })
+	s.waiting = slices.DeleteFunc(s.waiting, func(j int32) bool { return j == i })
+	*t = targetState{kind: -1}
+	s.freeSlots = append(s.freeSlots, i)
 }
 
-// every is a target's interval now.
-func (c *Core) every(it *item) time.Duration {
-	k := &c.set.Kinds[it.kind]
-	if c.now-it.born < k.Young {
+// interval returns the current interval of a target, which is longer while the target is starting up.
+func (s *Core) interval(t *targetState) time.Duration {
+	k := &s.settings.Kinds[t.kind]
+	if s.now-t.startedAt < k.Young {
 		return time.Duration(k.Gentle * float64(k.Interval))
 	}
 	return k.Interval
 }
 
-// spread puts targets of one share apart in time: a share of an interval that follows from the target alone.
-func (it *item) spread(d time.Duration) time.Duration {
-	return time.Duration(float64(it.id>>11) / (1 << 53) * float64(d))
+// phaseOffset returns a fraction of the interval that depends only on the target's ID. It spreads the runs of the
+// targets of one share over time.
+func (t *targetState) phaseOffset(interval time.Duration) time.Duration {
+	return time.Duration(float64(t.id>>11) / (1 << 53) * float64(interval))
 }
 
-func (c *Core) holds(s *share) bool { return s.until > c.now }
+func (s *Core) holdsLease(share *shareState) bool { return share.leasedUntil > s.now }
 
-// begin sets when a target of a share is first due after the lease began. Whoever held the share before may have
-// begun a duty up to that moment: unless all it knew was handed over, a whole interval passes first.
-func (c *Core) begin(it *item) {
-	s := &c.shares[it.share]
-	d := c.every(it)
-	if it.next = s.since + d + it.spread(d/2); it.sure {
-		it.next = it.any + d
+// scheduleFirstRun sets the first run of a target under a new lease. The previous holder may have started a run up to
+// the moment the lease began, so a whole interval passes first, unless that holder handed over all it knew.
+func (s *Core) scheduleFirstRun(t *targetState) {
+	share := &s.shares[t.share]
+	interval := s.interval(t)
+	if t.nextInLease = share.leasedSince + interval + t.phaseOffset(interval/2); t.handedOver {
+		t.nextInLease = t.lastRun + interval
 	}
-	it.next = max(it.next, it.any+d)
-	it.sure, it.known = false, it.sure
+	t.nextInLease = max(t.nextInLease, t.lastRun+interval)
+	t.handedOver, t.lastRunCertain = false, t.handedOver
 }
 
-// due is when a target is next to be looked after by this instance, as far as is known now. Turns are taken under a
-// lease as well: one that is won and lost again and again would else keep a target waiting for ever.
-func (c *Core) due(it *item) time.Duration {
-	if s := &c.shares[it.share]; c.holds(s) {
-		return min(max(it.next, it.any+c.every(it)), c.turn(it))
+// nextRun returns the next run of a target by this instance, as far as is known now. Out-of-lease runs are considered
+// under a lease as well, because a lease that is acquired and lost repeatedly could otherwise delay a target forever.
+func (s *Core) nextRun(t *targetState) time.Duration {
+	if share := &s.shares[t.share]; s.holdsLease(share) {
+		return min(max(t.nextInLease, t.lastRun+s.interval(t)), s.nextOutOfLeaseRun(t))
 	}
-	return c.turn(it)
+	return s.nextOutOfLeaseRun(t)
 }
 
-// GapBound is by when each target that some instance can reach is reached again, whatever happens to the others and
-// to all that is said between them, if that instance itself runs throughout. QuorumBound is the same while a
-// majority runs and hears each other, and one instance at a time fails.
+// GapBound returns the longest time between two runs that reach a target, provided that some instance can reach it
+// and itself runs throughout. It holds whatever happens to the other instances and to the messages between them.
 func (s *Settings) GapBound(kind int) time.Duration {
-	d, n := s.Kinds[kind].Interval, time.Duration(s.Instances)
-	return max(turnPart*n*d, time.Duration(patience*float64(d))+patienceL*s.promise()+(n-1)*d)
+	interval, instances := s.Kinds[kind].Interval, time.Duration(s.Instances)
+	return max(outOfLeaseDivisor*instances*interval,
+		time.Duration(silenceIntervals*float64(interval))+silenceLeases*s.promiseDuration()+(instances-1)*interval)
 }
 
-// QuorumBound adds up, from the last duty before its instance fails: an interval till the next was due; the promise
-// that still stands; a lease till the second in line claims, should the first be gone too; two rounds of claims; one
-// and a half intervals, since what the one before did last is not known.
+// QuorumBound returns the longest time between two runs that reach a target while a majority runs and exchanges
+// messages and instances fail one at a time. Counted from the last run before its instance fails, it is the sum of: an
+// interval until the next run was due; the promise that still stands; a lease until the second in rank claims, in case
+// the first has failed too; two rounds of claims; one and a half intervals, because the last run of the previous
+// holder is unknown.
 func (s *Settings) QuorumBound(kind int) time.Duration {
-	d := s.Kinds[kind].Interval
-	return d + s.promise() + s.Lease + 2*s.Lease/renewPart + d + d/2
+	interval := s.Kinds[kind].Interval
+	return interval + s.promiseDuration() + s.Lease + 2*s.Lease/claimsPerLease + interval + interval/2
 }
 
-// RateWindow is the shortest time over which no history has a target looked after twice as often as intended: the
-// holder of the lease once an interval, all others together half as often, and one more each at the window's edges.
+// RateWindow returns the shortest time over which no target can be run at twice the intended rate or more. The lease
+// holder runs once per interval, all other instances together half as often, and each may add one run at the edges of
+// the window.
 func (s *Settings) RateWindow(kind int) time.Duration {
 	return 2 * time.Duration(s.Instances+1) * s.Kinds[kind].Interval
 }
 
-// turn is when this instance may look after a target whose share it does not hold. However wrong all views are, the
-// turns of one instance at one target lie turnPart x Instances intervals apart, its start counting as one.
-func (c *Core) turn(it *item) time.Duration {
-	d := c.every(it)
-	rank := min(c.shares[it.share].rank, c.set.Instances-1)
-	heard := time.Duration(patience*float64(d)) + patienceL*c.set.promise() + time.Duration(rank)*d
-	return max(it.own+turnPart*time.Duration(c.set.Instances)*d, it.reached+heard)
+// nextOutOfLeaseRun returns the time at which this instance may run a target without holding its lease. However wrong
+// the views are, the out-of-lease runs of one instance at one target are outOfLeaseDivisor x Instances intervals apart,
+// where the start of the instance counts as a run.
+func (s *Core) nextOutOfLeaseRun(t *targetState) time.Duration {
+	interval := s.interval(t)
+	rank := min(s.shares[t.share].rank, s.settings.Instances-1)
+	silence := time.Duration(silenceIntervals*float64(interval)) + silenceLeases*s.settings.promiseDuration() +
+		time.Duration(rank)*interval
+	return max(t.lastOwnRun+outOfLeaseDivisor*time.Duration(s.settings.Instances)*interval, t.lastReached+silence)
 }
--- a/duty/types.go
+++ b/duty/types.go
@@ -8,149 +8,157 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Settings are what an instance is told at its start.
+// Settings configures an instance at its start.
 type Settings struct {
-	Me        string        // its name, kept over restarts
-	Inc       uint64        // its incarnation, higher at each start
-	Instances int           // how many instances run at the same time, at most
-	Shares    int           // into which targets fall; a few for each instance
-	Lease     time.Duration // how long a share is leased for
-	Running   int           // duties at a time, at most
-	Write     time.Duration // by which what is permitted has gone out, or never does
+	Me        string        // name of this instance, stable over restarts
+	Inc       uint64        // incarnation of this instance, higher at each start
+	Instances int           // maximum number of instances that run at the same time
+	Shares    int           // number of shares that targets are assigned to; a few per instance
+	Lease     time.Duration // duration of the lease on a share
+	Running   int           // maximum number of concurrent duties
+	Write     time.Duration // a permitted write completes within this time or fails
 	Kinds     []Kind
 }
 
 // Kind is a registered kind of duty.
 type Kind struct {
 	Name     string
-	Interval time.Duration // between duties at one target, over all instances
-	Young    time.Duration // so long after its start a target is spared
-	Gentle   float64       // times the interval then; 1 for no difference
+	Interval time.Duration // between runs at one target, over all instances
+	Young    time.Duration // length of the startup period, in which a target is run less often
+	Gentle   float64       // factor on the interval in the startup period; 1 for no difference
 }
 
-// Check says what no instance could work with.
+// Check returns an error if no instance could work with the settings.
 func (s *Settings) Check() error {
 	switch {
-	case s.Me == "" || len(s.Me) > nameMost:
-		return fmt.Errorf("name: 1 to %d bytes", nameMost)
-	case s.Instances < 1 || s.Instances > instancesMost:
-		return fmt.Errorf("instances: 1 to %d", instancesMost)
-	case s.Shares < 1 || s.Shares > sharesMost:
-		return fmt.Errorf("shares: 1 to %d", sharesMost)
-	case s.Lease < leaseLeast:
-		return fmt.Errorf("lease: %v or more", leaseLeast)
+	case s.Me == "" || len(s.Me) > maxNameLength:
+		return fmt.Errorf("name: 1 to %d bytes", maxNameLength)
+	case s.Instances < 1 || s.Instances > maxInstances:
+		return fmt.Errorf("instances: 1 to %d", maxInstances)
+	case s.Shares < 1 || s.Shares > maxShares:
+		return fmt.Errorf("shares: 1 to %d", maxShares)
+	case s.Lease < minLease:
+		return fmt.Errorf("lease: %v or more", minLease)
 	case s.Write < 0 || s.Write > s.Lease/2:
 		return fmt.Errorf("write: up to half of the lease, %v", s.Lease/2)
 	case s.Running < 1:
 		return errors.New("running: 1 or more")
-	case len(s.Kinds) == 0 || len(s.Kinds) > kindsMost:
-		return fmt.Errorf("kinds: 1 to %d", kindsMost)
+	case len(s.Kinds) == 0 || len(s.Kinds) > maxKinds:
+		return fmt.Errorf("kinds: 1 to %d", maxKinds)
 	}
 	for _, k := range s.Kinds {
-		if k.Interval < intervalLeast || k.Gentle < 1 || k.Young < 0 {
-			return fmt.Errorf("kind %s: an interval of %v or more, and sparing at 1 or more", k.Name, intervalLeast)
+		if k.Interval < minInterval || k.Gentle < 1 || k.Young < 0 {
+			return fmt.Errorf("kind %s: interval %v or more, gentle 1 or more, young 0 or more", k.Name, minInterval)
 		}
 	}
 	return nil
 }
 
+// Limits on settings, targets and messages.
 const (
-	nameMost      = 64
-	instancesMost = 1024
-	sharesMost    = 1 << 14
-	kindsMost     = 8
-	leaseLeast    = 200 * time.Millisecond
-	intervalLeast = 50 * time.Millisecond
-	targetsMost   = 1 << 20
+	maxNameLength = 64
+	maxInstances  = 1024
+	maxShares     = 1 << 14
+	maxKinds      = 8
+	minLease      = 200 * time.Millisecond
+	minInterval   = 50 * time.Millisecond
+	maxTargets    = 1 << 20
 )
 
-// Target is one thing that a kind of duty looks after.
+// Target is something that a kind of duty is run for, such as a searcher to be probed.
 type Target struct {
 	Name  string
-	Age   time.Duration // since it started; long for one that is not dated
+	Age   time.Duration // time since the target started, if known
 	Since bool          // whether Age is known
 }
 
-// ID is how messages name a target.
+// ID returns the identifier of a target in messages.
 func ID(kind int, name string) uint64 { return xxh3.HashStringSeed(name, uint64(kind)+1) }
 
-// Outcome is how a duty ended.
+// Outcome is the result of a run.
 type Outcome uint8
 
+// The outcomes of a run.
 const (
 	Reached  Outcome = iota // the target answered
-	Refused                 // it answered that it would not
-	Failed                  // nothing was heard: it may have been reached all the same
-	NotBegun                // nothing left this instance
-	outcomes
+	Refused                 // the target answered with a refusal
+	Failed                  // no answer; the target may have been reached nevertheless
+	NotBegun                // nothing was sent
+	outcomeCount
 )
 
 func (o Outcome) String() string {
-	return [...]string{"reached", "refused", "failed", "not begun", ""}[min(o, outcomes)]
+	return [...]string{"reached", "refused", "failed", "not begun", ""}[min(o, outcomeCount)]
 }
 
-// Result is one duty done.
+// Result reports one run of a duty.
 type Result struct {
 	Kind    int
 	ID      uint64
-	Age     time.Duration // since it was begun, when this was said
+	Age     time.Duration // time from the start of the run to the sending of this result
 	Took    time.Duration
 	Outcome Outcome
-	Load    string // what a target said of itself; short
+	Load    string // short load report of the target
 }
 
-// MessageKind tells messages apart.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
+// The kinds of messages.
 const (
-	Claim   MessageKind = iota + 1 // leases these shares to the sender
-	Grant                          // these of a claim are leased to it
-	Release                        // the sender gives these up, to To if that is named, and knows these results of them
-	Results                        // what was done of late
-	messageKinds
+	Claim   MessageKind = iota + 1 // claims the leases on Shares for the sender
+	Grant                          // grants the listed shares of a claim
+	Release                        // gives up Shares, to member To if set; Results holds their latest results
+	Results                        // reports recent runs
+	messageKindCount
 )
 
 func (k MessageKind) String() string {
-	return [...]string{"", "claim", "grant", "release", "results", ""}[min(k, messageKinds)]
+	return [...]string{"", "claim", "grant", "release", "results", ""}[min(k, messageKindCount)]
 }
 
-// Message is what instances say to each other.
+// Message is a message between instances.
 type Message struct {
 	Kind      MessageKind
 	From      string
-	Inc       uint64
+	Inc       uint64 // incarnation of the sender
 	Instances int
-	Seq       uint64   // of a claim, of the grant that answers it, of the last claim that a release takes back
-	Shares    []uint16 // in rising order
+	Seq       uint64   // number of the claim, of the claim that a grant answers, or of the last claim that a release covers
+	Shares    []uint16 // in ascending order
 	To        string
 	Results   []Result
 }
 
-// Actions is what a Core can have done. None may call back into it.
+// Actions are the effects that a Core requests. The implementations must not call back into it.
 type Actions interface {
-	Run(token uint64, kind int, target string)   // begin a duty: ask Permit at the write, and say Done in any case
-	Send(to string, m Message)                   // to all others where no name is given
-	Learned(target string, r Result, who string) // what anybody did, once, as soon as it is known here
-	Note(n Note)                                 // for logs and tests; nothing depends on it
+	// Run starts a duty. The implementation must ask Permit at the write, and call Done in any case.
+	Run(token uint64, kind int, target string)
+	// Send sends a message to an instance, or to all others if to is empty.
+	Send(to string, m Message)
+	// Learned reports a run by any instance, once, as soon as it is known here.
+	Learned(target string, r Result, by string)
+	// Note reports an event for logs and tests. No decision depends on it.
+	Note(n Note)
 }
 
-// Note says why what an instance does has changed.
+// Note records an event that changes or explains the behavior of an instance.
 type Note struct {
 	Event Event
-	Share int
+	Share int // index of the share, or -1
 	Peer  string
 }
 
 // Event is a kind of Note.
 type Event uint8
 
+// The events that are reported.
 const (
-	Took      Event = iota // the lease on a share begins
-	Lost                   // it ran out, or a pause ended it
-	HandedOn               // it was given to another
-	TurnTaken              // a duty without the lease, as nothing was heard for long
-	Woken                  // time stood still, or jumped: plans are dropped
-	Ignored                // a message that cannot be believed
+	Took      Event = iota // a lease on a share begins
+	Lost                   // the lease expired, or a clock jump ended it
+	HandedOn               // the share was handed over to another instance
+	TurnTaken              // a duty runs out of lease, after a long time without a known answer
+	Woken                  // the clock jumped or the process was paused; planned runs are void
+	Ignored                // an invalid message was rejected
 )
 
 func (e Event) String() string {
