--- a/duty/dutysim/check.go
+++ b/duty/dutysim/check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Report is what one history showed, or the worst of many.
+// Report is the outcome of one history, or the worst outcome and mean costs of several.
 type Report struct {
 	Scenario    string  `json:"scenario"`
 	Policy      string  `json:"policy"`
@@ -16,13 +16,13 @@
 	Readers     int     `json:"readers"`
 	IntervalMS  float64 `json:"interval_ms"`
 	LeaseMS     float64 `json:"lease_ms"`
-	LengthMS    float64 `json:"length_ms"` // of each history, simulated
+	LengthMS    float64 `json:"length_ms"` // simulated length of each history
 	Histories   int     `json:"histories"`
 	Violations  int     `json:"violations"`
 	First       string  `json:"first_violation,omitempty"`
 	WorstGapMS  float64 `json:"worst_gap_ms"`
 	GapBoundMS  float64 `json:"gap_bound_ms"`
-	WorstRate   float64 `json:"worst_rate_ratio"` // probes over intended, in any window of rate_window_ms
+	WorstRate   float64 `json:"worst_rate_ratio"` // probes relative to the intended number, in any window of rate_window_ms
 	WindowMS    float64 `json:"rate_window_ms"`
 	MostAtOnce  int     `json:"most_in_one_interval"`
 	ProbesPerS  float64 `json:"probes_per_reader_s"`
@@ -30,176 +30,180 @@
 	MessagesPer float64 `json:"messages_sent_per_member_s"`
 }
 
-// slack is what a gap may take beyond the sum of the rules' times: a duty waits for its connection, claims for the
-// network, all of it for the next look at the clock. Word of a duty says how old it was when it left, so that what it
-// takes on its way makes it seem fresher: in some histories up to an interval.
-func (w *world) slack() time.Duration {
-	d := w.set.Interval/4 + 600*time.Millisecond
-	if w.set.Scenario == "oneway" || w.set.Scenario == "mixed" {
-		d += w.set.Interval
+// tolerance returns how far a gap may exceed the sum of the times in the scheduling rules: duties wait for their
+// connection, claims for the network, and both for the next reading of the clock. The age in a result is its age when it
+// was sent, so the delay of the message makes the result seem fresher, in some histories by up to an interval.
+func (sim *simulation) tolerance() time.Duration {
+	tolerance := sim.setup.Interval/4 + 600*time.Millisecond
+	if sim.setup.Scenario == "oneway" || sim.setup.Scenario == "mixed" {
+		tolerance += sim.setup.Interval
 	}
-	return d
+	return tolerance
 }
 
-// Play plays one history and judges it.
-func Play(s Setup, seed uint64) (Report, error) {
-	w, err := newWorld(s, seed)
+// Play simulates one history and checks it.
+func Play(setup Setup, seed uint64) (Report, error) {
+	sim, err := newSimulation(setup, seed)
 	if err != nil {
 		return Report{}, err
 	}
-	if err := w.stage(); err != nil {
+	if err := sim.scheduleEvents(); err != nil {
 		return Report{}, err
 	}
-	w.run()
-	r := Report{Scenario: s.Scenario, Policy: s.Policy, Plant: s.Plant, Instances: s.Instances, Readers: s.Readers,
-		IntervalMS: ms(s.Interval), LeaseMS: ms(w.duty.Lease), LengthMS: ms(w.end), Histories: 1}
+	sim.run()
+	r := Report{Scenario: setup.Scenario, Policy: setup.Policy, Plant: setup.Plant,
+		Instances: setup.Instances, Readers: setup.Readers,
+		IntervalMS: ms(setup.Interval), LeaseMS: ms(sim.settings.Lease), LengthMS: ms(sim.end), Histories: 1}
 	if r.Policy == "" {
 		r.Policy = "core"
 	}
-	w.judge(&r, seed)
-	seconds := w.end.Seconds()
-	r.ProbesPerS = float64(w.tally.Probes) / seconds / float64(max(1, s.Readers))
-	r.BytesPerS = float64(w.tally.Bytes) / seconds / float64(s.Instances)
-	r.MessagesPer = float64(w.tally.Messages) / seconds / float64(s.Instances)
+	sim.check(&r, seed)
+	seconds := sim.end.Seconds()
+	r.ProbesPerS = float64(sim.counters.Probes) / seconds / float64(max(1, setup.Readers))
+	r.BytesPerS = float64(sim.counters.Bytes) / seconds / float64(setup.Instances)
+	r.MessagesPer = float64(sim.counters.Messages) / seconds / float64(setup.Instances)
 	return r, nil
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (r *Report) fault(seed uint64, format string, args ...any) {
+// addViolation counts a violation and keeps the text of the first.
+func (r *Report) addViolation(seed uint64, format string, args ...any) {
 	r.Violations++
 	if r.First == "" {
 		r.First = fmt.Sprintf("seed %d: ", seed) + fmt.Sprintf(format, args...)
 	}
 }
 
-// judge looks at what went out, by true time, and at nothing that any instance believed.
-func (w *world) judge(r *Report, seed uint64) {
-	d := w.set.Interval
-	bound := w.duty.GapBound(0)
-	if bounded(w.set.Scenario) && w.set.Instances != 2 { // of two, one is no majority
-		bound = min(bound, w.duty.QuorumBound(0))
+// check judges the probes that were sent, by true time. It uses no view or clock of an instance.
+func (sim *simulation) check(r *Report, seed uint64) {
+	interval := sim.setup.Interval
+	bound := sim.settings.GapBound(0)
+	if usesQuorumBound(sim.setup.Scenario) && sim.setup.Instances != 2 { // one of two instances is no majority
+		bound = min(bound, sim.settings.QuorumBound(0))
 	}
-	if w.set.Scenario == "new" {
-		bound *= gentle
+	if sim.setup.Scenario == "new" {
+		bound *= startupFactor
 	}
-	bound = time.Duration(float64(bound)*1.002) + w.slack() // clocks may run slow by a thousandth
-	window := min(w.duty.RateWindow(0), w.end)
+	bound = time.Duration(float64(bound)*1.002) + sim.tolerance() // clocks may run slow by a thousandth
+	window := min(sim.settings.RateWindow(0), sim.end)
 	r.GapBoundMS, r.WindowMS = ms(bound), ms(window)
-	// What holders do lies an interval apart by their clocks, one step of which may go unseen where clocks jump.
-	apart := time.Duration(float64(d) * 0.995)
-	if w.set.Scenario == "mixed" {
-		apart -= w.duty.Lease / 4
+	// Probes of lease holders are an interval apart by their clocks. Where clocks jump, one step may go undetected.
+	minSpacing := time.Duration(float64(interval) * 0.995)
+	if sim.setup.Scenario == "mixed" {
+		minSpacing -= sim.settings.Lease / 4
 	}
-	for reader, seen := range w.seen {
-		held := -time.Hour
-		for _, x := range seen {
-			if x.stale {
-				r.fault(seed, "%s: what was planned before a pause went out at %v", w.names[reader], x.at)
+	for reader, probes := range sim.probes {
+		lastLeased := -time.Hour
+		for _, p := range probes {
+			if p.stale {
+				r.addViolation(seed, "%s: planned before a pause, but sent at %v", sim.readers[reader], p.at)
 			}
-			if x.turn {
+			if p.outOfLease {
 				continue
 			}
-			if x.at-held < apart {
-				r.fault(seed, "%s: held by two, at %v and %v", w.names[reader], held, x.at)
+			if p.at-lastLeased < minSpacing {
+				r.addViolation(seed, "%s: probes under leases too close together, at %v and %v", sim.readers[reader], lastLeased, p.at)
 			}
-			// Once all have heard that it is new, and while it is.
-			if w.born > 0 && held > w.born+d && x.at < w.born+youngFor*d && x.at-held < gentle*apart {
-				r.fault(seed, "%s: not spared when new, at %v and %v", w.names[reader], held, x.at)
+			// Checked from the time when all instances know of the start, until the end of the startup period.
+			if sim.readersStart > 0 && lastLeased > sim.readersStart+interval &&
+				p.at < sim.readersStart+startupIntervals*interval && p.at-lastLeased < startupFactor*minSpacing {
+				r.addViolation(seed, "%s: probed too often in its startup period, at %v and %v", sim.readers[reader], lastLeased, p.at)
 			}
-			held = x.at
+			lastLeased = p.at
 		}
-		last := time.Duration(0)
-		for first, from := 0, 0; first <= len(seen); first++ {
-			at := w.end
-			if first < len(seen) {
-				if at = seen[first].at; !seen[first].reached {
-					at = -1
+		lastReached := time.Duration(0)
+		for current, windowStart := 0, 0; current <= len(probes); current++ {
+			reachedAt := sim.end
+			if current < len(probes) {
+				if reachedAt = probes[current].at; !probes[current].reached {
+					reachedAt = -1
 				}
-				// The window that ends with this probe, itself included.
-				for seen[first].at-seen[from].at >= window {
-					from++
+				// The window ends with this probe and includes it.
+				for probes[current].at-probes[windowStart].at >= window {
+					windowStart++
 				}
-				n := first - from + 1
-				ratio := float64(n) * d.Seconds() / window.Seconds()
+				count := current - windowStart + 1
+				ratio := float64(count) * interval.Seconds() / window.Seconds()
 				r.WorstRate = max(r.WorstRate, ratio)
 				if ratio >= 2 {
-					r.fault(seed, "%s: %d probes in the %v till %v, %.2f times as intended", w.names[reader], n, window, seen[first].at, ratio)
+					r.addViolation(seed, "%s: %d probes in the %v until %v, %.2f times the intended number",
+						sim.readers[reader], count, window, probes[current].at, ratio)
 				}
-				k := first
-				for k > 0 && seen[first].at-seen[k-1].at < d {
-					k--
+				burstStart := current
+				for burstStart > 0 && probes[current].at-probes[burstStart-1].at < interval {
+					burstStart--
 				}
-				r.MostAtOnce = max(r.MostAtOnce, first-k+1)
+				r.MostAtOnce = max(r.MostAtOnce, current-burstStart+1)
 			}
-			if at < 0 {
+			if reachedAt < 0 {
 				continue
 			}
-			gap := at - last
+			gap := reachedAt - lastReached
 			if r.WorstGapMS = max(r.WorstGapMS, ms(gap)); gap > bound {
-				r.fault(seed, "%s: not reached from %v to %v, at most %v", w.names[reader], last, at, bound)
+				r.addViolation(seed, "%s: not reached from %v to %v, bound %v", sim.readers[reader], lastReached, reachedAt, bound)
 			}
-			last = at
+			lastReached = reachedAt
 		}
 	}
 }
 
-// add makes a report the worst of two.
-func (r *Report) add(s Report) {
+// merge combines two reports into the worst of both; costs are averaged over the histories.
+func (r *Report) merge(other Report) {
 	n := float64(r.Histories)
 	mean := func(a, b float64) float64 { return (a*n + b) / (n + 1) }
-	r.ProbesPerS, r.BytesPerS = mean(r.ProbesPerS, s.ProbesPerS), mean(r.BytesPerS, s.BytesPerS)
-	r.MessagesPer = mean(r.MessagesPer, s.MessagesPer)
+	r.ProbesPerS, r.BytesPerS = mean(r.ProbesPerS, other.ProbesPerS), mean(r.BytesPerS, other.BytesPerS)
+	r.MessagesPer = mean(r.MessagesPer, other.MessagesPer)
 	r.Histories++
-	r.Violations += s.Violations
+	r.Violations += other.Violations
 	if r.First == "" {
-		r.First = s.First
+		r.First = other.First
 	}
-	r.WorstGapMS, r.WorstRate = max(r.WorstGapMS, s.WorstGapMS), max(r.WorstRate, s.WorstRate)
-	r.MostAtOnce = max(r.MostAtOnce, s.MostAtOnce)
+	r.WorstGapMS, r.WorstRate = max(r.WorstGapMS, other.WorstGapMS), max(r.WorstRate, other.WorstRate)
+	r.MostAtOnce = max(r.MostAtOnce, other.MostAtOnce)
 }
 
-// PlayAll plays histories of seeds in a row over all cores; the report does not depend on how many there are.
-func PlayAll(s Setup, seed uint64, seeds int, progress func(done int)) (Report, error) {
-	type played struct {
+// PlayAll simulates histories with consecutive seeds on all processors. The report does not depend on their number.
+func PlayAll(setup Setup, seed uint64, histories int, progress func(done int)) (Report, error) {
+	type outcome struct {
 		r   Report
 		err error
 	}
-	out := make([]chan played, seeds)
-	for k := range out {
-		out[k] = make(chan played, 1)
+	results := make([]chan outcome, histories)
+	for k := range results {
+		results[k] = make(chan outcome, 1)
 	}
-	todo := make(chan int)
-	var all sync.WaitGroup
-	for range min(seeds, runtime.GOMAXPROCS(0)) {
-		all.Go(func() {
-			for k := range todo {
-				r, err := Play(s, seed+uint64(k))
-				out[k] <- played{r, err}
+	jobs := make(chan int)
+	var workers sync.WaitGroup
+	for range min(histories, runtime.GOMAXPROCS(0)) {
+		workers.Go(func() {
+			for k := range jobs {
+				report, err := Play(setup, seed+uint64(k))
+				results[k] <- outcome{report, err}
 			}
 		})
 	}
 	go func() {
-		for k := range seeds {
-			todo <- k
+		for k := range histories {
+			jobs <- k
 		}
-		close(todo)
+		close(jobs)
 	}()
-	var sum Report
-	for k := range out {
-		p := <-out[k]
+	var total Report
+	for k := range results {
+		next := <-results[k]
 		switch {
-		case p.err != nil:
-			return sum, p.err
+		case next.err != nil:
+			return total, next.err
 		case k == 0:
-			sum = p.r
+			total = next.r
 		default:
-			sum.add(p.r)
+			total.merge(next.r)
 		}
 		if progress != nil {
 			progress(k + 1)
 		}
 	}
-	all.Wait()
-	return sum, nil
+	workers.Wait()
+	return total, nil
 }
--- a/duty/dutysim/policy.go
+++ b/duty/dutysim/policy.go
@@ -8,92 +8,92 @@
 	"peathollow/duty"
 )
 
-// machine makes what decides for an instance.
-func (w *world) machine(i *instance, s duty.Settings) (machine, error) {
-	switch w.set.Policy {
+// newScheduler creates the scheduler of an instance: the real one, one with an injected fault, or a baseline.
+func (sim *simulation) newScheduler(i *instance, settings duty.Settings) (scheduler, error) {
+	switch sim.setup.Policy {
 	case "all", "view":
-		return &plain{set: s, act: i, all: w.set.Policy == "all", view: []string{s.Me}}, nil
+		return &baseline{settings: settings, actions: i, probeAll: sim.setup.Policy == "all", view: []string{settings.Me}}, nil
 	case "":
 	default:
-		return nil, fmt.Errorf("policy %q: not core, all or view", w.set.Policy)
+		return nil, fmt.Errorf("policy %q: not core, all or view", sim.setup.Policy)
 	}
-	raw := i.clock.at(w.now)
-	switch w.set.Plant {
+	callerTime := i.clock.at(sim.now)
+	switch sim.setup.Plant {
 	case "lease":
-		// The odd ones believe their leases to last longer than the voters' promises.
+		// Instances with odd numbers assume leases that outlast the promises of the voters.
 		if i.id%2 == 1 {
-			s.Lease *= 20
+			settings.Lease *= 20
 		}
 	case "majority":
-		s.Instances = 1
+		settings.Instances = 1
 	}
-	if w.set.Plant == "amnesia" {
-		// A voter that starts forgets what it promised, and does not wait till that is over.
-		c, err := duty.New(s, i, raw-time.Hour)
+	if sim.setup.Plant == "amnesia" {
+		// A starting voter grants at once instead of waiting until promises from before its restart have expired.
+		s, err := duty.New(settings, i, callerTime-time.Hour)
 		if err != nil {
 			return nil, err
 		}
-		for t := raw - time.Hour; t < raw; t += c.Tick() {
-			c.At(t)
+		for t := callerTime - time.Hour; t < callerTime; t += s.Tick() {
+			s.At(t)
 		}
-		c.At(raw)
-		return c, nil
+		s.At(callerTime)
+		return s, nil
 	}
-	c, err := duty.New(s, i, raw)
+	s, err := duty.New(settings, i, callerTime)
 	if err != nil {
 		return nil, err
 	}
-	if w.set.Plant == "" {
-		return c, nil
+	if sim.setup.Plant == "" {
+		return s, nil
 	}
-	for _, p := range Plants {
-		if p == w.set.Plant {
-			return &planted{Core: c, i: i, plant: p}, nil
+	for _, fault := range Plants {
+		if fault == sim.setup.Plant {
+			return &faultyScheduler{Core: s, instance: i, fault: fault}, nil
 		}
 	}
-	return nil, fmt.Errorf("plant %q: not one of %v", w.set.Plant, Plants)
+	return nil, fmt.Errorf("plant %q: not one of %v", sim.setup.Plant, Plants)
 }
 
-// Plants are the faults that can be planted: what a careless caller, peer or operator would do.
+// Plants are the faults that can be injected: errors of a careless caller, peer or operator.
 var Plants = []string{"early check", "twice", "lease", "majority", "amnesia", "forged", "fresh", "deaf"}
 
-// planted is the core with a fault around it.
-type planted struct {
+// faultyScheduler wraps a scheduler and injects a fault.
+type faultyScheduler struct {
 	*duty.Core
-	i     *instance
-	plant string
+	instance *instance
+	fault    string
 }
 
-func (p *planted) Permit(token uint64, raw time.Duration) bool {
-	switch p.plant {
+func (s *faultyScheduler) Permit(token uint64, raw time.Duration) bool {
+	switch s.fault {
 	case "early check":
-		// What was planned goes out, whatever has happened since.
-		p.Core.Permit(token, raw)
+		// A planned run is sent whatever has happened since.
+		s.Core.Permit(token, raw)
 		return true
 	case "twice":
-		if p.Core.Permit(token, raw) {
-			p.i.again = true // an answer that is late is taken for lost, and the probe sent again at once
+		if s.Core.Permit(token, raw) {
+			s.instance.duplicateNext = true // a late answer is taken for lost, and the probe is sent again at once
 			return true
 		}
 		return false
 	}
-	return p.Core.Permit(token, raw)
+	return s.Core.Permit(token, raw)
 }
 
-func (p *planted) Heard(m duty.Message) {
-	switch p.plant {
+func (s *faultyScheduler) Heard(m duty.Message) {
+	switch s.fault {
 	case "forged":
-		// One vote is counted for everybody.
+		// One grant counts as a grant from every instance.
 		if m.Kind == duty.Grant {
-			for _, j := range p.i.w.all {
-				if n := m; j != p.i {
+			for _, j := range s.instance.sim.instances {
+				if n := m; j != s.instance {
 					n.From = j.name
-					p.Core.Heard(n)
+					s.Core.Heard(n)
 				}
 			}
 		}
 	case "fresh":
-		// Old word is told again as if it were new.
+		// Old results are received again as if they were new.
 		if m.Kind == duty.Results {
 			m.Results = slices.Clone(m.Results)
 			for k := range m.Results {
@@ -101,77 +101,84 @@
 			}
 			n := m
 			for k := 1; k < 60; k++ {
-				p.i.post(time.Duration(k)*p.i.w.set.Interval, func() { p.i.act(func() { p.Core.Heard(n) }) })
+				s.instance.schedule(time.Duration(k)*s.instance.sim.setup.Interval, func() {
+					s.instance.handle(func() { s.Core.Heard(n) })
+				})
 			}
 		}
 	case "deaf":
 		if m.Kind == duty.Results || m.Kind == duty.Release {
-			return // and would still not be wrong: only rarer
+			return // harmless: it only makes runs rarer
 		}
 	}
-	p.Core.Heard(m)
+	s.Core.Heard(m)
 }
 
-// plain is either baseline: everyone looks after all, or after what falls to it by its view alone.
-type plain struct {
-	set     duty.Settings
-	act     duty.Actions
-	all     bool
-	now     time.Duration
-	view    []string
-	targets []string
-	last    []time.Duration
-	token   uint64
-	out     map[uint64]int
-	left    bool
+// baseline is a simple policy to compare with: every instance probes all readers, or those that rendezvous hashing
+// over its own view assigns to it.
+type baseline struct {
+	settings  duty.Settings
+	actions   duty.Actions
+	probeAll  bool
+	now       time.Duration
+	view      []string
+	targets   []string
+	lastProbe []time.Duration
+	lastToken uint64
+	inFlight  map[uint64]int
+	stopped   bool
 }
 
-func (p *plain) At(raw time.Duration) { p.now = raw }
+func (b *baseline) At(now time.Duration) { b.now = now }
 
-func (p *plain) Members(view map[string]uint64) {
-	p.view = append(p.view[:0], p.set.Me)
-	for n := range view {
-		p.view = append(p.view, n)
+func (b *baseline) Members(view map[string]uint64) {
+	b.view = append(b.view[:0], b.settings.Me)
+	for name := range view {
+		b.view = append(b.view, name)
 	}
 }
 
-func (p *plain) Targets(_ int, ts []duty.Target) {
-	p.out = map[uint64]int{}
-	for _, t := range ts {
-		p.targets = append(p.targets, t.Name)
-		// Phases differ, as they would between processes.
-		p.last = append(p.last, p.now-time.Duration(duty.ID(1, t.Name+p.set.Me)%uint64(p.set.Kinds[0].Interval)))
+func (b *baseline) Targets(_ int, targets []duty.Target) {
+	b.inFlight = map[uint64]int{}
+	for _, target := range targets {
+		b.targets = append(b.targets, target.Name)
+		// Start with different phases, as separate processes would have.
+		b.lastProbe = append(b.lastProbe,
+			b.now-time.Duration(duty.ID(1, target.Name+b.settings.Me)%uint64(b.settings.Kinds[0].Interval)))
 	}
 }
 
-func (p *plain) mine(r int) bool {
-	if p.all {
+// owns reports whether this instance probes a reader.
+func (b *baseline) owns(reader int) bool {
+	if b.probeAll {
 		return true
 	}
-	best, most := "", uint64(0)
-	for _, n := range p.view {
-		if w := duty.ID(2, n+" "+p.targets[r]); best == "" || w > most {
-			best, most = n, w
+	best, bestWeight := "", uint64(0)
+	for _, member := range b.view {
+		if weight := duty.ID(2, member+" "+b.targets[reader]); best == "" || weight > bestWeight {
+			best, bestWeight = member, weight
 		}
 	}
-	return best == p.set.Me
+	return best == b.settings.Me
 }
 
-func (p *plain) Wake() time.Duration {
-	next := p.now + p.set.Kinds[0].Interval/20
-	for r := range p.targets {
-		if p.left || p.now-p.last[r] < p.set.Kinds[0].Interval || !p.mine(r) {
+func (b *baseline) Wake() time.Duration {
+	next := b.now + b.settings.Kinds[0].Interval/20
+	for reader := range b.targets {
+		if b.stopped || b.now-b.lastProbe[reader] < b.settings.Kinds[0].Interval || !b.owns(reader) {
 			continue
 		}
-		p.last[r] = p.now
-		p.token++
-		p.out[p.token] = r
-		p.act.Run(p.token, 0, p.targets[r])
+		b.lastProbe[reader] = b.now
+		b.lastToken++
+		b.inFlight[b.lastToken] = reader
+		b.actions.Run(b.lastToken, 0, b.targets[reader])
 	}
 	return next
 }
 
-func (p *plain) Heard(duty.Message)                                       {}
-func (p *plain) Permit(uint64, time.Duration) bool                        { return !p.left }
-func (p *plain) Done(t uint64, _ duty.Outcome, _ time.Duration, _ string) { delete(p.out, t) }
-func (p *plain) Leave()                                                   { p.left = true }
+func (b *baseline) Heard(duty.Message)                {}
+func (b *baseline) Permit(uint64, time.Duration) bool { return !b.stopped }
+func (b *baseline) Done(token uint64, _ duty.Outcome, _ time.Duration, _ string) {
+	delete(b.inFlight, token)
+}
+func (b *baseline) Leave() { b.stopped = true }
