--- a/cmd/peathollow/command_test.go
+++ b/cmd/peathollow/command_test.go
@@ -27,7 +27,7 @@
 		"--seeds", "3", "--json")
 	var r dutysim.Report
 	if err != nil || json.Unmarshal([]byte(out), &r) != nil || r.Histories != 3 || r.Violations != 0 || r.GapBoundMS <= 0 ||
-		r.WorstGapMS <= 0 || r.WorstRate <= 0 || r.WorstRate >= 2 {
+		r.WorstGapMS <= 0 || r.WorstRateRatio <= 0 || r.WorstRateRatio >= 2 {
 		t.Errorf("%s %v", out, err)
 	}
 	for _, field := range []string{"violations", "worst_gap_ms", "gap_bound_ms", "worst_rate_ratio", "histories"} {
--- a/cmd/peathollow/duties.go
+++ b/cmd/peathollow/duties.go
@@ -40,7 +40,7 @@
 			&cli.StringFlag{Name: "scenario", Value: "mixed", Destination: &s.Scenario, Usage: "what happens"},
 			&cli.StringFlag{Name: "policy", Value: "core", Destination: &s.Policy,
 				Usage: "core, or a baseline: all (everyone probes all), view (rendezvous by view)"},
-			&cli.StringFlag{Name: "plant", Destination: &s.Plant, Usage: "plant a fault: " + strings.Join(dutysim.Plants, ", ")},
+			&cli.StringFlag{Name: "plant", Destination: &s.Fault, Usage: "plant a fault: " + strings.Join(dutysim.Faults, ", ")},
 			&cli.DurationFlag{Name: "length", Destination: &s.Length, Usage: "of a history, simulated; 0 for three rate windows"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &seed, Usage: "of the first history"},
 			&cli.IntFlag{Name: "seeds", Value: 100, Destination: &seeds, Usage: "histories, of seeds in a row"},
@@ -71,7 +71,7 @@
 			bad := 0
 			for k, name := range scenarios {
 				s.Scenario = name
-				r, err := dutysim.PlayAll(s, seed, seeds, progress(c.Root().ErrWriter, name, seeds))
+				r, err := dutysim.SimulateAll(s, seed, seeds, progress(c.Root().ErrWriter, name, seeds))
 				if err != nil {
 					return err
 				}
@@ -112,9 +112,9 @@
 			"probes/s", "bytes/s", "msgs/s")
 	}
 	fmt.Fprintf(w, "%-8s %10d %9.2fs %9.2fs %9.2fx %8d %9.3f %10.0f %9.1f\n", r.Scenario, r.Violations, r.WorstGapMS/1e3, r.GapBoundMS/1e3,
-		r.WorstRate, r.MostAtOnce, r.ProbesPerS, r.BytesPerS, r.MessagesPer)
-	if r.First != "" {
-		fmt.Fprintln(w, "  first:", r.First)
+		r.WorstRateRatio, r.MostInOneInterval, r.ProbesPerS, r.BytesPerS, r.MessagesPerS)
+	if r.FirstViolation != "" {
+		fmt.Fprintln(w, "  first:", r.FirstViolation)
 	}
 }
 
@@ -142,7 +142,7 @@
 			var s struct {
 				Name   string
 				Counts duty.Counts
-				Rows   []duty.Row
+				Rows   []duty.Status
 			}
 			if err := json.NewDecoder(res.Body).Decode(&s); err != nil {
 				return fmt.Errorf("%s: %w", socket, err)
--- a/duty/dutysim/check.go
+++ b/duty/dutysim/check.go
@@ -9,25 +9,25 @@
 
 // Report is the outcome of one history, or the worst outcome and mean costs of several.
 type Report struct {
-	Scenario    string  `json:"scenario"`
-	Policy      string  `json:"policy"`
-	Plant       string  `json:"plant,omitempty"`
-	Instances   int     `json:"instances"`
-	Readers     int     `json:"readers"`
-	IntervalMS  float64 `json:"interval_ms"`
-	LeaseMS     float64 `json:"lease_ms"`
-	LengthMS    float64 `json:"length_ms"` // simulated length of each history
-	Histories   int     `json:"histories"`
-	Violations  int     `json:"violations"`
-	First       string  `json:"first_violation,omitempty"`
-	WorstGapMS  float64 `json:"worst_gap_ms"`
-	GapBoundMS  float64 `json:"gap_bound_ms"`
-	WorstRate   float64 `json:"worst_rate_ratio"` // probes relative to the intended number, in any window of rate_window_ms
-	WindowMS    float64 `json:"rate_window_ms"`
-	MostAtOnce  int     `json:"most_in_one_interval"`
-	ProbesPerS  float64 `json:"probes_per_reader_s"`
-	BytesPerS   float64 `json:"bytes_sent_per_member_s"`
-	MessagesPer float64 `json:"messages_sent_per_member_s"`
+	Scenario          string  `json:"scenario"`
+	Policy            string  `json:"policy"`
+	Fault             string  `json:"plant,omitempty"`
+	Instances         int     `json:"instances"`
+	Readers           int     `json:"readers"`
+	IntervalMS        float64 `json:"interval_ms"`
+	LeaseMS           float64 `json:"lease_ms"`
+	LengthMS          float64 `json:"length_ms"` // simulated length of each history
+	Histories         int     `json:"histories"`
+	Violations        int     `json:"violations"`
+	FirstViolation    string  `json:"first_violation,omitempty"`
+	WorstGapMS        float64 `json:"worst_gap_ms"`
+	GapBoundMS        float64 `json:"gap_bound_ms"`
+	WorstRateRatio    float64 `json:"worst_rate_ratio"` // probes relative to the intended number, in any window of rate_window_ms
+	RateWindowMS      float64 `json:"rate_window_ms"`
+	MostInOneInterval int     `json:"most_in_one_interval"`
+	ProbesPerS        float64 `json:"probes_per_reader_s"`
+	BytesPerS         float64 `json:"bytes_sent_per_member_s"`
+	MessagesPerS      float64 `json:"messages_sent_per_member_s"`
 }
 
 // tolerance returns how far a gap may exceed the sum of the times in the scheduling rules: duties wait for their
@@ -41,8 +41,8 @@
 	return tolerance
 }
 
-// Play simulates one history and checks it.
-func Play(setup Setup, seed uint64) (Report, error) {
+// Simulate runs one history and checks it.
+func Simulate(setup Setup, seed uint64) (Report, error) {
 	sim, err := newSimulation(setup, seed)
 	if err != nil {
 		return Report{}, err
@@ -51,7 +51,7 @@
 		return Report{}, err
 	}
 	sim.run()
-	r := Report{Scenario: setup.Scenario, Policy: setup.Policy, Plant: setup.Plant,
+	r := Report{Scenario: setup.Scenario, Policy: setup.Policy, Fault: setup.Fault,
 		Instances: setup.Instances, Readers: setup.Readers,
 		IntervalMS: ms(setup.Interval), LeaseMS: ms(sim.settings.Lease), LengthMS: ms(sim.end), Histories: 1}
 	if r.Policy == "" {
@@ -61,7 +61,7 @@
 	seconds := sim.end.Seconds()
 	r.ProbesPerS = float64(sim.counters.Probes) / seconds / float64(max(1, setup.Readers))
 	r.BytesPerS = float64(sim.counters.Bytes) / seconds / float64(setup.Instances)
-	r.MessagesPer = float64(sim.counters.Messages) / seconds / float64(setup.Instances)
+	r.MessagesPerS = float64(sim.counters.Messages) / seconds / float64(setup.Instances)
 	return r, nil
 }
 
@@ -70,8 +70,8 @@
 // addViolation counts a violation and keeps the text of the first.
 func (r *Report) addViolation(seed uint64, format string, args ...any) {
 	r.Violations++
-	if r.First == "" {
-		r.First = fmt.Sprintf("seed %d: ", seed) + fmt.Sprintf(format, args...)
+	if r.FirstViolation == "" {
+		r.FirstViolation = fmt.Sprintf("seed %d: ", seed) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	bound = time.Duration(float64(bound)*1.002) + sim.tolerance() // clocks may run slow by a thousandth
 	window := min(sim.settings.RateWindow(0), sim.end)
-	r.GapBoundMS, r.WindowMS = ms(bound), ms(window)
+	r.GapBoundMS, r.RateWindowMS = ms(bound), ms(window)
 	// Probes of lease holders are an interval apart by their clocks. Where clocks jump, one step may go undetected.
 	minSpacing := time.Duration(float64(interval) * 0.995)
 	if sim.setup.Scenario == "mixed" {
@@ -125,7 +125,7 @@
 				}
 				count := current - windowStart + 1
 				ratio := float64(count) * interval.Seconds() / window.Seconds()
-				r.WorstRate = max(r.WorstRate, ratio)
+				r.WorstRateRatio = max(r.WorstRateRatio, ratio)
 				if ratio >= 2 {
 					r.addViolation(seed, "%s: %d probes in the %v until %v, %.2f times the intended number",
 						sim.readers[reader], count, window, probes[current].at, ratio)
@@ -134,7 +134,7 @@
 				for burstStart > 0 && probes[current].at-probes[burstStart-1].at < interval {
 					burstStart--
 				}
-				r.MostAtOnce = max(r.MostAtOnce, current-burstStart+1)
+				r.MostInOneInterval = max(r.MostInOneInterval, current-burstStart+1)
 			}
 			if reachedAt < 0 {
 				continue
@@ -153,18 +153,18 @@
 	n := float64(r.Histories)
 	mean := func(a, b float64) float64 { return (a*n + b) / (n + 1) }
 	r.ProbesPerS, r.BytesPerS = mean(r.ProbesPerS, other.ProbesPerS), mean(r.BytesPerS, other.BytesPerS)
-	r.MessagesPer = mean(r.MessagesPer, other.MessagesPer)
+	r.MessagesPerS = mean(r.MessagesPerS, other.MessagesPerS)
 	r.Histories++
 	r.Violations += other.Violations
-	if r.First == "" {
-		r.First = other.First
+	if r.FirstViolation == "" {
+		r.FirstViolation = other.FirstViolation
 	}
-	r.WorstGapMS, r.WorstRate = max(r.WorstGapMS, other.WorstGapMS), max(r.WorstRate, other.WorstRate)
-	r.MostAtOnce = max(r.MostAtOnce, other.MostAtOnce)
+	r.WorstGapMS, r.WorstRateRatio = max(r.WorstGapMS, other.WorstGapMS), max(r.WorstRateRatio, other.WorstRateRatio)
+	r.MostInOneInterval = max(r.MostInOneInterval, other.MostInOneInterval)
 }
 
-// PlayAll simulates histories with consecutive seeds on all processors. The report does not depend on their number.
-func PlayAll(setup Setup, seed uint64, histories int, progress func(done int)) (Report, error) {
+// SimulateAll runs histories with consecutive seeds on all processors. The report does not depend on their number.
+func SimulateAll(setup Setup, seed uint64, histories int, progress func(done int)) (Report, error) {
 	type outcome struct {
 		r   Report
 		err error
@@ -178,7 +178,7 @@
 	for range min(histories, runtime.GOMAXPROCS(0)) {
 		workers.Go(func() {
 			for k := range jobs {
-				report, err := Play(setup, seed+uint64(k))
+				report, err := Simulate(setup, seed+uint64(k))
 				results[k] <- outcome{report, err}
 			}
 		})
--- a/duty/dutysim/dutysim_test.go
+++ b/duty/dutysim/dutysim_test.go
@@ -23,16 +23,16 @@
 		if scenario == "mixed" {
 			seeds = 5 * histories
 		}
-		r, err := PlayAll(testSetup(scenario), 1, seeds, nil)
+		r, err := SimulateAll(testSetup(scenario), 1, seeds, nil)
 		if err != nil || r.Violations > 0 || r.ProbesPerS < 0.2 {
-			t.Errorf("%s: %d violations, %s, %.2f probes a second, %v", scenario, r.Violations, r.First, r.ProbesPerS, err)
+			t.Errorf("%s: %d violations, %s, %.2f probes a second, %v", scenario, r.Violations, r.FirstViolation, r.ProbesPerS, err)
 		}
 	}
 	for _, size := range []int{1, 2, 5} {
 		s := testSetup("mixed")
 		s.Instances = size
-		if r, err := PlayAll(s, 1, histories, nil); err != nil || r.Violations > 0 {
-			t.Errorf("%d instances: %s %v", size, r.First, err)
+		if r, err := SimulateAll(s, 1, histories, nil); err != nil || r.Violations > 0 {
+			t.Errorf("%d instances: %s %v", size, r.FirstViolation, err)
 		}
 	}
 }
@@ -49,19 +49,19 @@
 		"fresh":       {Scenario: "roll", Instances: 3},
 	} {
 		s.Readers, s.Interval = 4, time.Second
-		healthy, err := PlayAll(s, 1, 40, nil)
+		healthy, err := SimulateAll(s, 1, 40, nil)
 		if err != nil || healthy.Violations > 0 {
-			t.Errorf("%s, without the fault: %s %v", fault, healthy.First, err)
+			t.Errorf("%s, without the fault: %s %v", fault, healthy.FirstViolation, err)
 		}
-		s.Plant = fault
-		if r, err := PlayAll(s, 1, 40, nil); err != nil || r.Violations == 0 {
+		s.Fault = fault
+		if r, err := SimulateAll(s, 1, 40, nil); err != nil || r.Violations == 0 {
 			t.Errorf("%s is not detected (%v)", fault, err)
 		}
 	}
 	for policy, scenario := range map[string]string{"all": "calm", "view": "split"} {
 		s := testSetup(scenario)
 		s.Policy = policy
-		if r, err := PlayAll(s, 1, 5, nil); err != nil || r.Violations == 0 {
+		if r, err := SimulateAll(s, 1, 5, nil); err != nil || r.Violations == 0 {
 			t.Errorf("%s: %v", policy, err)
 		}
 	}
@@ -70,19 +70,19 @@
 // An instance that receives no results must do no harm: out-of-lease runs must stay within the rate limit.
 func TestDroppedResultsKeepRunsRare(t *testing.T) {
 	s := testSetup("calm")
-	s.Plant = "deaf"
-	if r, err := PlayAll(s, 1, 5, nil); err != nil || r.WorstRate >= 2 {
-		t.Errorf("%.2f %v", r.WorstRate, err)
+	s.Fault = "deaf"
+	if r, err := SimulateAll(s, 1, 5, nil); err != nil || r.WorstRateRatio >= 2 {
+		t.Errorf("%.2f %v", r.WorstRateRatio, err)
 	}
 }
 
 // The same seed must give the same histories, although several are simulated concurrently.
 func TestSameSeedGivesSameHistory(t *testing.T) {
-	one, err := PlayAll(testSetup("mixed"), 7, 4, nil)
+	one, err := SimulateAll(testSetup("mixed"), 7, 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := PlayAll(testSetup("mixed"), 7, 4, nil)
+	two, err := SimulateAll(testSetup("mixed"), 7, 4, nil)
 	a, _ := json.Marshal(one)
 	b, _ := json.Marshal(two)
 	if err != nil || string(a) != string(b) {
@@ -91,9 +91,9 @@
 }
 
 func TestUnknownNamesAreRejected(t *testing.T) {
-	for _, s := range []Setup{{Scenario: "odd"}, {Scenario: "calm", Policy: "odd"}, {Scenario: "calm", Plant: "odd"}} {
+	for _, s := range []Setup{{Scenario: "odd"}, {Scenario: "calm", Policy: "odd"}, {Scenario: "calm", Fault: "odd"}} {
 		s.Instances, s.Readers, s.Interval = 3, 1, time.Second
-		if _, err := PlayAll(s, 1, 2, nil); err == nil {
+		if _, err := SimulateAll(s, 1, 2, nil); err == nil {
 			t.Errorf("%+v is accepted", s)
 		}
 	}
--- a/duty/dutysim/policy.go
+++ b/duty/dutysim/policy.go
@@ -12,13 +12,13 @@
 func (sim *simulation) newScheduler(i *instance, settings duty.Settings) (scheduler, error) {
 	switch sim.setup.Policy {
 	case "all", "view":
-		return &baseline{settings: settings, actions: i, probeAll: sim.setup.Policy == "all", view: []string{settings.Me}}, nil
+		return &baseline{settings: settings, actions: i, probeAll: sim.setup.Policy == "all", view: []string{settings.Name}}, nil
 	case "":
 	default:
 		return nil, fmt.Errorf("policy %q: not core, all or view", sim.setup.Policy)
 	}
 	callerTime := i.clock.at(sim.now)
-	switch sim.setup.Plant {
+	switch sim.setup.Fault {
 	case "lease":
 		// Instances with odd numbers assume leases that outlast the promises of the voters.
 		if i.id%2 == 1 {
@@ -27,39 +27,39 @@
 	case "majority":
 		settings.Instances = 1
 	}
-	if sim.setup.Plant == "amnesia" {
+	if sim.setup.Fault == "amnesia" {
 		// A starting voter grants at once instead of waiting until promises from before its restart have expired.
 		s, err := duty.New(settings, i, callerTime-time.Hour)
 		if err != nil {
 			return nil, err
 		}
-		for t := callerTime - time.Hour; t < callerTime; t += s.Tick() {
-			s.At(t)
+		for t := callerTime - time.Hour; t < callerTime; t += s.MaxAdvanceInterval() {
+			s.Advance(t)
 		}
-		s.At(callerTime)
+		s.Advance(callerTime)
 		return s, nil
 	}
 	s, err := duty.New(settings, i, callerTime)
 	if err != nil {
 		return nil, err
 	}
-	if sim.setup.Plant == "" {
+	if sim.setup.Fault == "" {
 		return s, nil
 	}
-	for _, fault := range Plants {
-		if fault == sim.setup.Plant {
-			return &faultyScheduler{Core: s, instance: i, fault: fault}, nil
+	for _, fault := range Faults {
+		if fault == sim.setup.Fault {
+			return &faultyScheduler{Scheduler: s, instance: i, fault: fault}, nil
 		}
 	}
-	return nil, fmt.Errorf("plant %q: not one of %v", sim.setup.Plant, Plants)
+	return nil, fmt.Errorf("plant %q: not one of %v", sim.setup.Fault, Faults)
 }
 
-// Plants are the faults that can be injected: errors of a careless caller, peer or operator.
-var Plants = []string{"early check", "twice", "lease", "majority", "amnesia", "forged", "fresh", "deaf"}
+// Faults are the faults that can be injected: errors of a careless caller, peer or operator.
+var Faults = []string{"early check", "twice", "lease", "majority", "amnesia", "forged", "fresh", "deaf"}
 
 // faultyScheduler wraps a scheduler and injects a fault.
 type faultyScheduler struct {
-	*duty.Core
+	*duty.Scheduler
 	instance *instance
 	fault    string
 }
@@ -68,19 +68,19 @@
 	switch s.fault {
 	case "early check":
 		// A planned run is sent whatever has happened since.
-		s.Core.Permit(token, raw)
+		s.Scheduler.Permit(token, raw)
 		return true
 	case "twice":
-		if s.Core.Permit(token, raw) {
+		if s.Scheduler.Permit(token, raw) {
 			s.instance.duplicateNext = true // a late answer is taken for lost, and the probe is sent again at once
 			return true
 		}
 		return false
 	}
-	return s.Core.Permit(token, raw)
+	return s.Scheduler.Permit(token, raw)
 }
 
-func (s *faultyScheduler) Heard(m duty.Message) {
+func (s *faultyScheduler) Receive(m duty.Message) {
 	switch s.fault {
 	case "forged":
 		// One grant counts as a grant from every instance.
@@ -88,7 +88,7 @@
 			for _, j := range s.instance.sim.instances {
 				if n := m; j != s.instance {
 					n.From = j.name
-					s.Core.Heard(n)
+					s.Scheduler.Receive(n)
 				}
 			}
 		}
@@ -102,7 +102,7 @@
 			n := m
 			for k := 1; k < 60; k++ {
 				s.instance.schedule(time.Duration(k)*s.instance.sim.setup.Interval, func() {
-					s.instance.handle(func() { s.Core.Heard(n) })
+					s.instance.handle(func() { s.Scheduler.Receive(n) })
 				})
 			}
 		}
@@ -111,7 +111,7 @@
 			return // harmless: it only makes runs rarer
 		}
 	}
-	s.Core.Heard(m)
+	s.Scheduler.Receive(m)
 }
 
 // baseline is a simple policy to compare with: every instance probes all readers, or those that rendezvous hashing
@@ -129,22 +129,22 @@
 	stopped   bool
 }
 
-func (b *baseline) At(now time.Duration) { b.now = now }
+func (b *baseline) Advance(now time.Duration) { b.now = now }
 
-func (b *baseline) Members(view map[string]uint64) {
-	b.view = append(b.view[:0], b.settings.Me)
+func (b *baseline) SetMembers(view map[string]uint64) {
+	b.view = append(b.view[:0], b.settings.Name)
 	for name := range view {
 		b.view = append(b.view, name)
 	}
 }
 
-func (b *baseline) Targets(_ int, targets []duty.Target) {
+func (b *baseline) SetTargets(_ int, targets []duty.Target) {
 	b.inFlight = map[uint64]int{}
 	for _, target := range targets {
 		b.targets = append(b.targets, target.Name)
 		// Start with different phases, as separate processes would have.
 		b.lastProbe = append(b.lastProbe,
-			b.now-time.Duration(duty.ID(1, target.Name+b.settings.Me)%uint64(b.settings.Kinds[0].Interval)))
+			b.now-time.Duration(duty.ID(1, target.Name+b.settings.Name)%uint64(b.settings.Kinds[0].Interval)))
 	}
 }
 
@@ -159,7 +159,7 @@
 			best, bestWeight = member, weight
 		}
 	}
-	return best == b.settings.Me
+	return best == b.settings.Name
 }
 
 func (b *baseline) Wake() time.Duration {
@@ -176,7 +176,7 @@
 	return next
 }
 
-func (b *baseline) Heard(duty.Message)                {}
+func (b *baseline) Receive(duty.Message)              {}
 func (b *baseline) Permit(uint64, time.Duration) bool { return !b.stopped }
 func (b *baseline) Done(token uint64, _ duty.Outcome, _ time.Duration, _ string) {
 	delete(b.inFlight, token)
--- a/duty/dutysim/scenario.go
+++ b/duty/dutysim/scenario.go
@@ -113,7 +113,7 @@
 	sim.readersStart = sim.now
 	for _, i := range sim.instances {
 		i.schedule(time.Duration(sim.rng.Int64N(int64(sim.setup.Interval))), func() {
-			i.handle(func() { i.scheduler.Targets(0, i.targets()) })
+			i.handle(func() { i.scheduler.SetTargets(0, i.targets()) })
 		})
 	}
 }
--- a/duty/dutysim/simulation.go
+++ b/duty/dutysim/simulation.go
@@ -21,7 +21,7 @@
 	Lease     time.Duration // 0 for half an interval
 	Scenario  string
 	Policy    string        // "" for package duty; "all" and "view" are the baselines
-	Plant     string        // fault to inject, to show that the checker detects it
+	Fault     string        // fault to inject, to show that the checker detects it
 	Length    time.Duration // 0 for the default of the scenario
 }
 
@@ -33,13 +33,13 @@
 
 func (c *clock) at(t time.Duration) time.Duration { return time.Duration(float64(t)*c.rate) + c.offset }
 
-// scheduler makes the decisions of an instance: a duty.Core or a baseline.
+// scheduler makes the decisions of an instance: a duty.Scheduler or a baseline.
 type scheduler interface {
-	At(callerTime time.Duration)
+	Advance(callerTime time.Duration)
 	Wake() time.Duration
-	Members(map[string]uint64)
-	Targets(int, []duty.Target)
-	Heard(duty.Message)
+	SetMembers(map[string]uint64)
+	SetTargets(int, []duty.Target)
+	Receive(duty.Message)
 	Permit(token uint64, callerTime time.Duration) bool
 	Done(token uint64, outcome duty.Outcome, took time.Duration, load string)
 	Leave()
@@ -108,7 +108,7 @@
 	probes       [][]probe     // probes sent, by reader
 	stable       int           // instance that runs throughout, -1 for none
 	readersStart time.Duration // when all readers started, 0 if they didn't start within the history
-	counters     Tally
+	counters     Counters
 }
 
 // probe is a probe that was sent to a reader.
@@ -120,8 +120,8 @@
 	stale      bool // planned before a long pause
 }
 
-// Tally counts the costs of a history.
-type Tally struct {
+// Counters counts the costs of a history.
+type Counters struct {
 	Messages, Bytes, Probes uint64
 }
 
@@ -139,10 +139,10 @@
 	}
 	sim := &simulation{setup: setup, rng: rand.New(rand.NewPCG(seed, 0x64757479)), stable: -1}
 	sim.settings = duty.Settings{Instances: setup.Instances, Shares: min(1<<14, 8*setup.Instances), Lease: setup.Lease,
-		Running: 64,
-		Kinds:   []duty.Kind{{Name: "probe", Interval: setup.Interval, Gentle: 1}}}
+		MaxConcurrent: 64,
+		Kinds:         []duty.Kind{{Name: "probe", Interval: setup.Interval, StartupFactor: 1}}}
 	if setup.Scenario == "new" {
-		sim.settings.Kinds[0].Young, sim.settings.Kinds[0].Gentle = startupIntervals*setup.Interval, startupFactor
+		sim.settings.Kinds[0].StartupPeriod, sim.settings.Kinds[0].StartupFactor = startupIntervals*setup.Interval, startupFactor
 	}
 	if setup.Length == 0 {
 		sim.setup.Length = max(20*setup.Interval, 3*sim.settings.RateWindow(0)) + 4*sim.settings.QuorumBound(0)
@@ -210,13 +210,13 @@
 		i.lastHeartbeat[k] = -time.Hour
 	}
 	settings := sim.settings
-	settings.Me, settings.Inc = i.name, i.incarnation
+	settings.Name, settings.Incarnation = i.name, i.incarnation
 	scheduler, err := sim.newScheduler(i, settings)
 	if err != nil {
 		return err
 	}
 	i.scheduler = scheduler
-	i.scheduler.Targets(0, i.targets())
+	i.scheduler.SetTargets(0, i.targets())
 	i.scheduleWake(0)
 	i.heartbeat()
 	return nil
@@ -225,7 +225,7 @@
 // targets returns the readers in the current list.
 func (i *instance) targets() (targets []duty.Target) {
 	for _, n := range i.sim.readers {
-		targets = append(targets, duty.Target{Name: n, Age: i.sim.now - i.sim.readersStart, Since: i.sim.readersStart > 0})
+		targets = append(targets, duty.Target{Name: n, Age: i.sim.now - i.sim.readersStart, AgeKnown: i.sim.readersStart > 0})
 	}
 	return targets
 }
@@ -244,7 +244,7 @@
 // handle passes an event to the scheduler, then runs all that is due.
 func (i *instance) handle(f func()) {
 	callerTime := i.clock.at(i.sim.now)
-	i.scheduler.At(callerTime)
+	i.scheduler.Advance(callerTime)
 	f()
 	next := i.scheduler.Wake()
 	i.scheduleWake(max(time.Microsecond, time.Duration(float64(next-callerTime)/i.clock.rate)))
@@ -267,7 +267,7 @@
 	}
 	if key != i.viewKey {
 		i.viewKey = key
-		i.handle(func() { i.scheduler.Members(view) })
+		i.handle(func() { i.scheduler.SetMembers(view) })
 	}
 	i.schedule(heartbeatInterval, i.heartbeat)
 }
@@ -308,7 +308,7 @@
 	i.schedule(delay, func() {
 		i.outOfLease = false
 		if !i.scheduler.Permit(token, i.clock.at(sim.now)) {
-			i.handle(func() { i.scheduler.Done(token, duty.NotBegun, 0, "") })
+			i.handle(func() { i.scheduler.Done(token, duty.NotSent, 0, "") })
 			return
 		}
 		i.recordProbe(r, planned)
@@ -352,12 +352,14 @@
 		if sim.rng.Float64() < sim.delayRate {
 			delay = time.Duration(sim.rng.Int64N(int64(sim.setup.Interval)))
 		}
-		j.schedule(delay, func() { j.handle(func() { j.scheduler.Heard(m) }) })
+		j.schedule(delay, func() { j.handle(func() { j.scheduler.Receive(m) }) })
 	}
 }
 
-// Learned does nothing: the checker needs only the probes that were sent.
-func (i *instance) Learned(string, duty.Result, string) {}
+// ObserveResult does nothing: the checker needs only the probes that were sent.
+func (i *instance) ObserveResult(string, duty.Result, string) {}
 
-// Note records whether the permitted run was out of lease.
-func (i *instance) Note(n duty.Note) { i.outOfLease = i.outOfLease || n.Event == duty.TurnTaken }
+// Record records whether the permitted run was out of lease.
+func (i *instance) Record(n duty.EventRecord) {
+	i.outOfLease = i.outOfLease || n.Event == duty.RanOutOfLease
+}
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -11,14 +11,14 @@
 // time, however wrong their views are.
 
 // sendClaims claims the shares to be renewed or acquired. It runs claimsPerLease times per lease.
-func (s *Core) sendClaims() {
+func (s *Scheduler) sendClaims() {
 	s.nextClaim = s.now + s.settings.Lease/claimsPerLease
 	var wanted []uint16
 	for i := range s.shares {
 		share := &s.shares[i]
 		switch {
 		case s.holdsLease(share):
-			if to := share.preferred; to != s.settings.Me && s.shouldHandOver(share, to) {
+			if to := share.preferred; to != s.settings.Name && s.shouldHandOver(share, to) {
 				s.handOver(i, to)
 				continue
 			}
@@ -39,18 +39,18 @@
 	}
 	s.pending = append(s.pending, claim)
 	s.send("", Message{Kind: Claim, Seq: s.claimSeq, Shares: wanted})
-	s.countVote(s.settings.Me, s.claimSeq, s.grant(s.settings.Me, s.settings.Inc, s.claimSeq, wanted))
+	s.countVote(s.settings.Name, s.claimSeq, s.grant(s.settings.Name, s.settings.Incarnation, s.claimSeq, wanted))
 }
 
 // canClaim reports whether this instance has promised the share to no other instance.
-func (s *Core) canClaim(share *shareState) bool {
-	return share.promisedUntil <= s.now || share.promisedTo == s.settings.Me && share.promisedIncarnation == s.settings.Inc
+func (s *Scheduler) canClaim(share *shareState) bool {
+	return share.promisedUntil <= s.now || share.promisedTo == s.settings.Name && share.promisedIncarnation == s.settings.Incarnation
 }
 
 // shouldHandOver reports whether the share is to be handed over to its preferred member, and records the offer. A
 // member that did not acquire the share is offered it again only after handOverRetryLeases: it may be in the view and
 // still be unable to get a majority.
-func (s *Core) shouldHandOver(share *shareState, to string) bool {
+func (s *Scheduler) shouldHandOver(share *shareState, to string) bool {
 	if s.now-share.leasedSince < 2*s.settings.Lease || share.lastOfferedTo == to && s.now < share.nextOffer {
 		return false
 	}
@@ -59,11 +59,11 @@
 }
 
 // releaseUnacquired withdraws claims on shares that this instance did not acquire, so that another instance can.
-func (s *Core) releaseUnacquired() {
+func (s *Scheduler) releaseUnacquired() {
 	var released []uint16
 	for i := range s.shares {
 		share := &s.shares[i]
-		if !s.holdsLease(share) && share.promisedUntil > s.now && share.promisedTo == s.settings.Me {
+		if !s.holdsLease(share) && share.promisedUntil > s.now && share.promisedTo == s.settings.Name {
 			share.promisedUntil = 0
 			share.freeSince = s.now
 			released = append(released, uint16(i))
@@ -85,7 +85,7 @@
 }
 
 // grant promises shares to a claimant and returns the granted ones.
-func (s *Core) grant(to string, incarnation, seq uint64, shares []uint16) (granted []uint16) {
+func (s *Scheduler) grant(to string, incarnation, seq uint64, shares []uint16) (granted []uint16) {
 	if s.now < s.grantsFrom {
 		return nil
 	}
@@ -94,7 +94,7 @@
 		if share.promisedUntil > s.now && (share.promisedTo != to || share.promisedIncarnation != incarnation) {
 			continue
 		}
-		if to != s.settings.Me {
+		if to != s.settings.Name {
 			s.discardHandOver(share)
 		}
 		if share.promisedTo != to || share.promisedIncarnation != incarnation {
@@ -109,7 +109,7 @@
 }
 
 // discardHandOver ignores what the previous holder confirmed when it handed the share over.
-func (s *Core) discardHandOver(share *shareState) {
+func (s *Scheduler) discardHandOver(share *shareState) {
 	if share.handedOverUntil == 0 {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // countVote counts the grants of one voter for a claim. A lease starts when its claim was sent.
-func (s *Core) countVote(from string, seq uint64, granted []uint16) {
+func (s *Scheduler) countVote(from string, seq uint64, granted []uint16) {
 	k := slices.IndexFunc(s.pending, func(claim pendingClaim) bool { return claim.seq == seq })
 	// A voter outside the view doesn't count: one peer could form a majority under invented names.
 	if k < 0 || s.peers[from] == nil || s.pending[k].voters[from] || len(s.pending[k].voters) >= s.settings.Instances {
@@ -140,7 +140,7 @@
 }
 
 // acquireLease starts or extends the lease of a share, counted from sentAt, when the claim was sent.
-func (s *Core) acquireLease(i int, sentAt time.Duration) {
+func (s *Scheduler) acquireLease(i int, sentAt time.Duration) {
 	share := &s.shares[i]
 	until := sentAt + s.settings.Lease
 	if until <= s.now || until <= share.leasedUntil {
@@ -153,7 +153,7 @@
 	}
 	share.leasedSince = s.now
 	s.counts.Took++
-	s.actions.Note(Note{Event: Took, Share: i})
+	s.actions.Record(EventRecord{Event: LeaseAcquired, Share: i})
 	if sentAt > share.handedOverUntil {
 		s.discardHandOver(share)
 	}
@@ -165,18 +165,18 @@
 }
 
 // loseLease ends a lease that expired or that a clock jump invalidated.
-func (s *Core) loseLease(i int) {
+func (s *Scheduler) loseLease(i int) {
 	share := &s.shares[i]
 	if share.leasedUntil == 0 {
 		return
 	}
 	share.leasedUntil = 0
 	s.counts.Lost++
-	s.actions.Note(Note{Event: Lost, Share: i})
+	s.actions.Record(EventRecord{Event: LeaseLost, Share: i})
 	s.rescheduleShare(share)
 }
 
-func (s *Core) rescheduleShare(share *shareState) {
+func (s *Scheduler) rescheduleShare(share *shareState) {
 	for _, k := range share.targets {
 		s.schedule(k)
 	}
@@ -184,7 +184,7 @@
 
 // handOver releases a share to a member together with the latest results of its targets, so that the new holder need
 // not wait for a whole interval.
-func (s *Core) handOver(i int, to string) {
+func (s *Scheduler) handOver(i int, to string) {
 	share := &s.shares[i]
 	share.leasedUntil, share.promisedUntil, share.freeSince = 0, 0, s.now
 	m := Message{Kind: Release, Seq: s.claimSeq, Shares: []uint16{uint16(i)}, To: to}
@@ -199,16 +199,16 @@
 		}
 	}
 	s.counts.HandedOn++
-	s.actions.Note(Note{Event: HandedOn, Share: i, Peer: to})
+	s.actions.Record(EventRecord{Event: HandedOver, Share: i, Peer: to})
 	s.send("", m)
 	s.rescheduleShare(share)
 }
 
-// Heard handles a message from a peer. Invalid messages are counted and have no effect.
-func (s *Core) Heard(m Message) {
+// Receive handles a message from a peer. Invalid messages are counted and have no effect.
+func (s *Scheduler) Receive(m Message) {
 	if err := s.validate(&m); err != nil {
 		s.counts.Foreign++
-		s.actions.Note(Note{Event: Ignored, Share: -1, Peer: m.From})
+		s.actions.Record(EventRecord{Event: MessageRejected, Share: -1, Peer: m.From})
 		return
 	}
 	switch m.Kind {
@@ -241,13 +241,13 @@
 }
 
 // applyRelease ends the promise for a released share and prepares a claim if it is handed over to this instance.
-func (s *Core) applyRelease(share *shareState, m *Message) {
+func (s *Scheduler) applyRelease(share *shareState, m *Message) {
 	// A release covers claims up to its sequence number. A later claim that arrived first stands, and so does its grant.
 	if share.promisedUntil > s.now && share.promisedTo == m.From && share.promisedIncarnation == m.Inc &&
 		m.Seq >= share.promisedSeq {
 		share.promisedUntil, share.freeSince = 0, s.now
 	}
-	if m.To != s.settings.Me || len(m.Shares) != 1 {
+	if m.To != s.settings.Name || len(m.Shares) != 1 {
 		return
 	}
 	share.handedOverUntil = s.now + s.settings.Lease
@@ -260,7 +260,7 @@
 }
 
 // applyResult records a result that a peer sent.
-func (s *Core) applyResult(from string, r Result) {
+func (s *Scheduler) applyResult(from string, r Result) {
 	i, ok := s.byID[r.Kind][r.ID]
 	if !ok {
 		s.counts.Unknown++
@@ -274,6 +274,6 @@
 	}
 	if at > t.lastRun {
 		t.lastRun, t.lastRunBy, t.lastResult, t.lastResultAt, t.generation = at, from, r, at, s.generation
-		s.actions.Learned(t.name, r, from)
+		s.actions.ObserveResult(t.name, r, from)
 	}
 }
--- a/duty/message.go
+++ b/duty/message.go
@@ -23,7 +23,7 @@
 // Errors of invalid messages.
 var (
 	ErrVersion   = errors.New("duty message: unsupported version")
-	ErrForm      = errors.New("duty message: malformed")
+	ErrMalformed = errors.New("duty message: malformed")
 	errInstances = errors.New("duty message: sender has a different number of instances configured")
 	errOwnName   = errors.New("duty message: sent under this instance's own name")
 	errShares    = errors.New("duty message: shares out of range or not in ascending order")
@@ -32,16 +32,16 @@
 )
 
 // validate checks a message against the settings: all that it refers to must exist, and its values must be possible.
-func (s *Core) validate(m *Message) error {
+func (s *Scheduler) validate(m *Message) error {
 	switch {
 	case m.From == "" || len(m.From) > maxNameLength || len(m.To) > maxNameLength:
 		return errSender
-	case m.From == s.settings.Me:
+	case m.From == s.settings.Name:
 		return errOwnName
 	case m.Instances != s.settings.Instances:
-		return errInstances // the sender has another idea of a majority
+		return errInstances // the sender counts a majority of a different size
 	case m.Kind == 0 || m.Kind >= messageKindCount:
-		return ErrForm
+		return ErrMalformed
 	}
 	for i, share := range m.Shares {
 		if int(share) >= len(s.shares) || i > 0 && share <= m.Shares[i-1] {
@@ -87,10 +87,10 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Read decodes a message that takes up all of b.
-func Read(b []byte) (m Message, err error) {
+// DecodeMessage decodes a message that takes up all of b.
+func DecodeMessage(b []byte) (m Message, err error) {
 	if len(b) > maxMessageBytes {
-		return m, fmt.Errorf("%w: %d bytes", ErrForm, len(b))
+		return m, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
 	}
 	if len(b) < 2 || b[0] != messageVersion {
 		return m, ErrVersion
@@ -108,7 +108,7 @@
 		for range n {
 			previous += d.uvarint(maxShares)
 			if previous >= maxShares {
-				return Message{}, ErrForm
+				return Message{}, ErrMalformed
 			}
 			m.Shares = append(m.Shares, uint16(previous))
 		}
@@ -120,7 +120,7 @@
 		}
 	}
 	if d.failed || len(d.rest) > 0 || m.Kind == 0 || m.Kind >= messageKindCount || !slices.IsSorted(m.Shares) {
-		return Message{}, ErrForm
+		return Message{}, ErrMalformed
 	}
 	return m, nil
 }
--- a/duty/message_test.go
+++ b/duty/message_test.go
@@ -37,15 +37,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
 		b := m.Append(nil)
-		got, err := Read(b)
+		got, err := DecodeMessage(b)
 		if err != nil || !reflect.DeepEqual(got, m) {
 			t.Fatalf("%+v: %+v %v", m, got, err)
 		}
 		// A truncated message or one with trailing bytes is rejected.
-		if _, err := Read(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]); err == nil {
+		if _, err := DecodeMessage(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]); err == nil {
 			t.Fatal("truncated message accepted")
 		}
-		if _, err := Read(append(b, 0)); err == nil {
+		if _, err := DecodeMessage(append(b, 0)); err == nil {
 			t.Fatal("message with a trailing byte accepted")
 		}
 	})
@@ -55,7 +55,7 @@
 	valid := Message{Kind: Claim, From: "a", Inc: 1, Instances: 3, Seq: 1, Shares: []uint16{1, 2}}
 	otherVersion := valid.Append(nil)
 	otherVersion[0]++
-	if _, err := Read(otherVersion); !errors.Is(err, ErrVersion) {
+	if _, err := DecodeMessage(otherVersion); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
 	s, _ := newTestScheduler(t, 3)
@@ -78,30 +78,30 @@
 		m := valid
 		edit(&m)
 		before := s.Counts()
-		s.Heard(m)
+		s.Receive(m)
 		if after := s.Counts(); after.Foreign+after.Unknown != before.Foreign+before.Unknown+1 || after.Heard != before.Heard {
 			t.Errorf("%s: %+v", name, after)
 		}
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzDecodeMessage(f *testing.F) {
 	f.Add((&Message{Kind: Claim, From: "a", Inc: 7, Instances: 3, Seq: 9, Shares: []uint16{0, 5}}).Append(nil))
 	f.Add((&Message{Kind: Results, From: "b", Results: []Result{{ID: 1, Age: time.Second, Load: "inflight=1"}}}).Append(nil))
 	f.Add([]byte{messageVersion, byte(Grant), 0xff, 0xff, 0xff, 0xff, 0x7f})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := Read(b)
+		m, err := DecodeMessage(b)
 		if err != nil {
 			return
 		}
 		if len(m.Shares)+13*len(m.Results) > len(b) {
 			t.Errorf("%d bytes hold %d shares and %d results", len(b), len(m.Shares), len(m.Results))
 		}
-		if again, err := Read(m.Append(nil)); err != nil || !reflect.DeepEqual(again, m) {
+		if again, err := DecodeMessage(m.Append(nil)); err != nil || !reflect.DeepEqual(again, m) {
 			t.Errorf("%+v: %+v %v", m, again, err)
 		}
 		s, _ := newTestScheduler(t, 3)
-		s.Heard(m)
+		s.Receive(m)
 		s.Wake()
 	})
 }
--- a/duty/scheduler.go
+++ b/duty/scheduler.go
@@ -21,9 +21,9 @@
 	handOverRetryLeases = 20   // leases until a share is offered again to a member that did not acquire it
 )
 
-// Core schedules the duties of one instance. Its clock is the caller's clock without the steps that are not counted
+// Scheduler schedules the duties of one instance. Its clock is the caller's clock without the steps that are not counted
 // as elapsed time.
-type Core struct {
+type Scheduler struct {
 	settings Settings
 	actions  Actions
 
@@ -45,7 +45,7 @@
 	targets   []targetState
 	freeSlots []int32
 	byID      []map[uint64]int32 // slots in targets by ID, per kind
-	timers    *Wheel
+	timers    *TimerWheel
 	runs      map[uint64]plannedRun
 	lastToken uint64
 	unsent    []int32 // targets whose latest result has not been sent to the peers
@@ -83,7 +83,7 @@
 	preferred       string        // the member with the highest weight
 	lastOfferedTo   string        // the member that the share was last handed over to; not offered to it again before nextOffer
 	nextOffer       time.Duration
-	targets         []int32 // slots in Core.targets
+	targets         []int32 // slots in Scheduler.targets
 }
 
 // pendingClaim is a claim that has been sent and whose grants still count.
@@ -114,7 +114,7 @@
 	handedOver     bool          // the previous holder confirmed on hand-over that it knows of no run after lastRun
 	lastRunCertain bool          // no run after lastRun is possible, so this instance may confirm it when it hands over
 	running        bool
-	unsent         bool // lastResult is listed in Core.unsent
+	unsent         bool // lastResult is listed in Scheduler.unsent
 }
 
 // plannedRun is a run that was passed to Actions.Run and has not ended.
@@ -127,18 +127,18 @@
 }
 
 // New returns a scheduler whose view contains only this instance.
-func New(settings Settings, actions Actions, now time.Duration) (*Core, error) {
-	if err := settings.Check(); err != nil {
+func New(settings Settings, actions Actions, now time.Duration) (*Scheduler, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	s := &Core{settings: settings, actions: actions, callerTime: now, now: now,
+	s := &Scheduler{settings: settings, actions: actions, callerTime: now, now: now,
 		grantsFrom: now + settings.promiseDuration(), peers: map[string]*peer{},
 		shares: make([]shareState, settings.Shares), runs: map[uint64]plannedRun{},
-		timers: NewWheel(max(time.Millisecond, settings.shortestInterval()/512), now)}
+		timers: NewTimerWheel(max(time.Millisecond, settings.shortestInterval()/512), now)}
 	for range settings.Kinds {
 		s.byID = append(s.byID, map[uint64]int32{})
 	}
-	s.Members(nil)
+	s.SetMembers(nil)
 	for i := range s.shares {
 		s.shares[i].freeSince = now
 	}
@@ -164,14 +164,15 @@
 
 func (s *Settings) majority() int { return s.Instances/2 + 1 }
 
-// Tick returns the longest time between calls of At that lets clock jumps be distinguished from elapsed time.
-func (s *Core) Tick() time.Duration { return s.settings.maxClockStep() / 4 }
+// MaxAdvanceInterval returns the longest time between calls of Advance that lets clock jumps be distinguished from
+// elapsed time.
+func (s *Scheduler) MaxAdvanceInterval() time.Duration { return s.settings.maxClockStep() / 4 }
 
-// At advances the clock to callerTime. A step backwards or beyond maxClockStep is a pause or a clock jump. These can't
+// Advance moves the clock to callerTime. A step backwards or beyond maxClockStep is a pause or a clock jump. These can't
 // be distinguished, and the time that really passed is unknown, so the step is not counted: all leases end, planned
 // runs become void, promises stand for as long as before, and ages in messages that may have been queued in sockets
 // are ignored.
-func (s *Core) At(callerTime time.Duration) {
+func (s *Scheduler) Advance(callerTime time.Duration) {
 	step := callerTime - s.callerTime
 	s.callerTime = callerTime
 	if step >= 0 && step <= s.settings.maxClockStep() {
@@ -180,7 +181,7 @@
 	}
 	s.generation++
 	s.counts.Steps++
-	s.actions.Note(Note{Event: Woken, Share: -1})
+	s.actions.Record(EventRecord{Event: ClockJumped, Share: -1})
 	s.pending, s.agesKnownFrom = nil, s.now+s.settings.maxClockStep()
 	for i := range s.shares {
 		s.loseLease(i)
@@ -188,20 +189,20 @@
 	}
 }
 
-// Members sets the view: the other instances that seem alive, by name and incarnation. The view only decides which
+// SetMembers sets the view: the other instances that seem alive, by name and incarnation. The view only decides which
 // instance claims a share; ownership is decided by leases alone.
-func (s *Core) Members(view map[string]uint64) {
+func (s *Scheduler) SetMembers(view map[string]uint64) {
 	clear(s.peers)
 	for name, incarnation := range view {
 		s.peers[name] = &peer{incarnation: incarnation, seed: xxh3.HashString(name)}
 	}
-	s.peers[s.settings.Me] = &peer{incarnation: s.settings.Inc, seed: xxh3.HashString(s.settings.Me)}
+	s.peers[s.settings.Name] = &peer{incarnation: s.settings.Incarnation, seed: xxh3.HashString(s.settings.Name)}
 	s.names = s.names[:0]
 	for name := range s.peers {
 		s.names = append(s.names, name)
 	}
 	slices.Sort(s.names)
-	ownSeed := s.peers[s.settings.Me].seed
+	ownSeed := s.peers[s.settings.Name].seed
 	for i := range s.shares {
 		share := &s.shares[i]
 		ownWeight, bestWeight := rendezvousWeight(ownSeed, i), uint64(0)
@@ -230,14 +231,14 @@
 }
 
 // schedule sets the timer of a target to its next run.
-func (s *Core) schedule(i int32) {
+func (s *Scheduler) schedule(i int32) {
 	if t := &s.targets[i]; !t.running && !s.stopped {
 		s.timers.Set(i, s.nextRun(t))
 	}
 }
 
 // Wake does all that is due and returns the time on the caller's clock by which it must be called again.
-func (s *Core) Wake() time.Duration {
+func (s *Scheduler) Wake() time.Duration {
 	if s.stopped {
 		return s.callerTime + time.Hour
 	}
@@ -254,11 +255,11 @@
 	for _, i := range waiting {
 		s.startRun(i)
 	}
-	s.timers.Due(s.now, s.startRun)
+	s.timers.Expire(s.now, s.startRun)
 	if s.now >= s.nextResults {
 		s.sendResults()
 	}
-	next := min(s.timers.Next(), s.nextClaim, s.now+s.Tick())
+	next := min(s.timers.Next(), s.nextClaim, s.now+s.MaxAdvanceInterval())
 	if len(s.unsent) > 0 {
 		next = min(next, s.nextResults)
 	}
@@ -266,7 +267,7 @@
 }
 
 // startRun starts a run of a target if it is still due and the limit of concurrent runs permits it.
-func (s *Core) startRun(i int32) {
+func (s *Scheduler) startRun(i int32) {
 	t := &s.targets[i]
 	if t.kind < 0 || t.running {
 		return
@@ -275,7 +276,7 @@
 		s.schedule(i)
 		return
 	}
-	if len(s.runs) >= s.settings.Running {
+	if len(s.runs) >= s.settings.MaxConcurrent {
 		s.waiting = append(s.waiting, i)
 		return
 	}
@@ -289,8 +290,8 @@
 // Permit reports whether a planned run may be written now. It must be called immediately before the write, with a
 // clock reading taken then. It denies runs that were planned before a clock jump or under a lease that has expired,
 // and runs that another instance has done in the meantime.
-func (s *Core) Permit(token uint64, callerTime time.Duration) bool {
-	s.At(callerTime)
+func (s *Scheduler) Permit(token uint64, callerTime time.Duration) bool {
+	s.Advance(callerTime)
 	run, ok := s.runs[token]
 	if !ok || run.permittedAt >= 0 || s.stopped {
 		return false
@@ -300,7 +301,7 @@
 	if t.id != run.id || !t.running || run.generation != s.generation || run.leased != s.holdsLease(share) || s.nextRun(t) > s.now {
 		return false
 	}
-	if run.leased && share.leasedUntil <= s.now+s.settings.Write {
+	if run.leased && share.leasedUntil <= s.now+s.settings.WriteTimeout {
 		return false // the write could still be in progress when another instance acquires the lease
 	}
 	run.permittedAt = s.now
@@ -308,17 +309,17 @@
 	interval := s.interval(t)
 	t.lastRunCertain = run.leased
 	outOfLease := !run.leased || s.now < max(t.nextInLease, t.lastRun+interval)
-	t.lastOwnRun, t.lastRun, t.nextInLease, t.lastRunBy, t.generation = s.now, s.now, s.now+interval, s.settings.Me, s.generation
+	t.lastOwnRun, t.lastRun, t.nextInLease, t.lastRunBy, t.generation = s.now, s.now, s.now+interval, s.settings.Name, s.generation
 	s.counts.Run++
 	if outOfLease {
 		s.counts.Turns++
-		s.actions.Note(Note{Event: TurnTaken, Share: int(t.share)})
+		s.actions.Record(EventRecord{Event: RanOutOfLease, Share: int(t.share)})
 	}
 	return true
 }
 
 // Done ends a planned run, whether it was permitted or not.
-func (s *Core) Done(token uint64, outcome Outcome, took time.Duration, load string) {
+func (s *Scheduler) Done(token uint64, outcome Outcome, took time.Duration, load string) {
 	run, ok := s.runs[token]
 	if !ok {
 		return
@@ -337,7 +338,7 @@
 			t.lastReached = max(t.lastReached, run.permittedAt)
 		}
 		t.lastResult, t.lastResultAt = Result{Kind: t.kind, ID: t.id, Took: took, Outcome: outcome, Load: load}, run.permittedAt
-		s.actions.Learned(t.name, s.latestResult(t), s.settings.Me)
+		s.actions.ObserveResult(t.name, s.latestResult(t), s.settings.Name)
 		if !t.unsent {
 			t.unsent = true
 			s.unsent = append(s.unsent, run.target)
--- a/duty/scheduler_test.go
+++ b/duty/scheduler_test.go
@@ -14,51 +14,52 @@
 	targets []string
 	sent    []Message
 	to      []string
-	events  []Note
+	events  []EventRecord
 }
 
 func (r *recorder) Run(token uint64, _ int, target string) {
 	r.tokens, r.targets = append(r.tokens, token), append(r.targets, target)
 }
-func (r *recorder) Send(to string, m Message)      { r.to, r.sent = append(r.to, to), append(r.sent, m) }
-func (r *recorder) Learned(string, Result, string) {}
-func (r *recorder) Note(n Note)                    { r.events = append(r.events, n) }
+func (r *recorder) Send(to string, m Message)            { r.to, r.sent = append(r.to, to), append(r.sent, m) }
+func (r *recorder) ObserveResult(string, Result, string) {}
+func (r *recorder) Record(e EventRecord)                 { r.events = append(r.events, e) }
 
 func testSettings(n int) Settings {
-	return Settings{Me: "me", Inc: 1, Instances: n, Shares: 8, Lease: 500 * time.Millisecond, Running: 4,
-		Kinds: []Kind{{Name: "probe", Interval: time.Second, Gentle: 1}, {Name: "audit", Interval: 4 * time.Second, Gentle: 1}}}
+	return Settings{Name: "me", Incarnation: 1, Instances: n, Shares: 8, Lease: 500 * time.Millisecond, MaxConcurrent: 4,
+		Kinds: []Kind{
+			{Name: "probe", Interval: time.Second, StartupFactor: 1}, {Name: "audit", Interval: 4 * time.Second, StartupFactor: 1}}}
 }
 
-func newTestScheduler(t interface{ Fatal(...any) }, n int) (*Core, *recorder) {
+func newTestScheduler(t interface{ Fatal(...any) }, n int) (*Scheduler, *recorder) {
 	r := &recorder{}
 	s, err := New(testSettings(n), r, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Targets(0, []Target{{Name: "r0"}, {Name: "r1"}, {Name: "r2"}})
+	s.SetTargets(0, []Target{{Name: "r0"}, {Name: "r1"}, {Name: "r2"}})
 	return s, r
 }
 
 // advance moves the clock forward in steps that count as elapsed time.
-func advance(s *Core, from, to time.Duration) {
-	for t := from; t <= to; t += s.Tick() {
-		s.At(t)
+func advance(s *Scheduler, from, to time.Duration) {
+	for t := from; t <= to; t += s.MaxAdvanceInterval() {
+		s.Advance(t)
 		s.Wake()
 	}
-	s.At(to)
+	s.Advance(to)
 	s.Wake()
 }
 
 func TestSettingsCheckRejectsInvalidValues(t *testing.T) {
 	for name, edit := range map[string]func(*Settings){
-		"name": func(s *Settings) { s.Me = "" }, "instances": func(s *Settings) { s.Instances = 0 },
+		"name": func(s *Settings) { s.Name = "" }, "instances": func(s *Settings) { s.Instances = 0 },
 		"shares": func(s *Settings) { s.Shares = 1 << 20 }, "lease": func(s *Settings) { s.Lease = 0 },
-		"running": func(s *Settings) { s.Running = 0 }, "kinds": func(s *Settings) { s.Kinds = nil },
-		"interval": func(s *Settings) { s.Kinds[0].Interval = 0 }, "gentle": func(s *Settings) { s.Kinds[0].Gentle = 0 },
-		"write": func(s *Settings) { s.Write = time.Hour },
+		"running": func(s *Settings) { s.MaxConcurrent = 0 }, "kinds": func(s *Settings) { s.Kinds = nil },
+		"interval": func(s *Settings) { s.Kinds[0].Interval = 0 }, "gentle": func(s *Settings) { s.Kinds[0].StartupFactor = 0 },
+		"write": func(s *Settings) { s.WriteTimeout = time.Hour },
 	} {
 		s := testSettings(3)
-		if edit(&s); s.Check() == nil {
+		if edit(&s); s.Validate() == nil {
 			t.Error(name, "is not validated")
 		}
 	}
@@ -97,7 +98,7 @@
 		if s.Permit(r.tokens[0], 4*time.Second+step) {
 			t.Errorf("run permitted after a clock step of %v", step)
 		}
-		s.Done(r.tokens[0], NotBegun, 0, "")
+		s.Done(r.tokens[0], NotSent, 0, "")
 		if s.Counts().Dropped != 1 || s.Counts().Steps != 1 {
 			t.Errorf("%+v", s.Counts())
 		}
@@ -110,8 +111,8 @@
 	s, r := newTestScheduler(t, 2)
 	now := time.Duration(0)
 	lastRun := map[string]time.Duration{}
-	for ; now < time.Minute; now += s.Tick() {
-		s.At(now)
+	for ; now < time.Minute; now += s.MaxAdvanceInterval() {
+		s.Advance(now)
 		s.Wake()
 		for k, token := range r.tokens {
 			name := r.targets[k]
@@ -140,8 +141,8 @@
 		if at < time.Hour {
 			advance(s, s.callerTime, at)
 		}
-		s.At(at)
-		s.Heard(Message{Kind: Claim, From: from, Inc: incarnation, Instances: 3, Seq: 1, Shares: []uint16{3}})
+		s.Advance(at)
+		s.Receive(Message{Kind: Claim, From: from, Inc: incarnation, Instances: 3, Seq: 1, Shares: []uint16{3}})
 		m := r.sent[len(r.sent)-1]
 		if m.Kind != Grant || r.to[len(r.to)-1] != from {
 			t.Fatalf("%+v", m)
@@ -179,7 +180,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
 				now += time.Duration(rapid.Int64Range(-1e6, 3e8).Draw(t, "by"))
-				s.At(now)
+				s.Advance(now)
 				if next := s.Wake(); next <= now {
 					t.Fatalf("next wake at %v is not after %v", next, now)
 				}
@@ -195,15 +196,15 @@
 					}
 				}
 				m.Results = []Result{{ID: ID(0, "r1"), Age: time.Duration(rapid.Int64Range(0, 5e9).Draw(t, "age"))}}
-				s.Heard(m)
+				s.Receive(m)
 			case 4:
-				s.Members(map[string]uint64{"a": 1})
+				s.SetMembers(map[string]uint64{"a": 1})
 			case 5:
 				var targets []Target
 				for k := range rapid.IntRange(0, 5).Draw(t, "targets") {
 					targets = append(targets, Target{Name: fmt.Sprint("r", k)})
 				}
-				s.Targets(0, targets)
+				s.SetTargets(0, targets)
 			case 6:
 				if len(r.tokens) > 0 {
 					token := r.tokens[rapid.IntRange(0, len(r.tokens)-1).Draw(t, "token")]
@@ -211,7 +212,7 @@
 					s.Done(token, Outcome(rapid.IntRange(0, 3).Draw(t, "out")), 0, "")
 				}
 			}
-			if len(s.runs) > s.settings.Running {
+			if len(s.runs) > s.settings.MaxConcurrent {
 				t.Fatalf("%d concurrent runs", len(s.runs))
 			}
 			listed := 0
--- a/duty/status.go
+++ b/duty/status.go
@@ -7,7 +7,7 @@
 )
 
 // sendResults sends the results of the runs since the last call.
-func (s *Core) sendResults() {
+func (s *Scheduler) sendResults() {
 	s.nextResults = s.now + s.settings.shortestInterval()/resultsPerInterval
 	for len(s.unsent) > 0 {
 		n := min(len(s.unsent), maxBatchResults)
@@ -26,7 +26,7 @@
 }
 
 // latestResult returns the result of the latest known run of a target. A run after lastResult has no result yet.
-func (s *Core) latestResult(t *targetState) Result {
+func (s *Scheduler) latestResult(t *targetState) Result {
 	r := t.lastResult
 	if t.lastRun > t.lastResultAt {
 		r = Result{Outcome: Failed}
@@ -35,17 +35,17 @@
 	return r
 }
 
-func (s *Core) send(to string, m Message) {
-	m.From, m.Inc, m.Instances = s.settings.Me, s.settings.Inc, s.settings.Instances
+func (s *Scheduler) send(to string, m Message) {
+	m.From, m.Inc, m.Instances = s.settings.Name, s.settings.Incarnation, s.settings.Instances
 	s.actions.Send(to, m)
 }
 
 // Leave hands over all shares that this instance holds. After it the instance does nothing more.
-func (s *Core) Leave() {
+func (s *Scheduler) Leave() {
 	if s.stopped {
 		return
 	}
-	delete(s.peers, s.settings.Me)
+	delete(s.peers, s.settings.Name)
 	for i := range s.shares {
 		if share := &s.shares[i]; s.holdsLease(share) {
 			s.handOver(i, s.preferredMember(i))
@@ -56,7 +56,7 @@
 }
 
 // preferredMember returns the member with the highest weight for a share in the current view.
-func (s *Core) preferredMember(i int) (name string) {
+func (s *Scheduler) preferredMember(i int) (name string) {
 	var bestWeight uint64
 	for _, member := range s.names {
 		p := s.peers[member]
@@ -70,14 +70,14 @@
 	return name
 }
 
-// Unreadable counts a message that could not be decoded.
-func (s *Core) Unreadable() { s.counts.Nonsense++ }
+// CountUndecodable counts a message that could not be decoded.
+func (s *Scheduler) CountUndecodable() { s.counts.Nonsense++ }
 
 // Counts returns the counts of events so far.
-func (s *Core) Counts() Counts { return s.counts }
+func (s *Scheduler) Counts() Counts { return s.counts }
 
-// Row is the status of one target for operators.
-type Row struct {
+// Status is the status of one target for operators.
+type Status struct {
 	Kind    string
 	Target  string
 	Share   int
@@ -92,23 +92,23 @@
 	Why     string        // explains Holder
 }
 
-// Rows returns the status of all targets, sorted by kind and name.
-func (s *Core) Rows() []Row {
-	var rows []Row
+// Statuses returns the status of all targets, sorted by kind and name.
+func (s *Scheduler) Statuses() []Status {
+	var rows []Status
 	for i := range s.targets {
 		t := &s.targets[i]
 		if t.kind < 0 {
 			continue
 		}
 		share := &s.shares[t.share]
-		row := Row{Kind: s.settings.Kinds[t.kind].Name, Target: t.name, Share: int(t.share), Last: -1, Witness: t.lastRunBy,
+		row := Status{Kind: s.settings.Kinds[t.kind].Name, Target: t.name, Share: int(t.share), Last: -1, Witness: t.lastRunBy,
 			Outcome: t.lastResult.Outcome, Took: t.lastResult.Took, Load: t.lastResult.Load, Due: s.nextRun(t) - s.now}
 		if t.lastRunBy != "" {
 			row.Last = s.now - t.lastRun
 		}
 		switch {
 		case s.holdsLease(share):
-			row.Holder, row.Since, row.Why = s.settings.Me, s.now-share.leasedSince, "leased by a majority"
+			row.Holder, row.Since, row.Why = s.settings.Name, s.now-share.leasedSince, "leased by a majority"
 		case share.promisedUntil > s.now:
 			row.Holder, row.Why = share.promisedTo, "promised by this instance"
 		default:
@@ -116,7 +116,7 @@
 		}
 		rows = append(rows, row)
 	}
-	slices.SortFunc(rows, func(a, b Row) int {
+	slices.SortFunc(rows, func(a, b Status) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Target, b.Target))
 	})
 	return rows
--- a/duty/targets.go
+++ b/duty/targets.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Targets replaces the list of targets of a kind.
-func (s *Core) Targets(kind int, targets []Target) {
+// SetTargets replaces the list of targets of a kind.
+func (s *Scheduler) SetTargets(kind int, targets []Target) {
 	if kind < 0 || kind >= len(s.byID) || len(targets) > maxTargets {
 		return
 	}
@@ -23,7 +23,7 @@
 			i = s.addTarget(kind, id, target.Name)
 		}
 		t := &s.targets[i]
-		if startedAt := s.now - target.Age; !target.Since {
+		if startedAt := s.now - target.Age; !target.AgeKnown {
 			t.startedAt = -1 << 62
 		} else if shift := t.startedAt - startedAt; !ok || shift < -startTimeTolerance || shift > startTimeTolerance {
 			t.startedAt = startedAt // a smaller shift is the same start time, seen by a clock with a slightly different rate
@@ -43,7 +43,7 @@
 // startTimeTolerance is the largest difference at which two start times of a target count as the same.
 const startTimeTolerance = 50 * time.Millisecond
 
-func (s *Core) addTarget(kind int, id uint64, name string) int32 {
+func (s *Scheduler) addTarget(kind int, id uint64, name string) int32 {
 	var slot int32
 	if n := len(s.freeSlots); n > 0 {
 		slot, s.freeSlots = s.freeSlots[n-1], s.freeSlots[:n-1]
@@ -60,7 +60,7 @@
 	return slot
 }
 
-func (s *Core) removeTarget(i int32) {
+func (s *Scheduler) removeTarget(i int32) {
 	t := &s.targets[i]
 	delete(s.byID[t.kind], t.id)
 	share := &s.shares[t.share]
@@ -68,7 +68,7 @@
 	share.targets[t.shareIndex] = moved
 	s.targets[moved].shareIndex = t.shareIndex
 	share.targets = share.targets[:len(share.targets)-1]
-	s.timers.Drop(i)
+	s.timers.Remove(i)
 	s.unsent = slices.DeleteFunc(s.unsent, func(j int32) bool { return j == i })
 	s.waiting = slices.DeleteFunc(s.waiting, func(j int32) bool { return j == i })
 	*t = targetState{kind: -1}
@@ -76,10 +76,10 @@
 }
 
 // interval returns the current interval of a target, which is longer while the target is starting up.
-func (s *Core) interval(t *targetState) time.Duration {
+func (s *Scheduler) interval(t *targetState) time.Duration {
 	k := &s.settings.Kinds[t.kind]
-	if s.now-t.startedAt < k.Young {
-		return time.Duration(k.Gentle * float64(k.Interval))
+	if s.now-t.startedAt < k.StartupPeriod {
+		return time.Duration(k.StartupFactor * float64(k.Interval))
 	}
 	return k.Interval
 }
@@ -90,11 +90,11 @@
 	return time.Duration(float64(t.id>>11) / (1 << 53) * float64(interval))
 }
 
-func (s *Core) holdsLease(share *shareState) bool { return share.leasedUntil > s.now }
+func (s *Scheduler) holdsLease(share *shareState) bool { return share.leasedUntil > s.now }
 
 // scheduleFirstRun sets the first run of a target under a new lease. The previous holder may have started a run up to
 // the moment the lease began, so a whole interval passes first, unless that holder handed over all it knew.
-func (s *Core) scheduleFirstRun(t *targetState) {
+func (s *Scheduler) scheduleFirstRun(t *targetState) {
 	share := &s.shares[t.share]
 	interval := s.interval(t)
 	if t.nextInLease = share.leasedSince + interval + t.phaseOffset(interval/2); t.handedOver {
@@ -106,7 +106,7 @@
 
 // nextRun returns the next run of a target by this instance, as far as is known now. Out-of-lease runs are considered
 // under a lease as well, because a lease that is acquired and lost repeatedly could otherwise delay a target forever.
-func (s *Core) nextRun(t *targetState) time.Duration {
+func (s *Scheduler) nextRun(t *targetState) time.Duration {
 	if share := &s.shares[t.share]; s.holdsLease(share) {
 		return min(max(t.nextInLease, t.lastRun+s.interval(t)), s.nextOutOfLeaseRun(t))
 	}
@@ -141,7 +141,7 @@
 // nextOutOfLeaseRun returns the time at which this instance may run a target without holding its lease. However wrong
 // the views are, the out-of-lease runs of one instance at one target are outOfLeaseDivisor x Instances intervals apart,
 // where the start of the instance counts as a run.
-func (s *Core) nextOutOfLeaseRun(t *targetState) time.Duration {
+func (s *Scheduler) nextOutOfLeaseRun(t *targetState) time.Duration {
 	interval := s.interval(t)
 	rank := min(s.shares[t.share].rank, s.settings.Instances-1)
 	silence := time.Duration(silenceIntervals*float64(interval)) + silenceLeases*s.settings.promiseDuration() +
--- a/duty/timerwheel.go
+++ b/duty/timerwheel.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Wheel is a timing wheel that orders small indices by due time. It has four levels, with lists linked through two
+// TimerWheel is a timing wheel that orders small indices by due time. It has four levels, with lists linked through two
 // arrays, so that adding, moving and removing an entry costs the same at ten entries and at a hundred thousand, and
 // allocates nothing once the arrays have grown. A heap would cost O(log n) per move, and nearly every result from a
 // peer moves an entry. No entry expires early; it may expire late by less than one tick.
-type Wheel struct {
+type TimerWheel struct {
 	tick        time.Duration
 	currentTick int64 // number of elapsed ticks
 	count       int
@@ -31,20 +31,20 @@
 	slot       int16 // 1 + level * slots + slot, 0 if not in the wheel
 }
 
-// NewWheel returns an empty wheel at time now with the given tick.
-func NewWheel(tick, now time.Duration) *Wheel {
-	return &Wheel{tick: max(1, tick), currentTick: int64(now / max(1, tick))}
+// NewTimerWheel returns an empty wheel at time now with the given tick.
+func NewTimerWheel(tick, now time.Duration) *TimerWheel {
+	return &TimerWheel{tick: max(1, tick), currentTick: int64(now / max(1, tick))}
 }
 
 // Len returns the number of entries.
-func (w *Wheel) Len() int { return w.count }
+func (w *TimerWheel) Len() int { return w.count }
 
-// Set adds an index or moves it to a new due time. An entry that is already due expires at the next call of Due.
-func (w *Wheel) Set(i int32, due time.Duration) {
+// Set adds an index or moves it to a new due time. An entry that is already due expires at the next call of Expire.
+func (w *TimerWheel) Set(i int32, due time.Duration) {
 	for int(i) >= len(w.entries) {
 		w.entries = append(w.entries, entry{})
 	}
-	w.Drop(i)
+	w.Remove(i)
 	e := &w.entries[i]
 	e.dueTick = max(int64((due+w.tick-1)/w.tick), w.currentTick+1)
 	w.insert(i)
@@ -52,7 +52,7 @@
 }
 
 // insert links an entry into the slot of its due tick.
-func (w *Wheel) insert(i int32) {
+func (w *TimerWheel) insert(i int32) {
 	e := &w.entries[i]
 	level, distance := 0, e.dueTick-w.currentTick
 	for level < levels-1 && distance >= 1<<(slotBits*(level+1)) {
@@ -70,8 +70,8 @@
 	w.occupied[level] |= 1 << slot
 }
 
-// Drop removes an index if it is in the wheel.
-func (w *Wheel) Drop(i int32) {
+// Remove removes an index if it is in the wheel.
+func (w *TimerWheel) Remove(i int32) {
 	if int(i) >= len(w.entries) || w.entries[i].slot == 0 {
 		return
 	}
@@ -89,9 +89,9 @@
 	w.count--
 }
 
-// Due advances the wheel to a time and calls expire for each entry that is due by then, tick by tick. Within a tick the
+// Expire advances the wheel to a time and calls expire for each entry that is due by then, tick by tick. Within a tick the
 // entry that was set last expires first. Entries that are set by expire come out at a later call.
-func (w *Wheel) Due(now time.Duration, expire func(i int32)) {
+func (w *TimerWheel) Expire(now time.Duration, expire func(i int32)) {
 	for end := int64(now / w.tick); w.currentTick < end; {
 		if w.count == 0 {
 			w.currentTick = end
@@ -111,14 +111,14 @@
 		slot := int(w.currentTick) & (slots - 1)
 		for head := &w.heads[0][slot]; *head > 0; {
 			i := *head - 1
-			w.Drop(i)
+			w.Remove(i)
 			expire(i)
 		}
 	}
 }
 
 // cascade moves the entries of a slot to finer levels.
-func (w *Wheel) cascade(level, slot int) {
+func (w *TimerWheel) cascade(level, slot int) {
 	i := w.heads[level][slot]
 	w.heads[level][slot] = 0
 	w.occupied[level] &^= 1 << slot
@@ -131,7 +131,7 @@
 
 // Next returns a time before which no entry expires, at most the span of the first level ahead. The caller may sleep
 // until then.
-func (w *Wheel) Next() time.Duration {
+func (w *TimerWheel) Next() time.Duration {
 	if w.count == 0 {
 		return time.Duration(w.currentTick+1<<slotBits) * w.tick
 	}
--- a/duty/timerwheel_test.go
+++ b/duty/timerwheel_test.go
@@ -51,7 +51,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tick := time.Duration(rapid.IntRange(1, 1000).Draw(t, "tick"))
 		now := time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "start"))
-		wheel, due := NewWheel(tick, now), map[int32]time.Duration{}
+		wheel, due := NewTimerWheel(tick, now), map[int32]time.Duration{}
 		setAt := map[int32]time.Duration{} // time of the call of Set
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
@@ -63,7 +63,7 @@
 				due[i], setAt[i] = at, now
 			case 2:
 				i := int32(rapid.IntRange(0, 20).Draw(t, "index"))
-				wheel.Drop(i)
+				wheel.Remove(i)
 				delete(due, i)
 			case 3:
 				if next := wheel.Next(); len(due) > 0 {
@@ -74,7 +74,7 @@
 					}
 				}
 				now += time.Duration(rapid.Int64Range(0, int64(tick)<<rapid.IntRange(0, 26).Draw(t, "step")).Draw(t, "by"))
-				wheel.Due(now, func(i int32) {
+				wheel.Expire(now, func(i int32) {
 					at, ok := due[i]
 					if !ok || at > now {
 						t.Fatalf("%d expired at %v, due %v (%v)", i, now, at, ok)
@@ -100,14 +100,14 @@
 		const interval = time.Second
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
-			rng, wheel, now := rand.New(rand.NewPCG(1, 2)), NewWheel(2*time.Millisecond, 0), time.Duration(0)
+			rng, wheel, now := rand.New(rand.NewPCG(1, 2)), NewTimerWheel(2*time.Millisecond, 0), time.Duration(0)
 			for i := range n {
 				wheel.Set(int32(i), time.Duration(rng.Int64N(int64(interval))))
 			}
 			for b.Loop() {
 				now += interval / time.Duration(n)
 				wheel.Set(int32(rng.IntN(n)), now+interval)
-				wheel.Due(now, func(i int32) { wheel.Set(i, now+interval) })
+				wheel.Expire(now, func(i int32) { wheel.Set(i, now+interval) })
 			}
 		})
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
--- a/duty/types.go
+++ b/duty/types.go
@@ -10,28 +10,28 @@
 
 // Settings configures an instance at its start.
 type Settings struct {
-	Me        string        // name of this instance, stable over restarts
-	Inc       uint64        // incarnation of this instance, higher at each start
-	Instances int           // maximum number of instances that run at the same time
-	Shares    int           // number of shares that targets are assigned to; a few per instance
-	Lease     time.Duration // duration of the lease on a share
-	Running   int           // maximum number of concurrent duties
-	Write     time.Duration // a permitted write completes within this time or fails
-	Kinds     []Kind
+	Name          string        // name of this instance, stable over restarts
+	Incarnation   uint64        // incarnation of this instance, higher at each start
+	Instances     int           // maximum number of instances that run at the same time
+	Shares        int           // number of shares that targets are assigned to; a few per instance
+	Lease         time.Duration // duration of the lease on a share
+	MaxConcurrent int           // maximum number of concurrent duties
+	WriteTimeout  time.Duration // a permitted write completes within this time or fails
+	Kinds         []Kind
 }
 
 // Kind is a registered kind of duty.
 type Kind struct {
-	Name     string
-	Interval time.Duration // between runs at one target, over all instances
-	Young    time.Duration // length of the startup period, in which a target is run less often
-	Gentle   float64       // factor on the interval in the startup period; 1 for no difference
+	Name          string
+	Interval      time.Duration // between runs at one target, over all instances
+	StartupPeriod time.Duration // length of the startup period, in which a target is run less often
+	StartupFactor float64       // factor on the interval in the startup period; 1 for no difference
 }
 
-// Check returns an error if no instance could work with the settings.
-func (s *Settings) Check() error {
+// Validate returns an error if no instance could work with the settings.
+func (s *Settings) Validate() error {
 	switch {
-	case s.Me == "" || len(s.Me) > maxNameLength:
+	case s.Name == "" || len(s.Name) > maxNameLength:
 		return fmt.Errorf("name: 1 to %d bytes", maxNameLength)
 	case s.Instances < 1 || s.Instances > maxInstances:
 		return fmt.Errorf("instances: 1 to %d", maxInstances)
@@ -39,15 +39,15 @@
 		return fmt.Errorf("shares: 1 to %d", maxShares)
 	case s.Lease < minLease:
 		return fmt.Errorf("lease: %v or more", minLease)
-	case s.Write < 0 || s.Write > s.Lease/2:
+	case s.WriteTimeout < 0 || s.WriteTimeout > s.Lease/2:
 		return fmt.Errorf("write: up to half of the lease, %v", s.Lease/2)
-	case s.Running < 1:
+	case s.MaxConcurrent < 1:
 		return errors.New("running: 1 or more")
 	case len(s.Kinds) == 0 || len(s.Kinds) > maxKinds:
 		return fmt.Errorf("kinds: 1 to %d", maxKinds)
 	}
 	for _, k := range s.Kinds {
-		if k.Interval < minInterval || k.Gentle < 1 || k.Young < 0 {
+		if k.Interval < minInterval || k.StartupFactor < 1 || k.StartupPeriod < 0 {
 			return fmt.Errorf("kind %s: interval %v or more, gentle 1 or more, young 0 or more", k.Name, minInterval)
 		}
 	}
@@ -67,9 +67,9 @@
 
 // Target is something that a kind of duty is run for, such as a searcher to be probed.
 type Target struct {
-	Name  string
-	Age   time.Duration // time since the target started, if known
-	Since bool          // whether Age is known
+	Name     string
+	Age      time.Duration // time since the target started, if known
+	AgeKnown bool          // whether Age is known
 }
 
 // ID returns the identifier of a target in messages.
@@ -80,10 +80,10 @@
 
 // The outcomes of a run.
 const (
-	Reached  Outcome = iota // the target answered
-	Refused                 // the target answered with a refusal
-	Failed                  // no answer; the target may have been reached nevertheless
-	NotBegun                // nothing was sent
+	Reached Outcome = iota // the target answered
+	Refused                // the target answered with a refusal
+	Failed                 // no answer; the target may have been reached nevertheless
+	NotSent                // nothing was sent
 	outcomeCount
 )
 
@@ -129,36 +129,36 @@
 	Results   []Result
 }
 
-// Actions are the effects that a Core requests. The implementations must not call back into it.
+// Actions are the effects that a Scheduler requests. The implementations must not call back into it.
 type Actions interface {
 	// Run starts a duty. The implementation must ask Permit at the write, and call Done in any case.
 	Run(token uint64, kind int, target string)
 	// Send sends a message to an instance, or to all others if to is empty.
 	Send(to string, m Message)
-	// Learned reports a run by any instance, once, as soon as it is known here.
-	Learned(target string, r Result, by string)
-	// Note reports an event for logs and tests. No decision depends on it.
-	Note(n Note)
+	// ObserveResult reports a run by any instance, once, as soon as it is known here.
+	ObserveResult(target string, r Result, by string)
+	// Record reports an event for logs and tests. No decision depends on it.
+	Record(e EventRecord)
 }
 
-// Note records an event that changes or explains the behavior of an instance.
-type Note struct {
+// EventRecord describes an event that changes or explains the behavior of an instance.
+type EventRecord struct {
 	Event Event
 	Share int // index of the share, or -1
 	Peer  string
 }
 
-// Event is a kind of Note.
+// Event is a kind of EventRecord.
 type Event uint8
 
 // The events that are reported.
 const (
-	Took      Event = iota // a lease on a share begins
-	Lost                   // the lease expired, or a clock jump ended it
-	HandedOn               // the share was handed over to another instance
-	TurnTaken              // a duty runs out of lease, after a long time without a known answer
-	Woken                  // the clock jumped or the process was paused; planned runs are void
-	Ignored                // an invalid message was rejected
+	LeaseAcquired   Event = iota // a lease on a share begins
+	LeaseLost                    // the lease expired, or a clock jump ended it
+	HandedOver                   // the share was handed over to another instance
+	RanOutOfLease                // a duty runs out of lease, after a long time without a known answer
+	ClockJumped                  // the clock jumped or the process was paused; planned runs are void
+	MessageRejected              // an invalid message was rejected
 )
 
 func (e Event) String() string {
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -163,7 +163,7 @@
 		b := m.Append(nil)
 		old := golden(t, "duty-message.bin", b)
 		must.Eq(t, old, b)
-		got, err := duty.Read(old)
+		got, err := duty.DecodeMessage(old)
 		must.NoError(t, err)
 		must.Eq(t, m.Append(nil), got.Append(nil))
 	})
--- a/mixer/duties.go
+++ b/mixer/duties.go
@@ -46,7 +46,7 @@
 	kick  chan struct{}
 
 	mu   sync.Mutex
-	core *duty.Core
+	core *duty.Scheduler
 	acts []func() // to be done once the lock is free
 }
 
@@ -56,24 +56,24 @@
 	m := &minder{lim: lim, log: log.Named("duties"), o: o, watch: w, say: say, load: d.Load, start: time.Now(),
 		kick: make(chan struct{}, 1)}
 	var err error
-	m.core, err = duty.New(duty.Settings{Me: c.Name, Inc: inc, Instances: d.Instances, Shares: lim.Shares, Lease: d.Lease,
-		Running: d.Running, Write: min(lim.Link.Write, d.Lease/4), Kinds: []duty.Kind{
-			probeDuty: {Name: "probe", Interval: d.Interval, Young: d.Young, Gentle: d.Gentle},
-			auditDuty: {Name: "audit", Interval: d.Audit, Gentle: 1},
+	m.core, err = duty.New(duty.Settings{Name: c.Name, Incarnation: inc, Instances: d.Instances, Shares: lim.Shares, Lease: d.Lease,
+		MaxConcurrent: d.Running, WriteTimeout: min(lim.Link.Write, d.Lease/4), Kinds: []duty.Kind{
+			probeDuty: {Name: "probe", Interval: d.Interval, StartupPeriod: d.Young, StartupFactor: d.Gentle},
+			auditDuty: {Name: "audit", Interval: d.Audit, StartupFactor: 1},
 		}}, m, 0)
 	if err != nil {
 		return nil, fmt.Errorf("duties: %w", err)
 	}
-	m.core.Targets(auditDuty, []duty.Target{{Name: listTarget}})
+	m.core.SetTargets(auditDuty, []duty.Target{{Name: listTarget}})
 	return m, nil
 }
 
 func (m *minder) now() time.Duration { return time.Since(m.start) }
 
 // event hands something to the core, then does what that wants done.
-func (m *minder) event(f func(c *duty.Core)) {
+func (m *minder) event(f func(c *duty.Scheduler)) {
 	m.mu.Lock()
-	m.core.At(m.now())
+	m.core.Advance(m.now())
 	f(m.core)
 	m.mu.Unlock()
 	select {
@@ -94,7 +94,7 @@
 		case <-clock.C:
 		}
 		m.mu.Lock()
-		m.core.At(m.now())
+		m.core.Advance(m.now())
 		next := m.core.Wake()
 		acts := m.acts
 		m.acts = nil
@@ -106,7 +106,7 @@
 	}
 }
 
-// Run, Send, Learned and Note are the core's actions; the lock is held.
+// Run, Send, ObserveResult and Record are the core's actions; the lock is held.
 func (m *minder) Run(token uint64, kind int, target string) {
 	switch kind {
 	case probeDuty:
@@ -121,7 +121,7 @@
 	m.acts = append(m.acts, func() { m.say(to, b) })
 }
 
-func (m *minder) Learned(target string, r duty.Result, who string) {
+func (m *minder) ObserveResult(target string, r duty.Result, who string) {
 	if r.Kind != probeDuty {
 		return
 	}
@@ -136,9 +136,9 @@
 		zap.String("load", r.Load), zap.String("peer", who), zap.Duration("age", r.Age))
 }
 
-func (m *minder) Note(n duty.Note) {
+func (m *minder) Record(n duty.EventRecord) {
 	level := zap.DebugLevel
-	if n.Event == duty.Woken || n.Event == duty.Ignored {
+	if n.Event == duty.ClockJumped || n.Event == duty.MessageRejected {
 		level = zap.WarnLevel
 	}
 	m.log.Log(level, n.Event.String(), zap.Int("share", n.Share), zap.String("peer", n.Peer))
@@ -146,17 +146,17 @@
 
 // View and Message come from the group.
 func (m *minder) View(others map[string]uint64) {
-	m.event(func(c *duty.Core) { c.Members(others) })
+	m.event(func(c *duty.Scheduler) { c.SetMembers(others) })
 }
 
 func (m *minder) Message(b []byte) {
-	msg, err := duty.Read(b)
+	msg, err := duty.DecodeMessage(b)
 	if err != nil {
 		m.log.Warn("message not believed", zap.Error(err))
-		m.event(func(c *duty.Core) { c.Unreadable() })
+		m.event(func(c *duty.Scheduler) { c.CountUndecodable() })
 		return
 	}
-	m.event(func(c *duty.Core) { c.Heard(msg) })
+	m.event(func(c *duty.Scheduler) { c.Receive(msg) })
 }
 
 // targets sets which searchers there are; the owner calls it with each list.
@@ -165,15 +165,15 @@
 	for _, h := range hosts {
 		t := duty.Target{Name: h.Name}
 		if !h.Born.IsZero() {
-			t.Age, t.Since = max(0, time.Since(h.Born)), true
+			t.Age, t.AgeKnown = max(0, time.Since(h.Born)), true
 		}
 		ts = append(ts, t)
 	}
-	m.event(func(c *duty.Core) { c.Targets(probeDuty, ts) })
+	m.event(func(c *duty.Scheduler) { c.SetTargets(probeDuty, ts) })
 }
 
 func (m *minder) done(token uint64, out duty.Outcome, took time.Duration, load string) {
-	m.event(func(c *duty.Core) { c.Done(token, out, took, load) })
+	m.event(func(c *duty.Scheduler) { c.Done(token, out, took, load) })
 }
 
 // probe has the owner put a probe on one of the searcher's connections. The permit is asked as its bytes are written.
@@ -188,7 +188,7 @@
 			out := duty.Failed
 			switch {
 			case !r.Sent:
-				out = duty.NotBegun
+				out = duty.NotSent
 			case r.Answered && r.Word == "500":
 				out = duty.Refused
 			case r.Answered:
@@ -202,10 +202,10 @@
 		}}
 	if !m.o.try(func() {
 		if !m.o.Beside(target, func(c attempt.Conn) bool { return c.(*link.Conn).Probe(p) }) {
-			m.done(token, duty.NotBegun, 0, "")
+			m.done(token, duty.NotSent, 0, "")
 		}
 	}) {
-		m.done(token, duty.NotBegun, 0, "")
+		m.done(token, duty.NotSent, 0, "")
 	}
 }
 
@@ -216,7 +216,7 @@
 	may := m.core.Permit(token, m.now())
 	m.mu.Unlock()
 	if !may {
-		m.done(token, duty.NotBegun, 0, "")
+		m.done(token, duty.NotSent, 0, "")
 		return
 	}
 	ctx, end := context.WithTimeout(m.o.ctx, m.lim.Audit)
@@ -245,7 +245,7 @@
 // leave hands duties over before the process ends.
 func (m *minder) leave() {
 	m.mu.Lock()
-	m.core.At(m.now())
+	m.core.Advance(m.now())
 	m.core.Leave()
 	acts := m.acts
 	m.acts = nil
@@ -259,7 +259,7 @@
 type shown struct {
 	Name   string
 	Counts duty.Counts
-	Rows   []duty.Row
+	Rows   []duty.Status
 }
 
 // show answers at a socket of the file system, for operators on the same machine only.
@@ -277,8 +277,8 @@
 	}
 	srv := &http.Server{ReadTimeout: m.lim.Audit, WriteTimeout: m.lim.Audit, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		m.mu.Lock()
-		m.core.At(m.now())
-		s := shown{Name: name, Counts: m.core.Counts(), Rows: m.core.Rows()}
+		m.core.Advance(m.now())
+		s := shown{Name: name, Counts: m.core.Counts(), Rows: m.core.Statuses()}
 		m.mu.Unlock()
 		if err := json.NewEncoder(w).Encode(s); err != nil {
 			m.log.Debug("show", zap.Error(err))
