--- a/distribution/await_test.go
+++ b/distribution/await_test.go
@@ -16,8 +16,8 @@
 		b := NewBoard(registry.New(registry.Config{Name: "a", Period: time.Second, Start: time.Now()}))
 		s := Server{Board: b}
 		ended := make(chan struct{})
-		k := time.NewTicker(waitMost / 2)
-		time.AfterFunc(silenceMost, k.Stop) // by then the asker has given up
+		k := time.NewTicker(maxWait / 2)
+		time.AfterFunc(responseTimeout, k.Stop) // by then the asker has given up
 		go func() {
 			for {
 				select {
@@ -29,8 +29,8 @@
 			}
 		}()
 		at := time.Now()
-		s.await(t.Context(), &Ask{Peer: true})
+		s.longPoll(t.Context(), &Ask{Peer: true})
 		close(ended)
-		must.LessEq(t, waitMost+settle, time.Since(at))
+		must.LessEq(t, maxWait+coalesceDelay, time.Since(at))
 	})
 }
--- a/distribution/dial.go
+++ b/distribution/dial.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	// stagger is after how long the next address is tried beside one that says nothing yet. Machines without power say
-	// nothing at all, and after a loss of all power a proxy has nothing to serve by until one controller answers.
-	stagger = 150 * time.Millisecond
-	atOnce  = 3 // addresses
+	// dialStagger is the delay after which the next address is dialled in parallel to those that have not answered yet. Machines
+	// without power don't answer at all, and after a power loss of all machines a proxy can't serve until it reaches a controller.
+	dialStagger      = 150 * time.Millisecond
+	maxParallelDials = 3
 )
 
-// errUnreachable is told after each address's own fault.
-var errUnreachable = errors.New("dial: nobody answers")
+// errUnreachable is returned after the error of each address has been reported to Puller.Fault.
+var errUnreachable = errors.New("dial: no address answers")
 
-type dialled struct {
-	conn net.Conn
-	addr string
-	no   int // of those tried beside each other
-	err  error
+type dialResult struct {
+	conn  net.Conn
+	addr  string
+	index int // in the order of the parallel dials
+	err   error
 }
 
-// connect gives a connection to the first of the next addresses that takes one.
-func (p *Puller) connect(ctx context.Context, tried int) (dialled, error) {
+// connect dials the next addresses and returns the first connection that is accepted.
+func (p *Puller) connect(ctx context.Context, failures int) (dialResult, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var network keepalive.Network = keepalive.TCP{}
 	if p.Network != nil {
 		network = p.Network
 	}
-	came := make(chan dialled, atOnce)
-	var begun []string
-	out := 0
-	begin := func() {
-		addr := p.Choose(tried + len(begun))
-		no := len(begun)
-		begun = append(begun, addr)
-		if addr == "" || slices.Contains(begun[:no], addr) {
+	results := make(chan dialResult, maxParallelDials)
+	var started []string
+	pending := 0
+	start := func() {
+		addr := p.Choose(failures + len(started))
+		index := len(started)
+		started = append(started, addr)
+		if addr == "" || slices.Contains(started[:index], addr) {
 			return
 		}
-		out++
+		pending++
 		go func() {
-			c, err := keepalive.DialAgain(ctx, network, addr, dialMost, silenceMost, p.Alive)
-			came <- dialled{c, addr, no, err}
+			conn, err := keepalive.DialAgain(ctx, network, addr, dialTimeout, responseTimeout, p.Alive)
+			results <- dialResult{conn, addr, index, err}
 		}()
 	}
-	begin()
-	t := time.NewTimer(stagger)
+	start()
+	t := time.NewTimer(dialStagger)
 	defer t.Stop()
-	var last dialled
-	for out > 0 {
+	var last dialResult
+	for pending > 0 {
 		select {
-		case last = <-came:
-			out--
+		case last = <-results:
+			pending--
 			if last.err == nil {
-				go closeRest(came, out)
+				go closeRemaining(results, pending)
 				return last, nil
 			}
 			if p.Fault != nil && ctx.Err() == nil {
@@ -69,18 +69,18 @@
 			}
 		case <-t.C:
 		}
-		if len(begun) < atOnce {
-			begin()
-			t.Reset(stagger)
+		if len(started) < maxParallelDials {
+			start()
+			t.Reset(dialStagger)
 		}
 	}
-	return dialled{no: len(begun) - 1}, errUnreachable
+	return dialResult{index: len(started) - 1}, errUnreachable
 }
 
-// closeRest ends those that came up beside the first.
-func closeRest(came <-chan dialled, n int) {
+// closeRemaining closes the connections of the n dials that are still pending.
+func closeRemaining(results <-chan dialResult, n int) {
 	for range n {
-		if d := <-came; d.err == nil {
+		if d := <-results; d.err == nil {
 			d.conn.Close()
 		}
 	}
--- a/distribution/figures.go
+++ b/distribution/metrics.go
@@ -5,11 +5,11 @@
 	"peathollow/registry"
 )
 
-// EmitList tells the figures of the list of searchers that a board holds.
-func EmitList(b *Board, emit figures.Emit) {
+// EmitList emits the metrics of the list of searchers that a replica holds.
+func EmitList(replica *Board, emit figures.Emit) {
 	var listed, silent, draining int
 	var complete bool
-	b.With(func(r *registry.Registry) bool {
+	replica.With(func(r *registry.Registry) bool {
 		complete = r.Complete()
 		for e := range r.All() {
 			if Reserved(e.Plant) {
--- a/distribution/mixers.go
+++ b/distribution/mixers.go
@@ -9,41 +9,42 @@
 	"peathollow/registry"
 )
 
-// Mixers are news as searchers are: entries of the same registry, first-hand from the controller that an agent pulls from. So
-// the same vectors, digests, silence and adoption carry them, and there is no second protocol.
+// Mixers are entries of the same registry as searchers; their source is the controller that the agent pulls from. Vectors,
+// digests, silence and adoption therefore work for them as well, without a second protocol.
 
-// reserved begins names that no searcher may bear: HTTP carries no such service, and the doors refuse them.
-const reserved = "\x00"
+// reservedPrefix begins names that no searcher may have: HTTP can't carry such a service name, and the endpoints refuse them.
+const reservedPrefix = "\x00"
 
 // MixerService is the service under which mixers are listed.
-const MixerService = reserved + "mixers"
+const MixerService = reservedPrefix + "mixers"
 
-// Reserved tells whether a service's name or a searcher's id is kept for the system's own entries.
-func Reserved(name string) bool { return strings.HasPrefix(name, reserved) }
+// Reserved reports whether a service's name or a searcher's id is reserved for the system's own entries.
+func Reserved(name string) bool { return strings.HasPrefix(name, reservedPrefix) }
 
-// Mixer is one life of a mixer, as listed.
+// Mixer describes one incarnation of a mixer in the list.
 type Mixer struct {
 	Life, Zone string
-	Addr       netip.AddrPort // where it takes heartbeats
+	Addr       netip.AddrPort // receives heartbeats
 	Silent     bool
 	Leaving    bool
 	Source     string
 	Calls      uint64
-	Age        time.Duration // of its silence
+	Age        time.Duration // since it became silent
 }
 
-// Machine names the machine of a life: they are called role/machine/nonce. A life that isn't stands for itself.
+// Machine returns the machine's name in an incarnation's name, which has the form role/machine/nonce. It returns a name of any
+// other form unchanged.
 func (m *Mixer) Machine() string {
-	if p := strings.Split(m.Life, "/"); len(p) == 3 {
-		return p[1]
+	if parts := strings.Split(m.Life, "/"); len(parts) == 3 {
+		return parts[1]
 	}
 	return m.Life
 }
 
-// Searcher is the form in which a mixer is an entry. One that leaves is Draining, not Gone: it serves on for its grace,
-// and what it spends until then counts.
+// Searcher returns the registry entry of a mixer. A mixer that leaves is Draining and not Gone: it keeps serving during its
+// grace period, and its use of the budgets counts until then.
 func (m *Mixer) Searcher() registry.Searcher {
-	s := registry.Searcher{ID: reserved + m.Life, Plant: MixerService, Zone: m.Zone, Calls: m.Calls}
+	s := registry.Searcher{ID: reservedPrefix + m.Life, Plant: MixerService, Zone: m.Zone, Calls: m.Calls}
 	if m.Addr.IsValid() {
 		s.Address = m.Addr.String()
 	}
@@ -53,24 +54,24 @@
 	return s
 }
 
-// MixerOf reads an entry of MixerService.
+// MixerOf returns the mixer that an entry of MixerService describes.
 func MixerOf(e *registry.Entry) Mixer {
-	m := Mixer{Life: strings.TrimPrefix(e.ID, reserved), Zone: e.Zone, Silent: e.Silent, Leaving: e.State != registry.Ready,
+	m := Mixer{Life: strings.TrimPrefix(e.ID, reservedPrefix), Zone: e.Zone, Silent: e.Silent, Leaving: e.State != registry.Ready,
 		Source: e.Source, Calls: e.Calls, Age: e.Age}
 	m.Addr, _ = netip.ParseAddrPort(e.Address)
 	return m
 }
 
-// GetMixer looks a life up; false if it isn't listed.
-func GetMixer(r *registry.Registry, life string) (Mixer, bool) {
-	e, ok := r.Get(reserved + life)
+// GetMixer returns the mixer of an incarnation and whether it is listed.
+func GetMixer(r *registry.Registry, incarnation string) (Mixer, bool) {
+	e, ok := r.Get(reservedPrefix + incarnation)
 	if !ok || e.Plant != MixerService || e.State == registry.Gone {
 		return Mixer{}, false
 	}
 	return MixerOf(&e), true
 }
 
-// Mixers yields those that are listed, by life.
+// Mixers yields the listed mixers in the order of their incarnations' names.
 func Mixers(r *registry.Registry) iter.Seq[Mixer] {
 	return func(yield func(Mixer) bool) {
 		for e := range r.Service(MixerService) {
@@ -81,22 +82,22 @@
 	}
 }
 
-// CountMixers tells for how many mixers the budgets must do, 0 while that isn't known. What was spent by one that has
-// fallen silent counts for some time since. A machine counts once for every two of its lives: retrybudget
-// reckons with two for each mixer.
-func CountMixers(r *registry.Registry, countsFor time.Duration) int {
+// CountMixers returns the number of mixers that share the budgets, or 0 while the list is incomplete. A silent mixer counts
+// until its silence has lasted for chargeLifetime, since what it spent before still counts. Two incarnations of one machine
+// count as one mixer, because retrybudget reserves for two incarnations of each mixer.
+func CountMixers(r *registry.Registry, chargeLifetime time.Duration) int {
 	if !r.Complete() {
 		return 0
 	}
-	lives := map[string]int{}
+	incarnations := map[string]int{} // by machine
 	for m := range Mixers(r) {
-		if !m.Silent || m.Age < countsFor {
-			lives[m.Machine()]++
+		if !m.Silent || m.Age < chargeLifetime {
+			incarnations[m.Machine()]++
 		}
 	}
 	n := 0
-	for _, l := range lives {
-		n += (l + 1) / 2
+	for _, count := range incarnations {
+		n += (count + 1) / 2
 	}
 	return n
 }
--- a/distribution/pull.go
+++ b/distribution/pull.go
@@ -17,284 +17,289 @@
 )
 
 const (
-	entriesMost  = 500     // of one answer; the rest follows at once
-	documentMost = 4 << 20 // bytes of a configuration, unpacked
+	maxEntries       = 500     // in one response; the next response follows without a wait
+	maxDocumentBytes = 4 << 20 // of an unpacked configuration
 
-	// waitMost is how long an ask waits when there is nothing to say, which is also the sign of life of a link.
-	waitMost = 800 * time.Millisecond
-	// settle lets what changes in the same moment go in one answer.
-	settle = 40 * time.Millisecond
-	// silenceMost is how long an answer may take before the link is given up: well under the bounds within which a drain
-	// and a configuration must have arrived.
-	silenceMost = waitMost + 900*time.Millisecond
-	dialMost    = 450 * time.Millisecond
-	pauseLeast  = 50 * time.Millisecond
-	pauseMost   = 500 * time.Millisecond
+	// maxWait is how long a request waits at a server that has no updates. The response without updates also serves as the
+	// heartbeat of the connection.
+	maxWait = 800 * time.Millisecond
+	// coalesceDelay lets changes made at about the same time travel in one response.
+	coalesceDelay = 40 * time.Millisecond
+	// responseTimeout is how long a response may take before the connection is closed: well below the limits within which a
+	// drain and a configuration must have arrived.
+	responseTimeout = maxWait + 900*time.Millisecond
+	dialTimeout     = 450 * time.Millisecond
+	minBackoff      = 50 * time.Millisecond
+	maxBackoff      = 500 * time.Millisecond
 )
 
-// Ask says what the asker has.
+// Ask is a pull request. It describes the client and what the client already holds.
 type Ask struct {
-	Node    string // the asker's machine
-	Life    string // and life
-	IP      string // a controller's
+	Node    string // the client's machine
+	Life    string // and incarnation
+	IP      string // of a controller
 	Kind    string // "agent", "proxy" or "controller"
 	Want    registry.PullQuery
-	Version uint64 // of the configuration held
-	Whole   bool   // a difference did not fit: the whole is wanted
-	Core    uint64 // digest of the list of core machines held
+	Version uint64 // of the configuration that the client holds
+	Whole   bool   // a patch could not be applied: the whole configuration is requested
+	Core    uint64 // hash of the list of controllers that the client holds
 	Mixers  int
-	// SlackSpent is what a proxy was last told of it.
+	// SlackSpent is the value that a proxy received last.
 	SlackSpent bool
-	Alone      bool
-	Peer       bool // the asker is a controller: it knows of core machines itself
+	Alone      bool // the last response on this connection came from an isolated server
+	Peer       bool // the client is a controller, which learns the list of controllers from consensus
 	Mend       *Mend
-	Kept       uint64                       // a controller's: what it knows of the answerer's disk, by the number told last on this link
-	Mixer      *Pulse                       // an agent's
-	Word       *failuredetector.WatchReport // a controller's, of the mixers that pull from it
+	Kept       uint64                       // from a controller: the last KeptNo that it received on this connection
+	Mixer      *Pulse                       // from an agent
+	Word       *failuredetector.WatchReport // from a controller, about the mixers that pull from it
 }
 
-// Pulse is what an agent tells of itself, and of the mixers that it watches.
+// Pulse is an agent's heartbeat, with its reports on the mixers that it watches.
 type Pulse struct {
-	// Addr and Zone are told at the beginning of a link, and known to the server from then on.
+	// Addr and Zone are sent with the first request of a connection; the server remembers them for the others.
 	Addr, Zone string
-	// Calls rises with each ask of a life, whichever controller it goes to.
+	// Calls rises with each request of an incarnation, whichever controller it is sent to.
 	Calls        uint64
 	Leaving      bool
-	Missed, Seen []string // lives; see failuredetector
+	Missed, Seen []string // incarnations; see failuredetector
 }
 
-// Cargo is what the asker lacks.
+// Cargo is a pull response: the updates that the client lacks.
 type Cargo struct {
-	System  uint64 // of the teller
+	System  uint64 // of the server
 	News    registry.Delta
 	Version uint64
 	Whole   []byte          // a configuration, packed
-	Patch   *manifest.Patch // or its difference to the asker's
+	Patch   *manifest.Patch // or a patch from the client's version to it
 	Core    []Place
 	Mixers  int
-	// SlackSpent is told by an agent to its proxy; see Board.
+	// SlackSpent is sent by an agent to its proxy; see Board.SetSlackSpent.
 	SlackSpent bool
-	Alone      bool // the teller is out of touch with most of the core
+	Alone      bool // the server has no contact with a quorum of controllers
 	Mend       *Mend
-	// Kept is the news that the disk of the teller, a controller, holds; KeptNo rises with each change. 0: nothing new.
+	// Kept covers the updates that the disk of the server, a controller, holds; KeptNo rises with each change of it and is 0
+	// if nothing has changed.
 	Kept   registry.Vector
 	KeptNo uint64
 }
 
-// Server answers asks from a board.
+// Server answers pull requests from a replica.
 type Server struct {
 	Board *Board
-	// Met is called with each ask; may be nil. Left when its link has ended.
-	Met  func(a *Ask)
-	Left func(a *Ask)
+	// Met is called with each request before it is answered; may be nil. Left is called with the last request of a connection
+	// when that has ended; may be nil.
+	Met  func(req *Ask)
+	Left func(req *Ask)
 }
 
-// Serve answers links until ctx ends.
+// Serve accepts and serves connections until ctx ends.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	return keepalive.Accept(ctx, ln, func(c net.Conn) { s.link(ctx, c) })
+	return keepalive.Accept(ctx, ln, func(c net.Conn) { s.serveConn(ctx, c) })
 }
 
-func (s *Server) link(ctx context.Context, c net.Conn) {
-	in, w := gob.NewDecoder(bufio.NewReaderSize(c, 2048)), bufio.NewWriterSize(c, 2048)
-	out := gob.NewEncoder(w)
-	met := false
+func (s *Server) serveConn(ctx context.Context, c net.Conn) {
+	decoder, w := gob.NewDecoder(bufio.NewReaderSize(c, 2048)), bufio.NewWriterSize(c, 2048)
+	encoder := gob.NewEncoder(w)
+	received := false
 	have := registry.Vector{}
 	addr, zone := "", ""
-	var a Ask
+	var req Ask
 	defer func() {
-		if met && s.Left != nil {
-			s.Left(&a)
+		if received && s.Left != nil {
+			s.Left(&req)
 		}
 	}()
 	for {
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		var next Ask
-		if err := in.Decode(&next); err != nil {
-			return // the last ask tells whose link has ended
+		if err := decoder.Decode(&next); err != nil {
+			return // Left is called with the last complete request
 		}
-		a = next
-		// An ask tells only what has risen since the one before.
-		for source, no := range a.Want.Have {
+		req = next
+		// A request carries only the components that have risen since the one before.
+		for source, no := range req.Want.Have {
 			have[source] = no
 		}
-		a.Want.Have = maps.Clone(have)
-		if a.Mixer != nil {
-			if a.Mixer.Addr != "" {
-				addr, zone = a.Mixer.Addr, a.Mixer.Zone
+		req.Want.Have = maps.Clone(have)
+		if req.Mixer != nil {
+			if req.Mixer.Addr != "" {
+				addr, zone = req.Mixer.Addr, req.Mixer.Zone
 			}
-			a.Mixer.Addr, a.Mixer.Zone = addr, zone
+			req.Mixer.Addr, req.Mixer.Zone = addr, zone
 		}
-		if met = true; s.Met != nil {
-			s.Met(&a)
+		if received = true; s.Met != nil {
+			s.Met(&req)
 		}
-		cargo := s.await(ctx, &a)
+		resp := s.longPoll(ctx, &req)
 		c.SetWriteDeadline(time.Now().Add(3 * time.Second))
-		if out.Encode(&cargo) != nil || w.Flush() != nil {
+		if encoder.Encode(&resp) != nil || w.Flush() != nil {
 			return
 		}
 	}
 }
 
-// await answers when there is something to say, or after waitMost.
-func (s *Server) await(ctx context.Context, a *Ask) Cargo {
-	cargo, some, changed := s.Board.cargo(a)
-	if some {
-		return cargo
+// longPoll returns a response as soon as there are updates, or after maxWait.
+func (s *Server) longPoll(ctx context.Context, req *Ask) Cargo {
+	resp, hasUpdates, changed := s.Board.response(req)
+	if hasUpdates {
+		return resp
 	}
-	end := time.NewTimer(waitMost) // never put off: the answer is the sign of life of the link
+	end := time.NewTimer(maxWait) // never reset: the response is the heartbeat of the connection
 	defer end.Stop()
 	for {
 		select {
 		case <-changed:
 		case <-end.C:
-			return cargo
+			return resp
 		case <-ctx.Done():
-			return cargo
+			return resp
 		}
 		select {
-		case <-time.After(settle):
+		case <-time.After(coalesceDelay):
 		case <-ctx.Done():
 		}
-		if cargo, some, changed = s.Board.cargo(a); some {
-			return cargo
+		if resp, hasUpdates, changed = s.Board.response(req); hasUpdates {
+			return resp
 		}
 	}
 }
 
-// Puller keeps a board up to date from one server at a time.
+// Puller keeps a replica up to date by pulling from one server at a time.
 type Puller struct {
 	Board                *Board
 	Node, Life, IP, Kind string
-	// Choose gives the address to pull from; tried is how many failed since the last answer. "" means to wait.
-	Choose func(tried int) string
-	// Merged is called after each answer that changed something; may be nil.
+	// Choose returns the address to pull from, or "" to wait; failures counts the failed attempts since the last response.
+	Choose func(failures int) string
+	// Merged is called after each response that was applied; may be nil.
 	Merged func()
-	// Answered is told of each answer, and when its ask was sent; may be nil.
-	Answered func(peer string, cargo *Cargo, asked time.Time)
-	// Fault is told why a link ended; may be nil.
+	// Answered is called with each response and the time at which its request was sent; may be nil.
+	Answered func(peer string, resp *Cargo, requested time.Time)
+	// Fault is called with the error that ended a dial or a connection; may be nil.
 	Fault func(peer string, err error)
-	// Peer says that one controller pulls from another.
+	// Peer states that one controller pulls from another.
 	Peer bool
-	// Keeps is called with the news that the peer's disk holds; may be nil.
+	// Keeps is called with the version vector of the updates that the server's disk holds; may be nil.
 	Keeps func(addr string, v registry.Vector)
-	// Say adds to an ask what only this kind of process tells; first is the first one of a link. May be nil.
-	Say func(a *Ask, first bool)
-	// Better tells that there is an address to be preferred to the present one; may be nil.
+	// Say adds the fields that only this kind of process sends to a request; first marks the first request of a connection.
+	// May be nil.
+	Say func(req *Ask, first bool)
+	// Better reports whether another address is preferable to the present one; may be nil.
 	Better func(addr string) bool
-	// Network is dialled on; nil stands for TCP.
+	// Network dials the connections; nil stands for TCP.
 	Network keepalive.Network
-	// Alive says that the server has been heard, so that no pause and no dial waits any longer; may be nil.
+	// Alive receives a value when the server has been heard from, which ends any backoff and restarts a dial that has lasted
+	// for a while; may be nil.
 	Alive <-chan struct{}
-	// MoveOn has a server that is out of touch left for another.
+	// MoveOn makes the puller leave an isolated server for another one.
 	MoveOn bool
 
-	lives map[string]string // the names that peers gave, by address
+	peerNames map[string]string // the names that servers gave, by address
 }
 
-// livesMost bounds the peers whose names are kept.
-const livesMost = 64
+// maxPeerNames bounds Puller.peerNames.
+const maxPeerNames = 64
 
 // Run pulls until ctx ends.
 func (p *Puller) Run(ctx context.Context) {
-	p.lives = map[string]string{}
-	tried := 0
+	p.peerNames = map[string]string{}
+	failures := 0
 	for ctx.Err() == nil {
-		d, err := p.connect(ctx, tried)
-		tried += d.no
+		d, err := p.connect(ctx, failures)
+		failures += d.index
 		answered := false
 		if err == nil {
-			answered, err = p.follow(ctx, d.conn, d.addr, tried)
+			answered, err = p.pull(ctx, d.conn, d.addr, failures)
 		}
 		if answered {
-			tried = 0
+			failures = 0
 			if err == nil {
-				continue // for a better one
+				continue // with a better address
 			}
 		}
 		if err != nil && p.Fault != nil && ctx.Err() == nil && !errors.Is(err, errUnreachable) {
 			p.Fault(d.addr, err)
 		}
-		tried++
+		failures++
 		select {
 		case <-ctx.Done():
 		case <-p.Alive:
-		case <-time.After(min(pauseMost, pauseLeast<<min(tried-1, 4))):
+		case <-time.After(min(maxBackoff, minBackoff<<min(failures-1, 4))):
 		}
 	}
 }
 
-var errAlone = errors.New("peer is out of touch with the core")
+var errIsolated = errors.New("peer has no contact with a quorum of controllers")
 
-// stayAfter is how many tries in a row lead to a server that is out of touch before one is waited for: most likely all are
-// just starting, and who waits on a link hears at once when its server is in touch.
-const stayAfter = 2
+// stayAfterFailures is the number of failures in a row after which the puller waits at an isolated server. By then most likely
+// all servers are just starting, and a client that waits on a connection is notified as soon as its server has contact.
+const stayAfterFailures = 2
 
-// follow pulls over one link until it ends; tried is how many failed before it.
-func (p *Puller) follow(ctx context.Context, c net.Conn, addr string, tried int) (answered bool, err error) {
+// pull pulls over one connection until it ends; failures counts the failed attempts before it.
+func (p *Puller) pull(ctx context.Context, c net.Conn, addr string, failures int) (answered bool, err error) {
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	in, w := gob.NewDecoder(bufio.NewReaderSize(c, 2048)), bufio.NewWriterSize(c, 2048)
-	out := gob.NewEncoder(w)
-	by, first, whole, alone, waited := p.lives[addr], true, false, false, false
-	var mend *Mend
-	told, kept := registry.Vector{}, uint64(0)
-	mended := time.Now().Add(-mendEvery) // at the second ask, when what the vector tells has come
+	decoder, w := gob.NewDecoder(bufio.NewReaderSize(c, 2048)), bufio.NewWriterSize(c, 2048)
+	encoder := gob.NewEncoder(w)
+	peerName, first, whole, isolated, waited := p.peerNames[addr], true, false, false, false
+	var repair *Mend
+	sent, persistedNo := registry.Vector{}, uint64(0)
+	lastRepair := time.Now().Add(-repairInterval) // due at the second request, once the updates by version vector have arrived
 	for {
-		a := p.ask(by, first, whole, alone)
+		req := p.newRequest(peerName, first, whole, isolated)
 		first = false
-		a.Mend, a.Want.Have, a.Kept = mend, risen(a.Want.Have, told), kept
-		asked := time.Now()
-		c.SetDeadline(asked.Add(silenceMost))
-		if err := out.Encode(&a); err != nil {
-			return answered, errors.Wrapf(err, "ask, peer %s", addr)
+		req.Mend, req.Want.Have, req.Kept = repair, takeRisen(req.Want.Have, sent), persistedNo
+		requested := time.Now()
+		c.SetDeadline(requested.Add(responseTimeout))
+		if err := encoder.Encode(&req); err != nil {
+			return answered, errors.Wrapf(err, "send pull request, peer %s", addr)
 		}
 		if err := w.Flush(); err != nil {
-			return answered, errors.Wrapf(err, "ask, peer %s", addr)
+			return answered, errors.Wrapf(err, "send pull request, peer %s", addr)
 		}
-		var cargo Cargo
-		if err := in.Decode(&cargo); err != nil {
-			return answered, errors.Wrapf(err, "pull, peer %s", addr)
+		var resp Cargo
+		if err := decoder.Decode(&resp); err != nil {
+			return answered, errors.Wrapf(err, "read pull response, peer %s", addr)
 		}
-		if err := p.Board.admit(&cargo, p.Peer); err != nil {
-			return false, errors.Wrapf(err, "pull, peer %s", addr)
+		if err := p.Board.checkSystem(&resp, p.Peer); err != nil {
+			return false, errors.Wrapf(err, "check pull response, peer %s", addr)
 		}
-		answered, by, alone = true, cargo.News.By, cargo.Alone
-		if len(p.lives) >= livesMost {
-			clear(p.lives)
+		answered, peerName, isolated = true, resp.News.By, resp.Alone
+		if len(p.peerNames) >= maxPeerNames {
+			clear(p.peerNames)
 		}
 		if p.Kind == "proxy" {
-			p.Board.SetSlackSpent(cargo.SlackSpent)
+			p.Board.SetSlackSpent(resp.SlackSpent)
 		}
 		if p.Answered != nil {
-			p.Answered(addr, &cargo, asked)
+			p.Answered(addr, &resp, requested)
 		}
-		p.lives[addr] = by // a link made anew goes on where this one ends
-		unfit := p.Board.take(&cargo, p.Peer, time.Now())
-		if unfit != nil && cargo.Whole != nil {
-			// It would be sent again with each answer.
-			return false, errors.Wrapf(unfit, "configuration, peer %s", addr)
+		p.peerNames[addr] = peerName // so that the next connection continues where this one ends
+		mergeErr := p.Board.merge(&resp, p.Peer, time.Now())
+		if mergeErr != nil && resp.Whole != nil {
+			// The server would send it again in each response.
+			return false, errors.Wrapf(mergeErr, "read configuration, peer %s", addr)
 		}
-		whole = unfit != nil
-		if mend = nil; cargo.Mend != nil {
-			mend = p.Board.step(cargo.Mend)
-		} else if !cargo.News.More && time.Since(mended) >= mendEvery {
-			mended, mend = time.Now(), p.Board.begin()
+		whole = mergeErr != nil
+		if repair = nil; resp.Mend != nil {
+			repair = p.Board.continueRepair(resp.Mend)
+		} else if !resp.News.More && time.Since(lastRepair) >= repairInterval {
+			lastRepair, repair = time.Now(), p.Board.startRepair()
 		}
-		if cargo.KeptNo != 0 {
-			kept = cargo.KeptNo
+		if resp.KeptNo != 0 {
+			persistedNo = resp.KeptNo
 			if p.Keeps != nil {
-				p.Keeps(addr, cargo.Kept)
+				p.Keeps(addr, resp.Kept)
 			}
 		}
 		if p.Merged != nil {
 			p.Merged()
 		}
-		if alone && p.MoveOn {
-			if tried < stayAfter || waited {
-				return false, errAlone
+		if isolated && p.MoveOn {
+			if failures < stayAfterFailures || waited {
+				return false, errIsolated
 			}
-			waited = true // for one answer
+			waited = true // for one response
 		}
 		if p.Better != nil && p.Better(addr) {
 			return true, nil
@@ -302,29 +307,29 @@
 	}
 }
 
-// risen gives the components that told lacks, and notes them there.
-func risen(v, told registry.Vector) registry.Vector {
+// takeRisen removes the components of v that are not above those already sent, and adds the others to sent.
+func takeRisen(v, sent registry.Vector) registry.Vector {
 	for source, no := range v {
-		if told[source] >= no {
+		if sent[source] >= no {
 			delete(v, source)
 		} else {
-			told[source] = no
+			sent[source] = no
 		}
 	}
 	return v
 }
 
-func (p *Puller) ask(by string, first, whole, alone bool) Ask {
-	a := Ask{Node: p.Node, Life: p.Life, IP: p.IP, Kind: p.Kind, Whole: whole, Alone: alone, Peer: p.Peer}
+func (p *Puller) newRequest(peerName string, first, whole, isolated bool) Ask {
+	req := Ask{Node: p.Node, Life: p.Life, IP: p.IP, Kind: p.Kind, Whole: whole, Alone: isolated, Peer: p.Peer}
 	if p.Say != nil {
-		p.Say(&a, first)
+		p.Say(&req, first)
 	}
 	p.Board.mu.Lock()
 	defer p.Board.mu.Unlock()
-	a.Want, a.Core, a.Mixers = p.Board.registry.PullQuery(by), p.Board.coreSum, p.Board.mixers
-	a.SlackSpent = p.Kind == "proxy" && p.Board.slackSpent
-	if p.Board.doc != nil {
-		a.Version = p.Board.doc.Version
+	req.Want, req.Core, req.Mixers = p.Board.registry.PullQuery(peerName), p.Board.controllersHash, p.Board.mixerCount
+	req.SlackSpent = p.Kind == "proxy" && p.Board.slackSpent
+	if p.Board.document != nil {
+		req.Version = p.Board.document.Version
 	}
-	return a
+	return req
 }
--- a/distribution/system.go
+++ b/distribution/system.go
@@ -2,32 +2,32 @@
 
 import "github.com/go-faster/errors"
 
-// A board belongs to one system, as consensus.SystemID tells systems apart; 0 stands for none yet. News, configurations and lists
-// of another system are refused whole: an address may go to a machine of another one, and versions compare across systems to
-// nothing that has a meaning.
+// A replica belongs to one system, identified by consensus.SystemID; 0 means none yet. A response from another system is refused
+// as a whole: an address may have been reassigned to a machine of another system, and versions of different systems can't be
+// compared.
 
-var errAnotherSystem = errors.New("peer belongs to another system")
+var errForeignSystem = errors.New("peer belongs to another system")
 
-// SetSystem tells the system that this process belongs to; 0 changes nothing.
-func (b *Board) SetSystem(id uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// SetSystem sets the system that this process belongs to; 0 changes nothing.
+func (r *Board) SetSystem(id uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if id != 0 {
-		b.system = id
+		r.system = id
 	}
 }
 
-// admit tells whether an answer may be taken, by the system that it comes from. A process that is told of none belongs to that of
-// the first server that is in touch with its core: one that is not may have the disk of another system.
-func (b *Board) admit(c *Cargo, peer bool) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// checkSystem returns an error if a response comes from another system. A process that belongs to no system yet joins that of
+// the first server in contact with a quorum of controllers; a server without contact may have the disk of another system.
+func (r *Board) checkSystem(resp *Cargo, peer bool) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
-	case c.System == 0 || c.System == b.system:
-	case b.system != 0:
-		return errAnotherSystem
-	case !peer && !c.Alone:
-		b.system = c.System
+	case resp.System == 0 || resp.System == r.system:
+	case r.system != 0:
+		return errForeignSystem
+	case !peer && !resp.Alone:
+		r.system = resp.System
 	}
 	return nil
 }
