--- a/distribution/await_test.go
+++ b/distribution/await_test.go
@@ -10,27 +10,27 @@
 	"peathollow/registry"
 )
 
-// An answer is the sign of life of a link, so news that the asker has already may not put it off.
-func TestNewsForOthersPutsNoAnswerOff(t *testing.T) {
+// The response is the heartbeat of a connection: changes that carry no updates for the client must not delay it beyond maxWait.
+func TestUnrelatedChangesDoNotDelayResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBoard(registry.New(registry.Config{Name: "a", Period: time.Second, Start: time.Now()}))
-		s := Server{Board: b}
+		replica := NewBoard(registry.New(registry.Config{Name: "a", Period: time.Second, Start: time.Now()}))
+		s := Server{Board: replica}
 		ended := make(chan struct{})
-		k := time.NewTicker(maxWait / 2)
-		time.AfterFunc(responseTimeout, k.Stop) // by then the asker has given up
+		ticker := time.NewTicker(maxWait / 2)
+		time.AfterFunc(responseTimeout, ticker.Stop) // by then the client has closed the connection
 		go func() {
 			for {
 				select {
-				case <-k.C:
-					b.With(func(*registry.Registry) bool { return true })
+				case <-ticker.C:
+					replica.With(func(*registry.Registry) bool { return true })
 				case <-ended:
 					return
 				}
 			}
 		}()
-		at := time.Now()
+		start := time.Now()
 		s.longPoll(t.Context(), &Ask{Peer: true})
 		close(ended)
-		must.LessEq(t, maxWait+coalesceDelay, time.Since(at))
+		must.LessEq(t, maxWait+coalesceDelay, time.Since(start))
 	})
 }
--- a/distribution/mixers_test.go
+++ b/distribution/mixers_test.go
@@ -15,17 +15,18 @@
 	"peathollow/registry"
 )
 
-const window = 10 * time.Second
+const chargeLifetime = 10 * time.Second
 
-// TestCountMixers: machines count, not lives, and what is silent counts until the window has passed.
+// TestCountMixers checks that mixers are counted by machine and not by incarnation, and that a silent one counts until
+// chargeLifetime has passed.
 func TestCountMixers(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1e9, 0)
 	r := registry.New(registry.Config{Name: "h", Period: time.Second, Start: now})
 	calls := uint64(0)
-	beat := func(machine, life int, leaving bool) {
+	heartbeat := func(machine, incarnation int, leaving bool) {
 		calls++
-		m := distribution.Mixer{Life: fmt.Sprintf("agent/m%d/%d", machine, life), Zone: "z", Calls: calls, Leaving: leaving,
+		m := distribution.Mixer{Life: fmt.Sprintf("agent/m%d/%d", machine, incarnation), Zone: "z", Calls: calls, Leaving: leaving,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(machine)}), 7084)}
 		must.True(t, r.Heartbeat(now, m.Searcher()).Published)
 		got, ok := distribution.GetMixer(r, m.Life)
@@ -34,28 +35,28 @@
 	}
 	count := func(want int) {
 		t.Helper()
-		must.Eq(t, want, distribution.CountMixers(r, window))
+		must.Eq(t, want, distribution.CountMixers(r, chargeLifetime))
 	}
-	beat(1, 1, false)
-	count(0) // not yet the whole
+	heartbeat(1, 1, false)
+	count(0) // the list is not yet complete
 	for range 8 {
 		now = now.Add(250 * time.Millisecond)
 		r.Tick(now)
 	}
-	beat(2, 1, false)
+	heartbeat(2, 1, false)
 	r.Heartbeat(now, registry.Searcher{ID: "i", Plant: "s", Address: "a", Calls: 1})
 	count(2)
-	beat(1, 2, false) // a restart: the life before is silent at once
+	heartbeat(1, 2, false) // after a restart the former incarnation is silent at once
 	count(2)
-	beat(1, 3, false)
-	count(3) // more than two lives of a machine spend more than its part
-	beat(2, 1, true)
-	count(3) // one that leaves serves on
+	heartbeat(1, 3, false)
+	count(3) // a third incarnation of a machine exceeds its share of the budgets
+	heartbeat(2, 1, true)
+	count(3) // a mixer that leaves keeps serving
 	for range 40 {
 		now = now.Add(250 * time.Millisecond)
 		r.Tick(now)
 	}
-	count(2) // all are silent, but only what is two lives back is past the window
+	count(2) // all are silent, but only the incarnations replaced by restarts have been so for chargeLifetime
 	for range 20 {
 		now = now.Add(250 * time.Millisecond)
 		r.Tick(now)
@@ -63,26 +64,27 @@
 	count(0)
 }
 
-// TestWhoDoesNotCountIsNotAskedOn: a controller counts no mixers; an agent that does must not be answered at once for that.
-func TestWhoDoesNotCountIsNotAskedOn(t *testing.T) {
+// TestUnknownMixerCountDoesNotEndLongPoll guards against a busy loop between an agent and a controller: the controller doesn't count
+// mixers, so its 0 must not count as an update for an agent that does, which would be answered at once each time.
+func TestUnknownMixerCountDoesNotEndLongPoll(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	met := make(chan distribution.Pulse, 9)
-	go (&distribution.Server{Board: newBoard("h", false), Met: func(a *distribution.Ask) { met <- *a.Mixer }}).Serve(ctx, ln)
-	c, err := net.Dial("tcp", ln.Addr().String())
+	received := make(chan distribution.Pulse, 9)
+	go (&distribution.Server{Board: newBoard("h", false), Met: func(req *distribution.Ask) { received <- *req.Mixer }}).Serve(ctx, ln)
+	conn, err := net.Dial("tcp", ln.Addr().String())
 	must.NoError(t, err)
-	defer c.Close()
-	must.NoError(t, c.SetDeadline(time.Now().Add(patience)))
-	out, in := gob.NewEncoder(c), gob.NewDecoder(c)
+	defer conn.Close()
+	must.NoError(t, conn.SetDeadline(time.Now().Add(timeout)))
+	encoder, decoder := gob.NewEncoder(conn), gob.NewDecoder(conn)
 	for i, addr := range []string{"1.2.3.4:5", "", ""} {
-		began := time.Now()
-		must.NoError(t, out.Encode(distribution.Ask{Life: "l", Kind: "agent", Mixers: 7, Want: registry.PullQuery{Name: "l"}, Mixer: &distribution.Pulse{Addr: addr}}))
-		var cargo distribution.Cargo
-		must.NoError(t, in.Decode(&cargo))
-		must.GreaterEq(t, 400*time.Millisecond, time.Since(began), must.Sprint(i))
-		must.Eq(t, "1.2.3.4:5", (<-met).Addr, must.Sprint("it is told once for a link"))
+		start := time.Now()
+		must.NoError(t, encoder.Encode(distribution.Ask{Life: "l", Kind: "agent", Mixers: 7, Want: registry.PullQuery{Name: "l"}, Mixer: &distribution.Pulse{Addr: addr}}))
+		var resp distribution.Cargo
+		must.NoError(t, decoder.Decode(&resp))
+		must.GreaterEq(t, 400*time.Millisecond, time.Since(start), must.Sprint(i))
+		must.Eq(t, "1.2.3.4:5", (<-received).Addr, must.Sprint("the address is sent once for each connection"))
 	}
 }
--- a/distribution/system_test.go
+++ b/distribution/system_test.go
@@ -10,56 +10,58 @@
 	"peathollow/registry"
 )
 
-// TestAnotherSystemIsRefused: an agent that has met its system takes nothing from a controller of another one at an address that
-// it knows, however new, and goes on to one of its own.
-func TestAnotherSystemIsRefused(t *testing.T) {
-	const here, elsewhere = 1, 2
+// TestOtherSystemIsRefused checks that an agent that belongs to a system applies nothing from a controller of another system, not
+// even newer versions, and moves on to a controller of its own. This happens when a known address is reassigned to a machine of
+// another system.
+func TestOtherSystemIsRefused(t *testing.T) {
+	const ownSystem, otherSystem = 1, 2
 	own, other := serve(t, newBoard("own", false), ""), serve(t, newBoard("other", false), "")
-	own.SetSystem(here)
+	own.SetSystem(ownSystem)
 	own.Put(config(t, 3))
-	other.SetSystem(elsewhere)
+	other.SetSystem(otherSystem)
 	other.Put(config(t, 9))
-	other.beat("i-other", 1, registry.Ready)
+	other.heartbeat("i-other", 1, registry.Ready)
 	agent := newBoard("agent", true)
 	var refused atomic.Int32
-	to := make(chan string, 1)
-	to <- own.addr
-	at := own.addr
-	choose := func(tried int) string {
+	next := make(chan string, 1)
+	next <- own.addr
+	addr := own.addr
+	choose := func(failures int) string {
 		select {
-		case at = <-to:
+		case addr = <-next:
 		default:
 		}
-		if tried > 0 {
+		if failures > 0 {
 			return own.addr
 		}
-		return at
+		return addr
 	}
 	pull(t, distribution.Puller{Board: agent, Kind: "agent", Choose: choose, Fault: func(peer string, err error) {
 		if peer == other.addr {
 			refused.Add(1)
 		}
-	}, Better: func(addr string) bool { return addr == own.addr && len(to) > 0 }})
+	}, Better: func(addr string) bool { return addr == own.addr && len(next) > 0 }})
 	eventually(t, func() bool { return version(agent) == 3 })
-	to <- other.addr
-	own.Put(config(t, 4)) // the next answer has it look for a better one
+	next <- other.addr
+	own.Put(config(t, 4)) // its response makes the puller look for a better address
 	eventually(t, func() bool { return refused.Load() > 0 })
 	own.Put(config(t, 5))
-	own.beat("i-own", 1, registry.Ready)
-	eventually(t, isStates(agent, "i-own ready"))
+	own.heartbeat("i-own", 1, registry.Ready)
+	eventually(t, hasStates(agent, "i-own ready"))
 	eventually(t, func() bool { return version(agent) == 5 })
 	must.Eq(t, []string{"i-own ready"}, states(agent))
 }
 
-// TestSystemIsTakenFromAServerInTouch: a process that belongs to no system yet does not join that of a server out of touch.
-func TestSystemIsTakenFromAServerInTouch(t *testing.T) {
-	const here, elsewhere = 1, 2
+// TestIsolatedServerDoesNotSetSystem checks that a process that belongs to no system yet does not join that of an isolated server,
+// whose disk may come from another system.
+func TestIsolatedServerDoesNotSetSystem(t *testing.T) {
+	const ownSystem, otherSystem = 1, 2
 	own, other := serve(t, newBoard("own", false), ""), serve(t, newBoard("other", false), "")
-	own.SetSystem(here)
+	own.SetSystem(ownSystem)
 	own.Put(config(t, 3))
-	other.SetSystem(elsewhere)
+	other.SetSystem(otherSystem)
 	other.SetAlone(true)
 	agent := newBoard("agent", true)
-	pull(t, distribution.Puller{Board: agent, Kind: "agent", Choose: from(other.addr, own.addr), MoveOn: true})
+	pull(t, distribution.Puller{Board: agent, Kind: "agent", Choose: chooseFrom(other.addr, own.addr), MoveOn: true})
 	eventually(t, func() bool { return version(agent) == 3 })
 }
