--- a/agent/agent.go
+++ b/agent/agent.go
@@ -24,7 +24,7 @@
 	set   *settings.Settings
 	log   *log.Logger
 	life  string
-	board *distribution.Board
+	board *distribution.Replica
 	heart *heart
 
 	leaving atomic.Bool
@@ -35,7 +35,7 @@
 // New makes an agent from what it is told.
 func New(s *settings.Settings, life string, l *log.Logger) *Agent {
 	return &Agent{set: s, log: l, life: life, proxies: newProxyLives(retrybudget.ChargeLifetime(s.RetryWindow), time.Now()),
-		board: distribution.NewBoard(registry.New(registry.Config{Name: life, Relay: true, Period: s.BeatPeriod, Start: time.Now()}))}
+		board: distribution.NewReplica(registry.New(registry.Config{Name: life, Relay: true, Period: s.BeatPeriod, Start: time.Now()}))}
 }
 
 // Run serves until ctx ends, and for most of the time of grace after it: the proxy leaves at the same time, and what it
@@ -47,7 +47,7 @@
 	}
 	all, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	s := distribution.Server{Board: a.board, Met: func(ask *distribution.Ask) {
+	s := distribution.Server{Replica: a.board, OnRequest: func(ask *distribution.PullRequest) {
 		now := time.Now()
 		a.proxies.met(now, ask)
 		a.board.SetSlackSpent(a.proxies.slackSpent(now)) // before the answer to ask new life
@@ -59,9 +59,9 @@
 	go a.heart.run(all)
 	go figures.ServeFor(all, a.log, a.set.IP, a.set.Metrics, a.figures)
 	choice := Choice{Set: a.set, Board: a.board, Seeds: seedNews(a.set)}
-	p := distribution.Puller{Board: a.board, Node: a.set.Node, Life: a.life, Kind: "agent", Choose: choice.Choose, MoveOn: true, Better: choice.Better,
-		Say: a.heart.say, Answered: a.link.answered, Network: keepalive.TCP{Relay: a.set.Relay, From: a.set.Node},
-		Fault: func(peer string, err error) {
+	p := distribution.Puller{Replica: a.board, Node: a.set.Node, Incarnation: a.life, Kind: "agent", Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better,
+		PrepareRequest: a.heart.say, OnResponse: a.link.answered, Network: keepalive.TCP{Relay: a.set.Relay, From: a.set.Node},
+		OnError: func(peer string, err error) {
 			a.link.faults.Add(1)
 			a.log.Warn().Str("event", "link").Str("peer", peer).Err(err).Msg("")
 		}}
@@ -77,11 +77,11 @@
 func (a *Agent) tick(ctx context.Context) {
 	periodic.Each(ctx, a.set.BeatPeriod/2, func() {
 		n := 0
-		a.board.With(func(r *registry.Registry) bool {
+		a.board.WithRegistry(func(r *registry.Registry) bool {
 			n = distribution.CountMixers(r, retrybudget.ChargeLifetime(a.set.RetryWindow))
 			return r.Tick(time.Now())
 		})
-		a.board.SetMixers(n)
+		a.board.SetMixerCount(n)
 		a.board.SetSlackSpent(a.proxies.slackSpent(time.Now()))
 	})
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -33,15 +33,15 @@
 type shore struct {
 	t     *testing.T
 	set   *settings.Settings
-	addr  func(n int) string  // of controller n
-	proxy *distribution.Board // what the proxy holds
+	addr  func(n int) string    // of controller n
+	proxy *distribution.Replica // what the proxy holds
 	stop  context.CancelFunc
 	done  chan error
 }
 
 type berth struct {
-	*distribution.Board
-	asked chan distribution.Ask
+	*distribution.Replica
+	asked chan distribution.PullRequest
 	end   func()
 }
 
@@ -105,12 +105,12 @@
 }
 
 // newProxySide starts a proxy's side, which holds nothing.
-func (s *shore) newProxySide() *distribution.Board { return s.proxySide("q") }
+func (s *shore) newProxySide() *distribution.Replica { return s.proxySide("q") }
 
 // proxySide does so for one life of the proxy.
-func (s *shore) proxySide(life string) *distribution.Board {
-	b := distribution.NewBoard(registry.New(registry.Config{Name: fmt.Sprint("proxy-", time.Now().UnixNano()), Relay: true, Period: time.Second, Start: time.Now()}))
-	p := distribution.Puller{Board: b, Life: life, Kind: "proxy", Choose: func(int) string { return proxy.AgentPort(s.set) }}
+func (s *shore) proxySide(life string) *distribution.Replica {
+	b := distribution.NewReplica(registry.New(registry.Config{Name: fmt.Sprint("proxy-", time.Now().UnixNano()), Relay: true, Period: time.Second, Start: time.Now()}))
+	p := distribution.Puller{Replica: b, Incarnation: life, Kind: "proxy", Choose: func(int) string { return proxy.AgentPort(s.set) }}
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { p.Run(ctx) })
@@ -120,13 +120,13 @@
 
 // controller starts one that serves.
 func (s *shore) controller(n int, life string) *berth {
-	b := &berth{Board: distribution.NewBoard(registry.New(registry.Config{Name: life, Period: time.Second, Start: time.Now()})), asked: make(chan distribution.Ask, 10_000)}
+	b := &berth{Replica: distribution.NewReplica(registry.New(registry.Config{Name: life, Period: time.Second, Start: time.Now()})), asked: make(chan distribution.PullRequest, 10_000)}
 	ln, err := net.Listen("tcp", s.addr(n))
 	must.NoError(s.t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- (&distribution.Server{Board: b.Board, Met: func(a *distribution.Ask) { b.asked <- *a }}).Serve(ctx, ln)
+		done <- (&distribution.Server{Replica: b.Replica, OnRequest: func(a *distribution.PullRequest) { b.asked <- *a }}).Serve(ctx, ln)
 	}()
 	b.end = sync.OnceFunc(func() { stop(); must.NoError(s.t, <-done) })
 	s.t.Cleanup(b.end)
@@ -134,7 +134,7 @@
 }
 
 func (b *berth) beat(id string) {
-	b.With(func(r *registry.Registry) bool {
+	b.WithRegistry(func(r *registry.Registry) bool {
 		r.Heartbeat(time.Now(), registry.Searcher{ID: id, Plant: "s", Address: "127.0.0.1:9", Calls: 1})
 		return true
 	})
@@ -152,7 +152,7 @@
 }
 
 // holds tells whether a board has a version at least, and searchers.
-func holds(b *distribution.Board, version uint64, ids ...string) func() bool {
+func holds(b *distribution.Replica, version uint64, ids ...string) func() bool {
 	return func() bool {
 		var have []string
 		for _, e := range b.Entries() {
@@ -164,14 +164,14 @@
 }
 
 // next waits for an ask of the agent.
-func (b *berth) next(t *testing.T) distribution.Ask {
+func (b *berth) next(t *testing.T) distribution.PullRequest {
 	t.Helper()
 	select {
 	case a := <-b.asked:
 		return a
 	case <-time.After(patience):
 		t.Fatal("nobody asks")
-		return distribution.Ask{}
+		return distribution.PullRequest{}
 	}
 }
 
@@ -180,32 +180,32 @@
 func TestFeeds(t *testing.T) {
 	t.Parallel()
 	s := newShore(t)
-	core := []distribution.Place{{Addr: s.addr(1), Zone: "here"}, {Addr: s.addr(2), Zone: "there"}}
+	core := []distribution.Location{{Addr: s.addr(1), Zone: "here"}, {Addr: s.addr(2), Zone: "there"}}
 	seed, near, mid := s.controller(0, "h0"), s.controller(1, "h1"), s.controller(2, "h2")
 	for _, h := range []*berth{seed, near, mid} {
-		h.SetCore(core)
-		h.Put(s.config(3))
+		h.SetControllers(core)
+		h.SetDocument(s.config(3))
 	}
 	seed.beat("i0")
 	s.eventually(holds(s.proxy, 3, "i0"))
 	must.Eq(t, "agent", seed.next(t).Kind)
 
-	seed.SetAlone(true) // the nearest that it told of is next
+	seed.SetIsolated(true) // the nearest that it told of is next
 	near.beat("i1")
 	s.eventually(holds(s.proxy, 3, "i0", "i1"))
 	near.end()
 	mid.beat("i2")
-	mid.Put(s.config(4))
+	mid.SetDocument(s.config(4))
 	s.eventually(holds(s.proxy, 4, "i0", "i1", "i2"))
 
 	s.stop() // the agent's next life knows nothing but the seed, which is behind
 	s.ended()
-	seed.SetAlone(false) // before it is asked: an agent that finds it alone goes on to the others, which lack i3
+	seed.SetIsolated(false) // before it is asked: an agent that finds it alone goes on to the others, which lack i3
 	seed.beat("i3")
 	s.start("agent-2")
 	s.eventually(holds(s.proxy, 4, "i3"))
-	seed.Put(s.config(5))
-	mid.Put(s.config(5)) // controllers share it, and the agent prefers those of the core after a while
+	seed.SetDocument(s.config(5))
+	mid.SetDocument(s.config(5)) // controllers share it, and the agent prefers those of the core after a while
 	s.eventually(holds(s.proxy, 5))
 	s.eventually(holds(s.newProxySide(), 5, "i3")) // and so does a proxy's
 }
@@ -216,8 +216,8 @@
 	s := newShore(t)
 	seed, near := s.controller(0, "h0"), s.controller(1, "h1")
 	for _, h := range []*berth{seed, near} {
-		h.SetCore([]distribution.Place{{Addr: s.addr(0), Zone: "far"}, {Addr: s.addr(1), Zone: "here"}})
-		h.Put(s.config(1))
+		h.SetControllers([]distribution.Location{{Addr: s.addr(0), Zone: "far"}, {Addr: s.addr(1), Zone: "here"}})
+		h.SetDocument(s.config(1))
 	}
 	must.Eq(t, "agent", seed.next(t).Kind)
 	must.Eq(t, "front", near.next(t).Node)
@@ -231,11 +231,11 @@
 	t.Parallel()
 	s := newShore(t)
 	h := s.controller(0, "h0")
-	h.Put(s.config(1))
+	h.SetDocument(s.config(1))
 	s.eventually(holds(s.proxy, 1))
 	began := time.Now()
 	s.stop()
-	h.Put(s.config(2))
+	h.SetDocument(s.config(2))
 	h.beat("i")
 	s.eventually(holds(s.proxy, 2, "i"))
 	s.ended()
@@ -247,14 +247,14 @@
 	t.Parallel()
 	s := newShore(t)
 	h := s.controller(0, "h0")
-	h.Put(s.config(7))
+	h.SetDocument(s.config(7))
 	h.beat("i")
 	s.eventually(holds(s.proxy, 7, "i"))
 	h.end()
 	again := s.controller(0, "h0-2")
 	must.Eq(t, 7, again.next(t).Version)
 	must.True(t, holds(s.proxy, 7, "i")())
-	again.Put(s.config(8))
+	again.SetDocument(s.config(8))
 	s.eventually(holds(s.proxy, 8, "i"))
 }
 
@@ -265,11 +265,11 @@
 	t.Parallel()
 	s := newShore(t)
 	h := s.controller(0, "h0")
-	h.With(func(r *registry.Registry) bool {
-		r.Heartbeat(time.Now(), (&distribution.Mixer{Life: "agent/front/1", Calls: 1}).Searcher())
+	h.WithRegistry(func(r *registry.Registry) bool {
+		r.Heartbeat(time.Now(), (&distribution.Mixer{Incarnation: "agent/front/1", Calls: 1}).Searcher())
 		return true
 	})
-	h.Put(s.config(1))
+	h.SetDocument(s.config(1))
 	s.eventually(holds(s.proxy, 1))
 	must.False(t, s.proxy.SlackSpent())
 	for _, life := range []string{"second", "third"} {
--- a/agent/choice.go
+++ b/agent/choice.go
@@ -15,7 +15,7 @@
 // Choice says which controller to pull from, for a distribution.Puller. It is used by that one alone, from one goroutine.
 type Choice struct {
 	Set   *settings.Settings
-	Board *distribution.Board
+	Board *distribution.Replica
 	Seeds []string // where the seeds' controllers serve news
 
 	since time.Time // when the link was last chosen
@@ -35,8 +35,8 @@
 // own, so that agents spread; then the seeds, in case all that were known are gone.
 func (c *Choice) Choose(tried int) string {
 	c.since = time.Now()
-	places := slices.Clone(c.Board.Core())
-	slices.SortFunc(places, func(a, b distribution.Place) int {
+	places := slices.Clone(c.Board.Controllers())
+	slices.SortFunc(places, func(a, b distribution.Location) int {
 		return cmp.Or(cmp.Compare(c.far(a), c.far(b)), cmp.Compare(c.mark(a.Addr), c.mark(b.Addr)))
 	})
 	var addrs []string
@@ -56,7 +56,7 @@
 	return addrs[tried%len(addrs)]
 }
 
-func (c *Choice) far(p distribution.Place) int { return c.Set.Far(p.Zone) }
+func (c *Choice) far(p distribution.Location) int { return c.Set.Far(p.Zone) }
 
 // settleFor is how long a link to a far controller is kept before a nearer one is tried: one that was just left for a
 // fault is not returned to at once.
@@ -68,7 +68,7 @@
 		return false
 	}
 	now, best := 3, 3
-	for _, p := range c.Board.Core() {
+	for _, p := range c.Board.Controllers() {
 		best = min(best, c.far(p))
 		if p.Addr == addr {
 			now = c.far(p)
--- a/agent/figures.go
+++ b/agent/figures.go
@@ -20,7 +20,7 @@
 	alone bool
 }
 
-func (l *link) answered(peer string, cargo *distribution.Cargo, _ time.Time) {
+func (l *link) answered(peer string, cargo *distribution.PullResponse, _ time.Time) {
 	l.answers.Add(1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,8 +41,8 @@
 	if doc := a.board.Document(); doc != nil {
 		emit("configuration_version", float64(doc.Version))
 	}
-	emit("mixers_known", float64(a.board.Mixers()))
-	emit("controllers_known", float64(len(a.board.Core())))
+	emit("mixers_known", float64(a.board.MixerCount()))
+	emit("controllers_known", float64(len(a.board.Controllers())))
 	emit("leaving", figures.Truth(a.leaving.Load()))
-	distribution.EmitList(a.board, emit)
+	distribution.EmitListMetrics(a.board, emit)
 }
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -104,14 +104,14 @@
 func (h *heart) know() {
 	var nodes []failuredetector.Node
 	same := false
-	h.agent.board.With(func(r *registry.Registry) bool {
+	h.agent.board.WithRegistry(func(r *registry.Registry) bool {
 		gen := r.Generation()
 		if same = gen == h.gen; same {
 			return false
 		}
 		h.gen = gen
 		for m := range distribution.Mixers(r) {
-			nodes = append(nodes, failuredetector.Node{Incarnation: m.Life, Addr: m.Addr, Zone: m.Zone, Region: h.agent.set.Zones[m.Zone],
+			nodes = append(nodes, failuredetector.Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone, Region: h.agent.set.Zones[m.Zone],
 				Silent: m.Silent, Leaving: m.Leaving})
 		}
 		return false
@@ -127,12 +127,12 @@
 }
 
 // say adds to an ask what a mixer tells of itself and of those that it watches.
-func (h *heart) say(a *distribution.Ask, first bool) {
+func (h *heart) say(a *distribution.PullRequest, first bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	// By time, so that there is room for the beats that a controller gives in our name while we are out of its reach.
 	h.calls = max(h.calls+1, uint64(time.Since(h.start)/time.Microsecond))
-	p := &distribution.Pulse{Calls: h.calls, Leaving: h.agent.leaving.Load(), Missed: h.look.Missed(), Seen: h.look.Seen()}
+	p := &distribution.AgentHeartbeat{Calls: h.calls, Leaving: h.agent.leaving.Load(), Missed: h.look.Missed(), Seen: h.look.Seen()}
 	if first {
 		p.Zone = h.agent.set.Zone
 		if h.me.Addr.IsValid() {
--- a/agent/heartbeat_test.go
+++ b/agent/heartbeat_test.go
@@ -38,11 +38,11 @@
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(holds), wait.Timeout(20*time.Second), wait.Gap(2*time.Millisecond)))
 	}
 	me := &Agent{life: "agent/a/1", set: &settings.Settings{Node: "a", IP: at(1).Addr().String(), Zone: "z", PortFirst: int(at(1).Port()) - portHeartbeat},
-		board: distribution.NewBoard(registry.New(registry.Config{Name: "h", Start: time.Now()}))}
+		board: distribution.NewReplica(registry.New(registry.Config{Name: "h", Start: time.Now()}))}
 	other, stranger := open(2), open(3)
-	me.board.With(func(r *registry.Registry) bool {
+	me.board.WithRegistry(func(r *registry.Registry) bool {
 		for n, life := range []string{me.life, "agent/b/2"} {
-			m := distribution.Mixer{Life: life, Zone: "z", Addr: at(n + 1), Calls: 1}
+			m := distribution.Mixer{Incarnation: life, Zone: "z", Addr: at(n + 1), Calls: 1}
 			r.Heartbeat(time.Now(), m.Searcher())
 		}
 		return true
@@ -66,7 +66,7 @@
 	}
 
 	missed := func() []string {
-		a, b := distribution.Ask{}, distribution.Ask{}
+		a, b := distribution.PullRequest{}, distribution.PullRequest{}
 		h.say(&a, true)
 		h.say(&b, false)
 		must.True(t, a.Mixer.Addr == at(1).String() && a.Mixer.Zone == "z" && b.Mixer.Addr == "" && b.Mixer.Calls > a.Mixer.Calls)
--- a/agent/proxylives.go
+++ b/agent/proxylives.go
@@ -26,7 +26,7 @@
 const livesKept = 64
 
 // met notes an ask of a proxy.
-func (l *proxyLives) met(now time.Time, a *distribution.Ask) {
+func (l *proxyLives) met(now time.Time, a *distribution.PullRequest) {
 	if a.Kind != "proxy" || len(a.Life) > 256 {
 		return
 	}
--- a/controlplane/contact.go
+++ b/controlplane/contact.go
@@ -119,7 +119,7 @@
 		c.contact.confirmed = true
 	}
 	c.mu.Unlock()
-	c.board.SetAlone(!c.inContact()) // wakes those that wait; what they get the board asks at that moment
+	c.board.SetIsolated(!c.inContact()) // wakes those that wait; what they get the board asks at that moment
 }
 
 // inContact tells whether this controller may hand out what it knows.
--- a/controlplane/contact_test.go
+++ b/controlplane/contact_test.go
@@ -23,22 +23,22 @@
 	}
 	m, err := manifest.Parse([]byte(`{"config-version":7,"routes":[],"plants":[]}`))
 	must.NoError(t, err)
-	h.board.Put(m)
-	h.board.SetAlone(false)
+	h.board.SetDocument(m)
+	h.board.SetIsolated(false)
 	return h
 }
 
 // asAgent asks a controller as an agent does.
-func asAgent(t *testing.T, h *Controller) distribution.Cargo {
+func asAgent(t *testing.T, h *Controller) distribution.PullResponse {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	go (&distribution.Server{Board: h.board, Met: h.met}).Serve(t.Context(), ln)
+	go (&distribution.Server{Replica: h.board, OnRequest: h.met}).Serve(t.Context(), ln)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	must.NoError(t, err)
 	defer c.Close()
-	must.NoError(t, gob.NewEncoder(c).Encode(&distribution.Ask{Node: "front-0", Life: "agent/front-0/0", Kind: "agent"}))
-	var cargo distribution.Cargo
+	must.NoError(t, gob.NewEncoder(c).Encode(&distribution.PullRequest{Node: "front-0", Life: "agent/front-0/0", Kind: "agent"}))
+	var cargo distribution.PullResponse
 	must.NoError(t, gob.NewDecoder(c).Decode(&cargo))
 	return cargo
 }
@@ -65,7 +65,7 @@
 	frozen := time.Now().Add(-30 * time.Second)
 	h := inContactSince(t, frozen)
 	for _, ip := range []string{"10.0.0.2", "10.0.0.3"} {
-		h.met(&distribution.Ask{Node: "node of " + ip, Life: "controller/" + ip, IP: ip, Kind: "controller", Peer: true})
+		h.met(&distribution.PullRequest{Node: "node of " + ip, Life: "controller/" + ip, IP: ip, Kind: "controller", Peer: true})
 		h.answers(h.newsAddr(ip), frozen)
 	}
 	must.False(t, h.inTouch())
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -44,7 +44,7 @@
 	log     *log.Logger
 	life    string
 	network keepalive.Network
-	board   *distribution.Board
+	board   *distribution.Replica
 	core    *core
 	store   *storage.Store
 
@@ -123,8 +123,8 @@
 		network: on.Network, plant: on.Plant,
 		sight: sight{lines: logbound.Limiter{PerSecond: refusalLines}, strangers: logbound.Limiter{PerSecond: strangerLines}, calls: map[answered]uint64{}}}
 	c.judge = failuredetector.NewArbiter(failuredetector.ArbiterConfig{Period: s.BeatPeriod})
-	c.board = distribution.NewBoard(registry.New(registry.Config{Name: life, Period: s.BeatPeriod, Start: now}))
-	c.board.SetAlone(true) // until a majority is met
+	c.board = distribution.NewReplica(registry.New(registry.Config{Name: life, Period: s.BeatPeriod, Start: now}))
+	c.board.SetIsolated(true) // until a majority is met
 	store, saved, lost, err := storage.OpenOn(on.Files, s.DataDir)
 	if err != nil {
 		return nil, errors.Wrap(err, "storage")
@@ -147,7 +147,7 @@
 		ackUnsynced: on.Plant.AckUnsynced, sight: &c.sight,
 		calls: make(chan call, 64), writes: make(chan consensus.Write, 4), saved: make(chan uint64, 4), jobs: make(chan func() error, 1),
 		committed: c.committed, changed: c.members}
-	c.board.Guard(c.inContact)
+	c.board.SetContactCheck(c.inContact)
 	c.recall()
 	l.Info().Str("event", "start").Str("id", string(c.core.node.ID())).Bool("remembers", saved != nil).Bool("cold", cold).Msg("")
 	return c, nil
@@ -181,7 +181,7 @@
 	c.core.mail = newMail(ctx, c.network)
 	ended := make(chan error, 2)
 	go receive(ctx, lns[0], c.core.inbox, c.core.mail.heard)
-	news := distribution.Server{Board: c.board, Met: c.met}
+	news := distribution.Server{Replica: c.board, OnRequest: c.met}
 	go news.Serve(ctx, lns[1])
 	go c.serveCalls(ctx, lns[2])
 	go figures.ServeFor(ctx, c.log, c.set.IP, c.set.Metrics, c.figures)
@@ -245,12 +245,12 @@
 		case <-t.C:
 		}
 		alone := !c.renew(ctx)
-		c.board.With(func(r *registry.Registry) bool {
+		c.board.WithRegistry(func(r *registry.Registry) bool {
 			c.adopt(r, alone)
 			revived := c.mind(r, alone)
 			return r.Tick(time.Now()) || revived
 		})
-		c.board.SetAlone(!c.inContact())
+		c.board.SetIsolated(!c.inContact())
 	}
 }
 
@@ -261,7 +261,7 @@
 		c.log.Error().Str("event", "configuration").Uint64("version", d.Version).Err(err).Msg("")
 		return
 	}
-	if c.board.Put(m) {
+	if c.board.SetDocument(m) {
 		c.log.Info().Str("event", "configuration").Uint64("version", d.Version).Int("routes", len(m.Routes)).Msg("")
 	}
 }
@@ -284,7 +284,7 @@
 
 // members has news pulled from each other member, and tells the agents where controllers are.
 func (c *Controller) members(e consensus.Epoch) {
-	var core []distribution.Place
+	var core []distribution.Location
 	want := map[string]bool{}
 	for _, m := range e.Members {
 		host, _, err := net.SplitHostPort(m.Addr)
@@ -292,13 +292,13 @@
 			continue
 		}
 		at := c.newsAddr(host)
-		core = append(core, distribution.Place{Addr: at, Zone: m.Zone, Region: m.Region})
+		core = append(core, distribution.Location{Addr: at, Zone: m.Zone, Region: m.Region})
 		if host != c.set.IP {
 			want[at] = true
 		}
 	}
 	c.board.SetSystem(uint64(e.System))
-	c.board.SetCore(core)
+	c.board.SetControllers(core)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for at, p := range c.pulls {
@@ -314,15 +314,15 @@
 			ctx, stop := context.WithCancel(c.core.mail.ctx)
 			alive := make(chan struct{}, 1)
 			c.pulls[at] = pull{stop, alive}
-			p := distribution.Puller{Board: c.board, Node: c.set.Node, Life: c.life, IP: c.set.IP, Kind: "controller", Peer: true, Say: c.say,
-				Choose: func(int) string { return at }, Answered: func(_ string, _ *distribution.Cargo, asked time.Time) { c.answers(at, asked) }, Keeps: c.keeps, Network: c.network,
+			p := distribution.Puller{Replica: c.board, Node: c.set.Node, Incarnation: c.life, IP: c.set.IP, Kind: "controller", Peer: true, PrepareRequest: c.say,
+				Choose: func(int) string { return at }, OnResponse: func(_ string, _ *distribution.PullResponse, asked time.Time) { c.answers(at, asked) }, OnPersisted: c.keeps, Network: c.network,
 				Alive: alive}
 			go p.Run(ctx)
 		}
 	}
 }
 
-func (c *Controller) met(a *distribution.Ask) {
+func (c *Controller) met(a *distribution.PullRequest) {
 	switch a.Kind {
 	case "agent":
 		c.pulled(a)
--- a/controlplane/doors.go
+++ b/controlplane/doors.go
@@ -96,7 +96,7 @@
 		return fault(http.StatusBadRequest, why)
 	}
 	var b registry.HeartbeatResult
-	c.board.With(func(r *registry.Registry) bool {
+	c.board.WithRegistry(func(r *registry.Registry) bool {
 		b = r.Heartbeat(time.Now(), s)
 		return b.Published
 	})
@@ -125,7 +125,7 @@
 		return []byte("{}")
 	}
 	ips := c.fresh()
-	for _, p := range c.board.Core() {
+	for _, p := range c.board.Controllers() {
 		host, _, err := net.SplitHostPort(p.Addr)
 		if f := c.set.Between(p.Zone, zone); err == nil && f < far && ips[host] {
 			best, far = host, f
@@ -143,7 +143,7 @@
 	if distribution.Reserved(r.PathValue("id")) {
 		return fault(http.StatusBadRequest, "id: not a searcher's")
 	}
-	c.board.With(func(ro *registry.Registry) bool {
+	c.board.WithRegistry(func(ro *registry.Registry) bool {
 		b = ro.Leave(time.Now(), r.PathValue("id"))
 		return b.Published
 	})
@@ -163,7 +163,7 @@
 	if !c.known(ctx, b.Vector()) {
 		return fault(http.StatusServiceUnavailable, "too few of the core know"), true
 	}
-	c.board.With(func(r *registry.Registry) bool {
+	c.board.WithRegistry(func(r *registry.Registry) bool {
 		e, held := r.Get(id)
 		invariant.Check(invariant.LeaveRecorded, held && e.State >= leaves, "searcher %s leaves as %v, listed: %v, as %v", id, leaves, held, e.State)
 		return false
--- a/controlplane/drains.go
+++ b/controlplane/drains.go
@@ -43,7 +43,7 @@
 
 // onDisks tells whether a majority of the members holds on disk what v names.
 func (c *Controller) onDisks(v registry.Vector) bool {
-	e, own := c.core.members(), c.board.Kept()
+	e, own := c.core.members(), c.board.Persisted()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return quorumByIP(e, func(id consensus.ID, ip string) bool {
--- a/controlplane/drains_test.go
+++ b/controlplane/drains_test.go
@@ -42,7 +42,7 @@
 	h := stopped(t, 5)
 	news := registry.Vector{"controller/core-0/0": 4}
 	must.False(t, h.onDisks(news))
-	h.board.SetKept(news)
+	h.board.SetPersisted(news)
 	for _, ip := range []string{"10.0.0.8", "10.0.0.9", "10.0.0.10"} { // members of an epoch that is over
 		h.keeps(h.newsAddr(ip), news)
 	}
@@ -68,7 +68,7 @@
 func TestDrainNeedsTheMembersDisk(t *testing.T) {
 	h := stopped(t, 3)
 	news := registry.Vector{"s": 1}
-	h.board.SetKept(news)
+	h.board.SetPersisted(news)
 	h.keeps(h.newsAddr("10.0.0.2"), news)
 	must.True(t, h.onDisks(news))
 	h.core.epoch.Members[0].ID = "the disk that was here before"
@@ -83,7 +83,7 @@
 	defer stop()
 	h.running.Go(func() { h.core.write(ctx) })
 	var news registry.Vector
-	h.board.With(func(r *registry.Registry) bool {
+	h.board.WithRegistry(func(r *registry.Registry) bool {
 		for i := range 3*entriesMost + 1 {
 			s := registry.Searcher{ID: fmt.Sprint("s", i), Plant: "p", Address: fmt.Sprint("10.8.0.1:", i+1), Calls: 1}
 			if i == 0 {
--- a/controlplane/leave_test.go
+++ b/controlplane/leave_test.go
@@ -45,7 +45,7 @@
 	})
 	t.Run("full", func(t *testing.T) {
 		h := alone(t)
-		h.board.With(func(r *registry.Registry) bool {
+		h.board.WithRegistry(func(r *registry.Registry) bool {
 			for i := 0; ; i++ {
 				s := registry.Searcher{ID: fmt.Sprint("s", i), Plant: "p", Address: fmt.Sprint("10.8.0.2:", i), Calls: 1}
 				if r.Heartbeat(time.Now(), s).Refused {
--- a/controlplane/memory.go
+++ b/controlplane/memory.go
@@ -23,13 +23,13 @@
 	doc, entries := c.store.Remembered()
 	if doc != nil {
 		if m, err := open(doc.Body); err == nil {
-			c.board.Put(m)
+			c.board.SetDocument(m)
 			c.recalled.Store(m.Version)
 		} else {
 			c.log.Error().Str("event", "recall").Err(err).Msg("")
 		}
 	}
-	c.board.With(func(r *registry.Registry) bool {
+	c.board.WithRegistry(func(r *registry.Registry) bool {
 		r.Restore(time.Now(), entries)
 		return len(entries) > 0
 	})
@@ -96,7 +96,7 @@
 func (c *Controller) keep(ctx context.Context, m *memory) bool {
 	var d registry.Delta
 	var held registry.Vector
-	c.board.With(func(r *registry.Registry) bool {
+	c.board.WithRegistry(func(r *registry.Registry) bool {
 		m.want.By = r.Name()
 		d, held = r.Since(m.want, entriesMost), r.Vector()
 		return false
@@ -133,7 +133,7 @@
 	}
 	if m.waits && !d.More {
 		m.waits = false
-		c.board.SetKept(held)
+		c.board.SetPersisted(held)
 		c.tellKept()
 	}
 	return true
--- a/controlplane/mixers.go
+++ b/controlplane/mixers.go
@@ -27,12 +27,12 @@
 }
 
 // pulled takes in an agent's ask.
-func (c *Controller) pulled(a *distribution.Ask) {
+func (c *Controller) pulled(a *distribution.PullRequest) {
 	if a.Mixer == nil || a.Life == "" || len(a.Life) > 256 {
 		return
 	}
 	now := time.Now()
-	m := distribution.Mixer{Life: a.Life, Zone: a.Mixer.Zone, Leaving: a.Mixer.Leaving, Calls: a.Mixer.Calls}
+	m := distribution.Mixer{Incarnation: a.Life, Zone: a.Mixer.Zone, Leaving: a.Mixer.Leaving, Calls: a.Mixer.Calls}
 	m.Addr, _ = netip.ParseAddrPort(a.Mixer.Addr)
 	c.mu.Lock()
 	c.judge.ReceivePull(now, a.Life, a.Mixer.Missed, a.Mixer.Seen)
@@ -44,7 +44,7 @@
 	f.at, f.version, f.calls = now, a.Version, max(f.calls, m.Calls)
 	c.mu.Unlock()
 	var b registry.HeartbeatResult
-	c.board.With(func(r *registry.Registry) bool {
+	c.board.WithRegistry(func(r *registry.Registry) bool {
 		b = r.Heartbeat(now, m.Searcher())
 		return b.Published
 	})
@@ -54,7 +54,7 @@
 }
 
 // say tells another controller of the mixers that pull here.
-func (c *Controller) say(a *distribution.Ask, _ bool) {
+func (c *Controller) say(a *distribution.PullRequest, _ bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.judge.WatchReport(time.Now()); len(w.Missed)+len(w.Seen)+len(w.Unheard) > 0 {
@@ -79,7 +79,7 @@
 		if m, ok := distribution.GetMixer(r, c.nodes[i].Incarnation); !ok {
 			continue
 		} else if m.Source == c.life || !alone && !live[m.Source] {
-			minded = append(minded, failuredetector.Monitored{Incarnation: m.Life, Silent: m.Silent, Leaving: m.Leaving})
+			minded = append(minded, failuredetector.Monitored{Incarnation: m.Incarnation, Silent: m.Silent, Leaving: m.Leaving})
 		}
 	}
 	for _, life := range c.judge.Tick(now, minded) {
@@ -134,7 +134,7 @@
 func (c *Controller) listed(r *registry.Registry) []failuredetector.Node {
 	var nodes []failuredetector.Node
 	for m := range distribution.Mixers(r) {
-		nodes = append(nodes, failuredetector.Node{Incarnation: m.Life, Addr: m.Addr, Zone: m.Zone, Region: c.set.Zones[m.Zone],
+		nodes = append(nodes, failuredetector.Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone, Region: c.set.Zones[m.Zone],
 			Silent: m.Silent, Leaving: m.Leaving})
 	}
 	return nodes
@@ -143,7 +143,7 @@
 // mixers tells how many mixers budgets reckon with, and which machines' are silent.
 func (c *Controller) mixers() (n int, silent []string) {
 	heard := map[string]bool{}
-	c.board.With(func(r *registry.Registry) bool {
+	c.board.WithRegistry(func(r *registry.Registry) bool {
 		n = distribution.CountMixers(r, retrybudget.ChargeLifetime(c.set.RetryWindow))
 		for m := range distribution.Mixers(r) {
 			if !m.Silent {
--- a/controlplane/sight.go
+++ b/controlplane/sight.go
@@ -97,7 +97,7 @@
 	emit("controllers_pulling", float64(len(c.peers)))
 	emit("orders_in_hand", float64(len(c.orders)))
 	c.mu.Unlock()
-	distribution.EmitList(c.board, emit)
+	distribution.EmitListMetrics(c.board, emit)
 	c.sight.mu.Lock()
 	defer c.sight.mu.Unlock()
 	for a, n := range c.sight.calls {
--- a/controlplane/simulation/check.go
+++ b/controlplane/simulation/check.go
@@ -87,7 +87,7 @@
 // are listed.
 func (w *World) checkList(f *front, now time.Time) {
 	var listed map[string]registry.State
-	f.proxy.board.With(func(r *registry.Registry) bool {
+	f.proxy.board.WithRegistry(func(r *registry.Registry) bool {
 		listed = map[string]registry.State{}
 		for e := range r.Service("p") {
 			listed[e.ID] = e.State
--- a/controlplane/simulation/front.go
+++ b/controlplane/simulation/front.go
@@ -26,7 +26,7 @@
 // relay is a process that holds news.
 type relay struct {
 	host    *simnet.Host
-	board   *distribution.Board
+	board   *distribution.Replica
 	stop    context.CancelFunc
 	started time.Time
 	version uint64 // of the configuration, as last seen
@@ -59,7 +59,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	now := time.Now()
 	*r = relay{host: w.net.Start(ip), stop: stop, started: now,
-		board: distribution.NewBoard(registry.New(registry.Config{Name: fmt.Sprintf("%s-%d/%d", name, f.no, now.UnixNano()), Relay: true,
+		board: distribution.NewReplica(registry.New(registry.Config{Name: fmt.Sprintf("%s-%d/%d", name, f.no, now.UnixNano()), Relay: true,
 			Period: beatPeriod, Start: now}))}
 	f.disturbed = now
 	return ctx
@@ -74,7 +74,7 @@
 	if err != nil {
 		return
 	}
-	server := distribution.Server{Board: r.board}
+	server := distribution.Server{Replica: r.board}
 	w.work.Go(func() { server.Serve(ctx, ln) })
 	var seeds []string
 	for _, seed := range s.Seeds {
@@ -83,11 +83,11 @@
 	}
 	choice := agent.Choice{Set: s, Board: r.board, Seeds: seeds}
 	calls := uint64(0)
-	p := distribution.Puller{Board: r.board, Node: s.Node, Life: fmt.Sprint("agent/", f.no, "/", r.started.UnixNano()), Kind: "agent",
-		Choose: choice.Choose, MoveOn: true, Better: choice.Better, Network: r.host,
-		Say: func(a *distribution.Ask, _ bool) {
+	p := distribution.Puller{Replica: r.board, Node: s.Node, Incarnation: fmt.Sprint("agent/", f.no, "/", r.started.UnixNano()), Kind: "agent",
+		Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better, Network: r.host,
+		PrepareRequest: func(a *distribution.PullRequest, _ bool) {
 			calls++
-			a.Mixer = &distribution.Pulse{Calls: calls}
+			a.Mixer = &distribution.AgentHeartbeat{Calls: calls}
 		}}
 	w.work.Go(func() { p.Run(ctx) })
 	w.tickBoard(ctx, r.board)
@@ -98,16 +98,16 @@
 func (w *World) startProxy(f *front) {
 	ctx := w.begin(f, &f.proxy, proxyIP(f.no), "proxy")
 	r := f.proxy
-	p := distribution.Puller{Board: r.board, Node: fmt.Sprint("front-", f.no), Life: fmt.Sprint("proxy/", f.no, "/", r.started.UnixNano()), Kind: "proxy",
+	p := distribution.Puller{Replica: r.board, Node: fmt.Sprint("front-", f.no), Incarnation: fmt.Sprint("proxy/", f.no, "/", r.started.UnixNano()), Kind: "proxy",
 		Choose: func(int) string { return agentAddr(f.no) }, Network: r.host}
 	w.work.Go(func() { p.Run(ctx) })
 	w.tickBoard(ctx, r.board)
 }
 
-func (w *World) tickBoard(ctx context.Context, b *distribution.Board) {
+func (w *World) tickBoard(ctx context.Context, b *distribution.Replica) {
 	w.work.Go(func() {
 		periodic.Each(ctx, beatPeriod/2, func() {
-			b.With(func(r *registry.Registry) bool { return r.Tick(time.Now()) })
+			b.WithRegistry(func(r *registry.Registry) bool { return r.Tick(time.Now()) })
 		})
 	})
 }
--- a/distribution/await_test.go
+++ b/distribution/await_test.go
@@ -13,8 +13,8 @@
 // The response is the heartbeat of a connection: changes that carry no updates for the client must not delay it beyond maxWait.
 func TestUnrelatedChangesDoNotDelayResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		replica := NewBoard(registry.New(registry.Config{Name: "a", Period: time.Second, Start: time.Now()}))
-		s := Server{Board: replica}
+		replica := NewReplica(registry.New(registry.Config{Name: "a", Period: time.Second, Start: time.Now()}))
+		s := Server{Replica: replica}
 		ended := make(chan struct{})
 		ticker := time.NewTicker(maxWait / 2)
 		time.AfterFunc(responseTimeout, ticker.Stop) // by then the client has closed the connection
@@ -22,14 +22,14 @@
 			for {
 				select {
 				case <-ticker.C:
-					replica.With(func(*registry.Registry) bool { return true })
+					replica.WithRegistry(func(*registry.Registry) bool { return true })
 				case <-ended:
 					return
 				}
 			}
 		}()
 		start := time.Now()
-		s.longPoll(t.Context(), &Ask{Peer: true})
+		s.longPoll(t.Context(), &PullRequest{Peer: true})
 		close(ended)
 		must.LessEq(t, maxWait+coalesceDelay, time.Since(start))
 	})
--- a/distribution/dial.go
+++ b/distribution/dial.go
@@ -18,7 +18,7 @@
 	maxParallelDials = 3
 )
 
-// errUnreachable is returned after the error of each address has been reported to Puller.Fault.
+// errUnreachable is returned after the error of each address has been reported to Puller.OnError.
 var errUnreachable = errors.New("dial: no address answers")
 
 type dialResult struct {
@@ -64,8 +64,8 @@
 				go closeRemaining(results, pending)
 				return last, nil
 			}
-			if p.Fault != nil && ctx.Err() == nil {
-				p.Fault(last.addr, errors.Wrapf(last.err, "dial, peer %s", last.addr))
+			if p.OnError != nil && ctx.Err() == nil {
+				p.OnError(last.addr, errors.Wrapf(last.err, "dial, peer %s", last.addr))
 			}
 		case <-t.C:
 		}
--- a/distribution/doc.go
+++ b/distribution/doc.go
@@ -4,6 +4,6 @@
 // The same protocol, gob over TCP, runs between controllers, from a controller to an agent and over loopback from an agent to
 // its proxy.
 //
-// The package transfers data and bounds its size; the packages registry and manifest decide which version is newer. Board is
-// the copy of the shared state that one process holds. Nothing here is written to disk.
+// The package transfers data and bounds its size; the packages registry and manifest decide which version is newer. Replica
+// is the copy of the shared state that one process holds. Nothing here is written to disk.
 package distribution
--- a/distribution/metrics.go
+++ b/distribution/metrics.go
@@ -5,11 +5,11 @@
 	"peathollow/registry"
 )
 
-// EmitList emits the metrics of the list of searchers that a replica holds.
-func EmitList(replica *Board, emit figures.Emit) {
+// EmitListMetrics emits the metrics of the list of searchers that a replica holds.
+func EmitListMetrics(replica *Replica, emit figures.Emit) {
 	var listed, silent, draining int
 	var complete bool
-	replica.With(func(r *registry.Registry) bool {
+	replica.WithRegistry(func(r *registry.Registry) bool {
 		complete = r.Complete()
 		for e := range r.All() {
 			if Reserved(e.Plant) {
--- a/distribution/mixers.go
+++ b/distribution/mixers.go
@@ -23,28 +23,28 @@
 
 // Mixer describes one incarnation of a mixer in the list.
 type Mixer struct {
-	Life, Zone string
-	Addr       netip.AddrPort // receives heartbeats
-	Silent     bool
-	Leaving    bool
-	Source     string
-	Calls      uint64
-	Age        time.Duration // since it became silent
+	Incarnation, Zone string
+	Addr              netip.AddrPort // receives heartbeats
+	Silent            bool
+	Leaving           bool
+	Source            string
+	Calls             uint64
+	Age               time.Duration // since it became silent
 }
 
 // Machine returns the machine's name in an incarnation's name, which has the form role/machine/nonce. It returns a name of any
 // other form unchanged.
 func (m *Mixer) Machine() string {
-	if parts := strings.Split(m.Life, "/"); len(parts) == 3 {
+	if parts := strings.Split(m.Incarnation, "/"); len(parts) == 3 {
 		return parts[1]
 	}
-	return m.Life
+	return m.Incarnation
 }
 
 // Searcher returns the registry entry of a mixer. A mixer that leaves is Draining and not Gone: it keeps serving during its
 // grace period, and its use of the budgets counts until then.
 func (m *Mixer) Searcher() registry.Searcher {
-	s := registry.Searcher{ID: reservedPrefix + m.Life, Plant: MixerService, Zone: m.Zone, Calls: m.Calls}
+	s := registry.Searcher{ID: reservedPrefix + m.Incarnation, Plant: MixerService, Zone: m.Zone, Calls: m.Calls}
 	if m.Addr.IsValid() {
 		s.Address = m.Addr.String()
 	}
@@ -54,9 +54,9 @@
 	return s
 }
 
-// MixerOf returns the mixer that an entry of MixerService describes.
-func MixerOf(e *registry.Entry) Mixer {
-	m := Mixer{Life: strings.TrimPrefix(e.ID, reservedPrefix), Zone: e.Zone, Silent: e.Silent, Leaving: e.State != registry.Ready,
+// MixerFromEntry returns the mixer that an entry of MixerService describes.
+func MixerFromEntry(e *registry.Entry) Mixer {
+	m := Mixer{Incarnation: strings.TrimPrefix(e.ID, reservedPrefix), Zone: e.Zone, Silent: e.Silent, Leaving: e.State != registry.Ready,
 		Source: e.Source, Calls: e.Calls, Age: e.Age}
 	m.Addr, _ = netip.ParseAddrPort(e.Address)
 	return m
@@ -68,14 +68,14 @@
 	if !ok || e.Plant != MixerService || e.State == registry.Gone {
 		return Mixer{}, false
 	}
-	return MixerOf(&e), true
+	return MixerFromEntry(&e), true
 }
 
 // Mixers yields the listed mixers in the order of their incarnations' names.
 func Mixers(r *registry.Registry) iter.Seq[Mixer] {
 	return func(yield func(Mixer) bool) {
 		for e := range r.Service(MixerService) {
-			if !yield(MixerOf(&e)) {
+			if !yield(MixerFromEntry(&e)) {
 				return
 			}
 		}
--- a/distribution/mixers_test.go
+++ b/distribution/mixers_test.go
@@ -26,12 +26,12 @@
 	calls := uint64(0)
 	heartbeat := func(machine, incarnation int, leaving bool) {
 		calls++
-		m := distribution.Mixer{Life: fmt.Sprintf("agent/m%d/%d", machine, incarnation), Zone: "z", Calls: calls, Leaving: leaving,
+		m := distribution.Mixer{Incarnation: fmt.Sprintf("agent/m%d/%d", machine, incarnation), Zone: "z", Calls: calls, Leaving: leaving,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(machine)}), 7084)}
 		must.True(t, r.Heartbeat(now, m.Searcher()).Published)
-		got, ok := distribution.GetMixer(r, m.Life)
+		got, ok := distribution.GetMixer(r, m.Incarnation)
 		must.True(t, ok)
-		must.Eq(t, distribution.Mixer{Life: m.Life, Zone: "z", Addr: m.Addr, Calls: calls, Leaving: leaving, Source: "h"}, got)
+		must.Eq(t, distribution.Mixer{Incarnation: m.Incarnation, Zone: "z", Addr: m.Addr, Calls: calls, Leaving: leaving, Source: "h"}, got)
 	}
 	count := func(want int) {
 		t.Helper()
@@ -64,16 +64,16 @@
 	count(0)
 }
 
-// TestUnknownMixerCountDoesNotEndLongPoll guards against a busy loop between an agent and a controller: the controller doesn't count
-// mixers, so its 0 must not count as an update for an agent that does, which would be answered at once each time.
+// TestUnknownMixerCountDoesNotEndLongPoll guards against a busy loop between an agent and a controller: the controller doesn't
+// count mixers, and its 0 must not be an update for an agent that does, since each of its requests would be answered at once.
 func TestUnknownMixerCountDoesNotEndLongPoll(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	received := make(chan distribution.Pulse, 9)
-	go (&distribution.Server{Board: newBoard("h", false), Met: func(req *distribution.Ask) { received <- *req.Mixer }}).Serve(ctx, ln)
+	received := make(chan distribution.AgentHeartbeat, 9)
+	go (&distribution.Server{Replica: newBoard("h", false), OnRequest: func(req *distribution.PullRequest) { received <- *req.Mixer }}).Serve(ctx, ln)
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	must.NoError(t, err)
 	defer conn.Close()
@@ -81,8 +81,8 @@
 	encoder, decoder := gob.NewEncoder(conn), gob.NewDecoder(conn)
 	for i, addr := range []string{"1.2.3.4:5", "", ""} {
 		start := time.Now()
-		must.NoError(t, encoder.Encode(distribution.Ask{Life: "l", Kind: "agent", Mixers: 7, Want: registry.PullQuery{Name: "l"}, Mixer: &distribution.Pulse{Addr: addr}}))
-		var resp distribution.Cargo
+		must.NoError(t, encoder.Encode(distribution.PullRequest{Life: "l", Kind: "agent", Mixers: 7, Want: registry.PullQuery{Name: "l"}, Mixer: &distribution.AgentHeartbeat{Addr: addr}}))
+		var resp distribution.PullResponse
 		must.NoError(t, decoder.Decode(&resp))
 		must.GreaterEq(t, 400*time.Millisecond, time.Since(start), must.Sprint(i))
 		must.Eq(t, "1.2.3.4:5", (<-received).Addr, must.Sprint("the address is sent once for each connection"))
--- a/distribution/pull.go
+++ b/distribution/pull.go
@@ -33,8 +33,8 @@
 	maxBackoff      = 500 * time.Millisecond
 )
 
-// Ask is a pull request. It describes the client and what the client already holds.
-type Ask struct {
+// PullRequest asks a server for updates. It describes the client and what the client already holds.
+type PullRequest struct {
 	Node    string // the client's machine
 	Life    string // and incarnation
 	IP      string // of a controller
@@ -48,14 +48,14 @@
 	SlackSpent bool
 	Alone      bool // the last response on this connection came from an isolated server
 	Peer       bool // the client is a controller, which learns the list of controllers from consensus
-	Mend       *Mend
+	Mend       *Repair
 	Kept       uint64                       // from a controller: the last KeptNo that it received on this connection
-	Mixer      *Pulse                       // from an agent
+	Mixer      *AgentHeartbeat              // from an agent
 	Word       *failuredetector.WatchReport // from a controller, about the mixers that pull from it
 }
 
-// Pulse is an agent's heartbeat, with its reports on the mixers that it watches.
-type Pulse struct {
+// AgentHeartbeat carries the state of an agent and its reports on the mixers that it watches.
+type AgentHeartbeat struct {
 	// Addr and Zone are sent with the first request of a connection; the server remembers them for the others.
 	Addr, Zone string
 	// Calls rises with each request of an incarnation, whichever controller it is sent to.
@@ -64,19 +64,19 @@
 	Missed, Seen []string // incarnations; see failuredetector
 }
 
-// Cargo is a pull response: the updates that the client lacks.
-type Cargo struct {
+// PullResponse carries the updates that the client lacks.
+type PullResponse struct {
 	System  uint64 // of the server
 	News    registry.Delta
 	Version uint64
 	Whole   []byte          // a configuration, packed
 	Patch   *manifest.Patch // or a patch from the client's version to it
-	Core    []Place
+	Core    []Location
 	Mixers  int
-	// SlackSpent is sent by an agent to its proxy; see Board.SetSlackSpent.
+	// SlackSpent is sent by an agent to its proxy; see Replica.SetSlackSpent.
 	SlackSpent bool
 	Alone      bool // the server has no contact with a quorum of controllers
-	Mend       *Mend
+	Mend       *Repair
 	// Kept covers the updates that the disk of the server, a controller, holds; KeptNo rises with each change of it and is 0
 	// if nothing has changed.
 	Kept   registry.Vector
@@ -85,11 +85,11 @@
 
 // Server answers pull requests from a replica.
 type Server struct {
-	Board *Board
-	// Met is called with each request before it is answered; may be nil. Left is called with the last request of a connection
-	// when that has ended; may be nil.
-	Met  func(req *Ask)
-	Left func(req *Ask)
+	Replica *Replica
+	// OnRequest is called with each request before it is answered, OnDisconnect with the last request of a connection when that
+	// has ended. Both may be nil.
+	OnRequest    func(req *PullRequest)
+	OnDisconnect func(req *PullRequest)
 }
 
 // Serve accepts and serves connections until ctx ends.
@@ -103,17 +103,17 @@
 	received := false
 	have := registry.Vector{}
 	addr, zone := "", ""
-	var req Ask
+	var req PullRequest
 	defer func() {
-		if received && s.Left != nil {
-			s.Left(&req)
+		if received && s.OnDisconnect != nil {
+			s.OnDisconnect(&req)
 		}
 	}()
 	for {
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		var next Ask
+		var next PullRequest
 		if err := decoder.Decode(&next); err != nil {
-			return // Left is called with the last complete request
+			return // OnDisconnect is called with the last complete request
 		}
 		req = next
 		// A request carries only the components that have risen since the one before.
@@ -127,8 +127,8 @@
 			}
 			req.Mixer.Addr, req.Mixer.Zone = addr, zone
 		}
-		if received = true; s.Met != nil {
-			s.Met(&req)
+		if received = true; s.OnRequest != nil {
+			s.OnRequest(&req)
 		}
 		resp := s.longPoll(ctx, &req)
 		c.SetWriteDeadline(time.Now().Add(3 * time.Second))
@@ -139,8 +139,8 @@
 }
 
 // longPoll returns a response as soon as there are updates, or after maxWait.
-func (s *Server) longPoll(ctx context.Context, req *Ask) Cargo {
-	resp, hasUpdates, changed := s.Board.response(req)
+func (s *Server) longPoll(ctx context.Context, req *PullRequest) PullResponse {
+	resp, hasUpdates, changed := s.Replica.response(req)
 	if hasUpdates {
 		return resp
 	}
@@ -158,7 +158,7 @@
 		case <-time.After(coalesceDelay):
 		case <-ctx.Done():
 		}
-		if resp, hasUpdates, changed = s.Board.response(req); hasUpdates {
+		if resp, hasUpdates, changed = s.Replica.response(req); hasUpdates {
 			return resp
 		}
 	}
@@ -166,32 +166,32 @@
 
 // Puller keeps a replica up to date by pulling from one server at a time.
 type Puller struct {
-	Board                *Board
-	Node, Life, IP, Kind string
+	Replica                     *Replica
+	Node, Incarnation, IP, Kind string
 	// Choose returns the address to pull from, or "" to wait; failures counts the failed attempts since the last response.
 	Choose func(failures int) string
-	// Merged is called after each response that was applied; may be nil.
-	Merged func()
-	// Answered is called with each response and the time at which its request was sent; may be nil.
-	Answered func(peer string, resp *Cargo, requested time.Time)
-	// Fault is called with the error that ended a dial or a connection; may be nil.
-	Fault func(peer string, err error)
+	// OnMerge is called after each response that was applied; may be nil.
+	OnMerge func()
+	// OnResponse is called with each response and the time at which its request was sent; may be nil.
+	OnResponse func(peer string, resp *PullResponse, requested time.Time)
+	// OnError is called with the error that ended a dial or a connection; may be nil.
+	OnError func(peer string, err error)
 	// Peer states that one controller pulls from another.
 	Peer bool
-	// Keeps is called with the version vector of the updates that the server's disk holds; may be nil.
-	Keeps func(addr string, v registry.Vector)
-	// Say adds the fields that only this kind of process sends to a request; first marks the first request of a connection.
-	// May be nil.
-	Say func(req *Ask, first bool)
-	// Better reports whether another address is preferable to the present one; may be nil.
-	Better func(addr string) bool
+	// OnPersisted is called with the version vector of the updates that the server's disk holds; may be nil.
+	OnPersisted func(addr string, v registry.Vector)
+	// PrepareRequest adds the fields that only this kind of process sends to a request; first marks the first request of a
+	// connection. May be nil.
+	PrepareRequest func(req *PullRequest, first bool)
+	// HasBetter reports whether another address is preferable to the present one; may be nil.
+	HasBetter func(addr string) bool
 	// Network dials the connections; nil stands for TCP.
 	Network keepalive.Network
 	// Alive receives a value when the server has been heard from, which ends any backoff and restarts a dial that has lasted
 	// for a while; may be nil.
 	Alive <-chan struct{}
-	// MoveOn makes the puller leave an isolated server for another one.
-	MoveOn bool
+	// LeaveIsolated makes the puller leave an isolated server for another one.
+	LeaveIsolated bool
 
 	peerNames map[string]string // the names that servers gave, by address
 }
@@ -216,8 +216,8 @@
 				continue // with a better address
 			}
 		}
-		if err != nil && p.Fault != nil && ctx.Err() == nil && !errors.Is(err, errUnreachable) {
-			p.Fault(d.addr, err)
+		if err != nil && p.OnError != nil && ctx.Err() == nil && !errors.Is(err, errUnreachable) {
+			p.OnError(d.addr, err)
 		}
 		failures++
 		select {
@@ -242,7 +242,7 @@
 	decoder, w := gob.NewDecoder(bufio.NewReaderSize(c, 2048)), bufio.NewWriterSize(c, 2048)
 	encoder := gob.NewEncoder(w)
 	peerName, first, whole, isolated, waited := p.peerNames[addr], true, false, false, false
-	var repair *Mend
+	var repair *Repair
 	sent, persistedNo := registry.Vector{}, uint64(0)
 	lastRepair := time.Now().Add(-repairInterval) // due at the second request, once the updates by version vector have arrived
 	for {
@@ -257,11 +257,11 @@
 		if err := w.Flush(); err != nil {
 			return answered, errors.Wrapf(err, "send pull request, peer %s", addr)
 		}
-		var resp Cargo
+		var resp PullResponse
 		if err := decoder.Decode(&resp); err != nil {
 			return answered, errors.Wrapf(err, "read pull response, peer %s", addr)
 		}
-		if err := p.Board.checkSystem(&resp, p.Peer); err != nil {
+		if err := p.Replica.checkSystem(&resp, p.Peer); err != nil {
 			return false, errors.Wrapf(err, "check pull response, peer %s", addr)
 		}
 		answered, peerName, isolated = true, resp.News.By, resp.Alone
@@ -269,39 +269,39 @@
 			clear(p.peerNames)
 		}
 		if p.Kind == "proxy" {
-			p.Board.SetSlackSpent(resp.SlackSpent)
+			p.Replica.SetSlackSpent(resp.SlackSpent)
 		}
-		if p.Answered != nil {
-			p.Answered(addr, &resp, requested)
+		if p.OnResponse != nil {
+			p.OnResponse(addr, &resp, requested)
 		}
 		p.peerNames[addr] = peerName // so that the next connection continues where this one ends
-		mergeErr := p.Board.merge(&resp, p.Peer, time.Now())
+		mergeErr := p.Replica.merge(&resp, p.Peer, time.Now())
 		if mergeErr != nil && resp.Whole != nil {
 			// The server would send it again in each response.
 			return false, errors.Wrapf(mergeErr, "read configuration, peer %s", addr)
 		}
 		whole = mergeErr != nil
 		if repair = nil; resp.Mend != nil {
-			repair = p.Board.continueRepair(resp.Mend)
+			repair = p.Replica.continueRepair(resp.Mend)
 		} else if !resp.News.More && time.Since(lastRepair) >= repairInterval {
-			lastRepair, repair = time.Now(), p.Board.startRepair()
+			lastRepair, repair = time.Now(), p.Replica.startRepair()
 		}
 		if resp.KeptNo != 0 {
 			persistedNo = resp.KeptNo
-			if p.Keeps != nil {
-				p.Keeps(addr, resp.Kept)
+			if p.OnPersisted != nil {
+				p.OnPersisted(addr, resp.Kept)
 			}
 		}
-		if p.Merged != nil {
-			p.Merged()
+		if p.OnMerge != nil {
+			p.OnMerge()
 		}
-		if isolated && p.MoveOn {
+		if isolated && p.LeaveIsolated {
 			if failures < stayAfterFailures || waited {
 				return false, errIsolated
 			}
 			waited = true // for one response
 		}
-		if p.Better != nil && p.Better(addr) {
+		if p.HasBetter != nil && p.HasBetter(addr) {
 			return true, nil
 		}
 	}
@@ -319,17 +319,17 @@
 	return v
 }
 
-func (p *Puller) newRequest(peerName string, first, whole, isolated bool) Ask {
-	req := Ask{Node: p.Node, Life: p.Life, IP: p.IP, Kind: p.Kind, Whole: whole, Alone: isolated, Peer: p.Peer}
-	if p.Say != nil {
-		p.Say(&req, first)
+func (p *Puller) newRequest(peerName string, first, whole, isolated bool) PullRequest {
+	req := PullRequest{Node: p.Node, Life: p.Incarnation, IP: p.IP, Kind: p.Kind, Whole: whole, Alone: isolated, Peer: p.Peer}
+	if p.PrepareRequest != nil {
+		p.PrepareRequest(&req, first)
 	}
-	p.Board.mu.Lock()
-	defer p.Board.mu.Unlock()
-	req.Want, req.Core, req.Mixers = p.Board.registry.PullQuery(peerName), p.Board.controllersHash, p.Board.mixerCount
-	req.SlackSpent = p.Kind == "proxy" && p.Board.slackSpent
-	if p.Board.document != nil {
-		req.Version = p.Board.document.Version
+	p.Replica.mu.Lock()
+	defer p.Replica.mu.Unlock()
+	req.Want, req.Core, req.Mixers = p.Replica.registry.PullQuery(peerName), p.Replica.controllersHash, p.Replica.mixerCount
+	req.SlackSpent = p.Kind == "proxy" && p.Replica.slackSpent
+	if p.Replica.document != nil {
+		req.Version = p.Replica.document.Version
 	}
 	return req
 }
--- a/distribution/repair.go
+++ b/distribution/repair.go
@@ -11,21 +11,21 @@
 // their controller died, and entries that all others forgot while one replica was out of contact.
 const repairInterval = 15 * time.Second
 
-// Mend is one step of the comparison of two lists (anti-entropy): the digests to compare, the entries of ranges that differ,
+// Repair is one step of the comparison of two lists (anti-entropy): the digests to compare, the entries of ranges that differ,
 // and the ranges whose entries are requested in return.
-type Mend struct {
+type Repair struct {
 	Digests []registry.Digest
 	Patch   *registry.Patch
 	Want    []registry.Range
 }
 
 // repairLocked takes a peer's step and returns the next one, or nil when the comparison is complete. The caller holds r.mu.
-func (r *Board) repairLocked(m *Mend, now time.Time) *Mend {
+func (r *Replica) repairLocked(m *Repair, now time.Time) *Repair {
 	if m.Patch != nil && r.registry.Repair(now, *m.Patch) {
 		r.notifyLocked()
 	}
 	finer, differ := r.registry.Compare(m.Digests)
-	next := &Mend{Digests: finer, Want: differ}
+	next := &Repair{Digests: finer, Want: differ}
 	if ranges := append(differ, m.Want...); len(ranges) > 0 {
 		p := r.registry.Patch(ranges, maxEntries)
 		next.Patch = &p
@@ -37,14 +37,14 @@
 }
 
 // startRepair returns the first step: the digest of the whole list.
-func (r *Board) startRepair() *Mend {
+func (r *Replica) startRepair() *Repair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return &Mend{Digests: []registry.Digest{r.registry.Digest(registry.Range{})}}
+	return &Repair{Digests: []registry.Digest{r.registry.Digest(registry.Range{})}}
 }
 
 // continueRepair takes a step that a server sent in its response and returns the next one.
-func (r *Board) continueRepair(m *Mend) *Mend {
+func (r *Replica) continueRepair(m *Repair) *Repair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.repairLocked(m, time.Now())
--- a/distribution/replica.go
+++ b/distribution/replica.go
@@ -11,8 +11,8 @@
 	"peathollow/registry"
 )
 
-// Place is the location of a controller and the address at which it serves this protocol.
-type Place struct {
+// Location is the address at which a controller serves this protocol, with its zone and region.
+type Location struct {
 	Addr, Zone, Region string
 }
 
@@ -20,9 +20,9 @@
 // patch instead of the whole configuration.
 const maxEarlierDocuments = 8
 
-// Board is one process's copy of the searcher list, the configuration in force and the list of controllers. Its methods may
+// Replica is one process's copy of the searcher list, the configuration in force and the list of controllers. Its methods may
 // be called from any goroutine.
-type Board struct {
+type Replica struct {
 	mu               sync.Mutex
 	system           uint64 // see SetSystem
 	registry         *registry.Registry
@@ -30,7 +30,7 @@
 	packedDocument   []byte // document packed, once a client needed it whole
 	earlierDocuments []*manifest.Manifest
 	patches          map[uint64]*manifest.Patch // to document, by the version that they start from
-	controllers      []Place
+	controllers      []Location
 	controllersHash  uint64
 	mixerCount       int
 	slackSpent       bool
@@ -42,20 +42,20 @@
 	changed          chan struct{}
 }
 
-// NewBoard returns a replica that holds a registry and no configuration.
-func NewBoard(r *registry.Registry) *Board {
-	return &Board{registry: r, changed: make(chan struct{})}
+// NewReplica returns a replica that holds a registry and no configuration.
+func NewReplica(r *registry.Registry) *Replica {
+	return &Replica{registry: r, changed: make(chan struct{})}
 }
 
 // Changed returns a channel that is closed at the next change of the replica.
-func (r *Board) Changed() <-chan struct{} {
+func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// With calls f with the registry while the lock is held; f reports whether there are updates to distribute.
-func (r *Board) With(f func(r *registry.Registry) bool) {
+// WithRegistry calls f with the registry while the lock is held; f reports whether there are updates to distribute.
+func (r *Replica) WithRegistry(f func(r *registry.Registry) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if f(r.registry) {
@@ -63,27 +63,27 @@
 	}
 }
 
-func (r *Board) notifyLocked() {
+func (r *Replica) notifyLocked() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
 // Document returns the newest configuration known to be in force, or nil before the first.
-func (r *Board) Document() *manifest.Manifest {
+func (r *Replica) Document() *manifest.Manifest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.document
 }
 
-// Put stores a configuration that is in force and reports whether it is newer than the one held. Others are ignored, so that
-// the version never goes back within one incarnation of a process.
-func (r *Board) Put(m *manifest.Manifest) bool {
+// SetDocument stores a configuration that is in force and reports whether it is newer than the one held. Others are ignored, so
+// that the version never goes back within one incarnation of a process.
+func (r *Replica) SetDocument(m *manifest.Manifest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.setDocumentLocked(m)
 }
 
-func (r *Board) setDocumentLocked(m *manifest.Manifest) bool {
+func (r *Replica) setDocumentLocked(m *manifest.Manifest) bool {
 	if r.document != nil && m.Version <= r.document.Version {
 		return false
 	}
@@ -96,15 +96,15 @@
 	return true
 }
 
-// Core returns the newest known list of controllers.
-func (r *Board) Core() []Place {
+// Controllers returns the newest known list of controllers.
+func (r *Replica) Controllers() []Location {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.controllers
 }
 
-// SetCore sets the list of controllers; an empty list changes nothing.
-func (r *Board) SetCore(controllers []Place) {
+// SetControllers sets the list of controllers; an empty list changes nothing.
+func (r *Replica) SetControllers(controllers []Location) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.setControllersLocked(controllers) {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (r *Board) setControllersLocked(controllers []Place) (changed bool) {
+func (r *Replica) setControllersLocked(controllers []Location) (changed bool) {
 	if len(controllers) == 0 || slices.Equal(r.controllers, controllers) {
 		return false
 	}
@@ -120,15 +120,15 @@
 	return true
 }
 
-// Mixers returns the number of running mixers, or 0 while it isn't known. An agent counts them for its proxy.
-func (r *Board) Mixers() int {
+// MixerCount returns the number of running mixers, or 0 while it isn't known. An agent counts them for its proxy.
+func (r *Replica) MixerCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mixerCount
 }
 
-// SetMixers sets the number of running mixers; 0 changes nothing.
-func (r *Board) SetMixers(n int) {
+// SetMixerCount sets the number of running mixers; 0 changes nothing.
+func (r *Replica) SetMixerCount(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.setMixerCountLocked(n) {
@@ -136,7 +136,7 @@
 	}
 }
 
-func (r *Board) setMixerCountLocked(n int) (changed bool) {
+func (r *Replica) setMixerCountLocked(n int) (changed bool) {
 	if n <= 0 || n == r.mixerCount {
 		return false
 	}
@@ -146,7 +146,7 @@
 
 // SetSlackSpent sets whether earlier incarnations of the proxy on this machine have used the machine's share of the retry
 // budget's slack. An agent determines this for its proxy.
-func (r *Board) SetSlackSpent(spent bool) {
+func (r *Replica) SetSlackSpent(spent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if spent != r.slackSpent {
@@ -157,16 +157,16 @@
 
 // SlackSpent reports whether earlier incarnations of the proxy on this machine have used the machine's share of the retry
 // budget's slack.
-func (r *Board) SlackSpent() bool {
+func (r *Replica) SlackSpent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.slackSpent
 }
 
-// SetAlone sets whether this process is isolated: without contact with a quorum of controllers, or not yet informed what is in
+// SetIsolated sets whether this process is isolated: without contact with a quorum of controllers, or not yet informed what is in
 // force since contact returned. Clients should then pull from another server. An isolated server sends agents no configuration
 // and no list marked as complete, since both may be out of date.
-func (r *Board) SetAlone(isolated bool) {
+func (r *Replica) SetIsolated(isolated bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if isolated != r.isolated {
@@ -175,22 +175,22 @@
 	}
 }
 
-func (r *Board) setIsolatedLocked(isolated bool) {
+func (r *Replica) setIsolatedLocked(isolated bool) {
 	if isolated != r.isolated {
 		r.isolated, r.isolatedSince = isolated, time.Now()
 	}
 }
 
-// Guard sets a function that reports whether this process has contact with a quorum of controllers. It is called under the
-// lock for each response to an agent, because the state last set by SetAlone may be out of date.
-func (r *Board) Guard(hasContact func() bool) {
+// SetContactCheck sets a function that reports whether this process has contact with a quorum of controllers. It is called under
+// the lock for each response to an agent, because the state last set by SetIsolated may be out of date.
+func (r *Replica) SetContactCheck(hasContact func() bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasContact = hasContact
 }
 
-// SetKept sets the version vector of the updates that the disk of this process holds.
-func (r *Board) SetKept(v registry.Vector) {
+// SetPersisted sets the version vector of the updates that the disk of this process holds.
+func (r *Replica) SetPersisted(v registry.Vector) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.persisted = v
@@ -198,29 +198,29 @@
 	r.notifyLocked()
 }
 
-// Kept returns the version vector of the updates that the disk of this process holds.
-func (r *Board) Kept() registry.Vector {
+// Persisted returns the version vector of the updates that the disk of this process holds.
+func (r *Replica) Persisted() registry.Vector {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.persisted
 }
 
 // Entries returns a copy of the listed searchers.
-func (r *Board) Entries() []registry.Entry {
+func (r *Replica) Entries() []registry.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.DeleteFunc(slices.Collect(r.registry.All()), func(e registry.Entry) bool { return Reserved(e.Plant) })
 }
 
 // Complete reports whether the list of searchers may be taken as complete.
-func (r *Board) Complete() bool {
+func (r *Replica) Complete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.registry.Complete()
 }
 
 // response returns what the client lacks, whether that is anything at all, and a channel that is closed at the next change.
-func (r *Board) response(req *Ask) (Cargo, bool, <-chan struct{}) {
+func (r *Replica) response(req *PullRequest) (PullResponse, bool, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !req.Peer && r.hasContact != nil && !r.hasContact() {
@@ -229,7 +229,7 @@
 	if r.isolated && !req.Peer {
 		return r.isolatedResponseLocked(req)
 	}
-	resp := Cargo{System: r.system, News: r.registry.Since(req.Want, maxEntries)}
+	resp := PullResponse{System: r.system, News: r.registry.Since(req.Want, maxEntries)}
 	hasUpdates := !resp.News.Empty()
 	if req.Mend != nil {
 		resp.Mend, hasUpdates = r.repairLocked(req.Mend, time.Now()), true
@@ -273,8 +273,8 @@
 const isolatedUpdatesDelay = 3 * time.Second
 
 // isolatedResponseLocked is response for an agent while the server is isolated. The caller holds r.mu.
-func (r *Board) isolatedResponseLocked(req *Ask) (Cargo, bool, <-chan struct{}) {
-	resp := Cargo{System: r.system, Alone: true, News: registry.Delta{By: r.registry.Name()}}
+func (r *Replica) isolatedResponseLocked(req *PullRequest) (PullResponse, bool, <-chan struct{}) {
+	resp := PullResponse{System: r.system, Alone: true, News: registry.Delta{By: r.registry.Name()}}
 	hasUpdates := !req.Alone
 	if req.Core != r.controllersHash {
 		resp.Core, hasUpdates = r.controllers, true
@@ -289,7 +289,7 @@
 
 // merge applies a response. It returns an error if the configuration or patch in it can't be used, so that the client requests
 // the whole configuration; all other updates are applied nevertheless.
-func (r *Board) merge(resp *Cargo, peer bool, now time.Time) error {
+func (r *Replica) merge(resp *PullResponse, peer bool, now time.Time) error {
 	var m *manifest.Manifest
 	var err error
 	if resp.Whole != nil {
@@ -319,7 +319,7 @@
 	return err
 }
 
-func hashLocations(locations []Place) uint64 {
+func hashLocations(locations []Location) uint64 {
 	var h xxh3.Hasher
 	for _, p := range locations {
 		h.WriteString(p.Addr + "," + p.Zone + "," + p.Region + ";")
--- a/distribution/system.go
+++ b/distribution/system.go
@@ -9,7 +9,7 @@
 var errForeignSystem = errors.New("peer belongs to another system")
 
 // SetSystem sets the system that this process belongs to; 0 changes nothing.
-func (r *Board) SetSystem(id uint64) {
+func (r *Replica) SetSystem(id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if id != 0 {
@@ -19,7 +19,7 @@
 
 // checkSystem returns an error if a response comes from another system. A process that belongs to no system yet joins that of
 // the first server in contact with a quorum of controllers; a server without contact may have the disk of another system.
-func (r *Board) checkSystem(resp *Cargo, peer bool) error {
+func (r *Replica) checkSystem(resp *PullResponse, peer bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
--- a/distribution/system_test.go
+++ b/distribution/system_test.go
@@ -17,9 +17,9 @@
 	const ownSystem, otherSystem = 1, 2
 	own, other := serve(t, newBoard("own", false), ""), serve(t, newBoard("other", false), "")
 	own.SetSystem(ownSystem)
-	own.Put(config(t, 3))
+	own.SetDocument(config(t, 3))
 	other.SetSystem(otherSystem)
-	other.Put(config(t, 9))
+	other.SetDocument(config(t, 9))
 	other.heartbeat("i-other", 1, registry.Ready)
 	agent := newBoard("agent", true)
 	var refused atomic.Int32
@@ -36,16 +36,16 @@
 		}
 		return addr
 	}
-	pull(t, distribution.Puller{Board: agent, Kind: "agent", Choose: choose, Fault: func(peer string, err error) {
+	pull(t, distribution.Puller{Replica: agent, Kind: "agent", Choose: choose, OnError: func(peer string, err error) {
 		if peer == other.addr {
 			refused.Add(1)
 		}
-	}, Better: func(addr string) bool { return addr == own.addr && len(next) > 0 }})
+	}, HasBetter: func(addr string) bool { return addr == own.addr && len(next) > 0 }})
 	eventually(t, func() bool { return version(agent) == 3 })
 	next <- other.addr
-	own.Put(config(t, 4)) // its response makes the puller look for a better address
+	own.SetDocument(config(t, 4)) // its response makes the puller look for a better address
 	eventually(t, func() bool { return refused.Load() > 0 })
-	own.Put(config(t, 5))
+	own.SetDocument(config(t, 5))
 	own.heartbeat("i-own", 1, registry.Ready)
 	eventually(t, hasStates(agent, "i-own ready"))
 	eventually(t, func() bool { return version(agent) == 5 })
@@ -58,10 +58,10 @@
 	const ownSystem, otherSystem = 1, 2
 	own, other := serve(t, newBoard("own", false), ""), serve(t, newBoard("other", false), "")
 	own.SetSystem(ownSystem)
-	own.Put(config(t, 3))
+	own.SetDocument(config(t, 3))
 	other.SetSystem(otherSystem)
-	other.SetAlone(true)
+	other.SetIsolated(true)
 	agent := newBoard("agent", true)
-	pull(t, distribution.Puller{Board: agent, Kind: "agent", Choose: chooseFrom(other.addr, own.addr), MoveOn: true})
+	pull(t, distribution.Puller{Replica: agent, Kind: "agent", Choose: chooseFrom(other.addr, own.addr), LeaveIsolated: true})
 	eventually(t, func() bool { return version(agent) == 3 })
 }
--- a/failuredetector/scenarios_test.go
+++ b/failuredetector/scenarios_test.go
@@ -63,26 +63,26 @@
 			}
 		}
 		for x := range distribution.Mixers(h.list) {
-			m := live[x.Life]
+			m := live[x.Incarnation]
 			if m == nil {
-				at, ok := h.deadSince[x.Life]
-				n := Node{Incarnation: x.Life, Addr: x.Addr, Zone: x.Zone, Region: region(int(x.Zone[1] - '0'))}
-				if by := fmt.Sprint(NewRing(nodes(h.list)).Watchers(&n)); !ok || h.watchers[x.Life] != by {
-					h.deadSince[x.Life], h.watchers[x.Life] = w.now, by
+				at, ok := h.deadSince[x.Incarnation]
+				n := Node{Incarnation: x.Incarnation, Addr: x.Addr, Zone: x.Zone, Region: region(int(x.Zone[1] - '0'))}
+				if by := fmt.Sprint(NewRing(nodes(h.list)).Watchers(&n)); !ok || h.watchers[x.Incarnation] != by {
+					h.deadSince[x.Incarnation], h.watchers[x.Incarnation] = w.now, by
 				} else if !healthy[x.Source] { // no controller monitors it until its source is adopted
-					h.deadSince[x.Life] = w.now.Add(5 * time.Second)
+					h.deadSince[x.Incarnation] = w.now.Add(5 * time.Second)
 				} else if !x.Silent && w.now.Sub(at) > maxDetection {
-					return errors.Errorf("%s has not marked %s silent, which is dead for %v", h.name, x.Life, w.now.Sub(at))
+					return errors.Errorf("%s has not marked %s silent, which is dead for %v", h.name, x.Incarnation, w.now.Sub(at))
 				}
 				continue
 			}
 			reachable := w.now.Sub(m.lastPull) < time.Second || confirmedElsewhere(m)
 			if !x.Silent || !reachable || m.frozen.After(w.now) {
-				delete(h.silentSince, x.Life)
-			} else if at, ok := h.silentSince[x.Life]; !ok {
-				h.silentSince[x.Life] = w.now
+				delete(h.silentSince, x.Incarnation)
+			} else if at, ok := h.silentSince[x.Incarnation]; !ok {
+				h.silentSince[x.Incarnation] = w.now
 			} else if w.now.Sub(at) > maxFalseSilence {
-				return errors.Errorf("%s has marked %s silent for %v, and it is alive", h.name, x.Life, w.now.Sub(at))
+				return errors.Errorf("%s has marked %s silent for %v, and it is alive", h.name, x.Incarnation, w.now.Sub(at))
 			}
 		}
 	}
@@ -309,7 +309,7 @@
 		w.step()
 		for _, h := range w.controllers {
 			for m := range distribution.Mixers(h.list) {
-				must.True(t, !m.Silent || h.isolated, must.Sprintf("%s marks %s silent", h.name, m.Life))
+				must.True(t, !m.Silent || h.isolated, must.Sprintf("%s marks %s silent", h.name, m.Incarnation))
 			}
 		}
 	}
--- a/failuredetector/simulation_test.go
+++ b/failuredetector/simulation_test.go
@@ -119,7 +119,7 @@
 	for m := range distribution.Mixers(r) {
 		var z int
 		fmt.Sscanf(m.Zone, "z%d", &z)
-		list = append(list, Node{Incarnation: m.Life, Addr: m.Addr, Zone: m.Zone, Region: region(z),
+		list = append(list, Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone, Region: region(z),
 			Silent: m.Silent, Leaving: m.Leaving})
 	}
 	return list
@@ -189,7 +189,7 @@
 		return
 	}
 	m.lastPull, m.nextPull = w.now, w.now.Add(800*time.Millisecond)
-	x := distribution.Mixer{Life: m.incarnation, Addr: m.addr, Zone: zone(m.zone),
+	x := distribution.Mixer{Incarnation: m.incarnation, Addr: m.addr, Zone: zone(m.zone),
 		Calls: uint64(w.now.Sub(m.since)/time.Microsecond) + 1}
 	h.arbiter.ReceivePull(w.now, m.incarnation, m.detector.Missed(), m.detector.Seen())
 	h.lastCalls[m.incarnation] = max(h.lastCalls[m.incarnation], x.Calls)
@@ -231,7 +231,7 @@
 		var lastMonitored []Monitored
 		for m := range distribution.Mixers(h.list) {
 			if m.Source == h.name || !h.isolated && !live[m.Source] {
-				lastMonitored = append(lastMonitored, Monitored{Incarnation: m.Life, Silent: m.Silent, Leaving: m.Leaving})
+				lastMonitored = append(lastMonitored, Monitored{Incarnation: m.Incarnation, Silent: m.Silent, Leaving: m.Leaving})
 			}
 		}
 		for _, life := range h.arbiter.Tick(w.now, lastMonitored) {
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -137,8 +137,8 @@
 	t.Run("stored-entry", checkGob[registry.Entry]("stored-entry"))
 	t.Run("call", checkGob[controlplane.Call]("call"))
 	t.Run("answer", checkGob[consensus.Answer]("answer"))
-	t.Run("pull-request", checkGob[distribution.Ask]("pull-request"))
-	t.Run("pull-answer", checkGob[distribution.Cargo]("pull-answer"))
+	t.Run("pull-request", checkGob[distribution.PullRequest]("pull-request"))
+	t.Run("pull-answer", checkGob[distribution.PullResponse]("pull-answer"))
 	t.Run("manifest-patch", checkGob[manifest.Patch]("manifest-patch"))
 }
 
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -71,13 +71,13 @@
 	Limits       Limits // of the versions to come
 
 	t       testing.TB
-	board   *distribution.Board
+	board   *distribution.Replica
 	stop    context.CancelFunc
 	ended   chan error
 	version uint64
 
 	mu       sync.Mutex
-	asked    distribution.Ask // the proxy's last
+	asked    distribution.PullRequest // the proxy's last
 	news     chan struct{}
 	calls    uint64
 	services map[string]string // by searcher
@@ -98,18 +98,18 @@
 		services: map[string]string{}, sent: map[string]*Request{}, replies: map[string][]reply{}}
 	start := time.Now().Add(-time.Minute)
 	source := registry.New(registry.Config{Name: "source", Period: time.Second, Start: start})
-	r.board = distribution.NewBoard(source)
+	r.board = distribution.NewReplica(source)
 	for i := range 4 { // its list counts as whole from the start
 		source.Tick(start.Add(time.Duration(i) * time.Second))
 	}
-	r.board.SetMixers(1)
+	r.board.SetMixerCount(1)
 	feed, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	feeding, unfeed := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	go func() { served <- (&distribution.Server{Board: r.board, Met: r.met}).Serve(feeding, feed) }()
+	go func() { served <- (&distribution.Server{Replica: r.board, OnRequest: r.met}).Serve(feeding, feed) }()
 	t.Cleanup(func() {
 		stop()
 		unfeed()
@@ -151,7 +151,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(holds), wait.Timeout(Patience), wait.Gap(2*time.Millisecond)))
 }
 
-func (r *Rig) met(a *distribution.Ask) {
+func (r *Rig) met(a *distribution.PullRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.asked = *a
@@ -163,7 +163,7 @@
 func (r *Rig) Sync() {
 	r.t.Helper()
 	var want registry.Vector
-	r.board.With(func(x *registry.Registry) bool { want = x.Vector(); return false })
+	r.board.WithRegistry(func(x *registry.Registry) bool { want = x.Vector(); return false })
 	late := time.After(Patience)
 	for {
 		r.mu.Lock()
@@ -184,12 +184,12 @@
 func (r *Rig) Put(routes ...Route) {
 	r.t.Helper()
 	r.version += 3
-	r.board.Put(r.Config(r.version, routes...))
+	r.board.SetDocument(r.Config(r.version, routes...))
 	r.Sync()
 }
 
 // Stale sends a version that was overtaken; it must change nothing.
-func (r *Rig) Stale(routes ...Route) { r.board.Put(r.Config(r.version-1, routes...)) }
+func (r *Rig) Stale(routes ...Route) { r.board.SetDocument(r.Config(r.version-1, routes...)) }
 
 // Config makes a configuration.
 func (r *Rig) Config(version uint64, routes ...Route) *manifest.Manifest {
@@ -268,7 +268,7 @@
 	r.calls++
 	calls := r.calls
 	r.mu.Unlock()
-	r.board.With(func(x *registry.Registry) bool {
+	r.board.WithRegistry(func(x *registry.Registry) bool {
 		x.Heartbeat(time.Now(), registry.Searcher{ID: id, Plant: service, Address: addr, Zone: "z", Capacity: 8, State: st, Calls: calls})
 		return true
 	})
--- a/lab/scale/agents.go
+++ b/lab/scale/agents.go
@@ -39,7 +39,7 @@
 type hollowAgent struct {
 	no    int
 	set   *settings.Settings
-	board *distribution.Board
+	board *distribution.Replica
 	calls uint64
 }
 
@@ -53,13 +53,13 @@
 			Seeds: t.News, BeatPeriod: t.Period}
 		life := fmt.Sprintf("agent/%s/%08x", s.Node, dice.Uint32())
 		ts.all = append(ts.all, &hollowAgent{no: i, set: s,
-			board: distribution.NewBoard(registry.New(registry.Config{Name: life, Relay: true, Period: t.Period, Start: time.Now()}))})
+			board: distribution.NewReplica(registry.New(registry.Config{Name: life, Relay: true, Period: t.Period, Start: time.Now()}))})
 	}
 	go func() {
 		for _, h := range ts.all {
 			choice := agent.Choice{Set: h.set, Board: h.board, Seeds: h.set.Seeds} // told by where they serve news
-			p := distribution.Puller{Board: h.board, Node: h.set.Node, Life: h.set.Node, Kind: "agent", Choose: choice.Choose, MoveOn: true,
-				Better: choice.Better, Merged: func() { ts.merged(h) }, Fault: ts.fault, Say: h.say}
+			p := distribution.Puller{Replica: h.board, Node: h.set.Node, Incarnation: h.set.Node, Kind: "agent", Choose: choice.Choose, LeaveIsolated: true,
+				HasBetter: choice.Better, OnMerge: func() { ts.merged(h) }, OnError: ts.fault, PrepareRequest: h.say}
 			go p.Run(ctx)
 			go h.tick(ctx)
 			select {
@@ -96,7 +96,7 @@
 		least := -1
 		for _, h := range ts.all {
 			n := 0
-			h.board.With(func(r *registry.Registry) bool {
+			h.board.WithRegistry(func(r *registry.Registry) bool {
 				if !r.Complete() {
 					return false // it may not be taken for the whole
 				}
@@ -146,7 +146,7 @@
 		doc := h.board.Document()
 		known = doc != nil && doc.Version >= w.version
 	} else {
-		h.board.With(func(r *registry.Registry) bool {
+		h.board.WithRegistry(func(r *registry.Registry) bool {
 			e, ok := r.Get(w.id)
 			known = ok && e.State >= registry.Draining
 			return false
@@ -182,12 +182,12 @@
 
 func (h *hollowAgent) tick(ctx context.Context) {
 	periodic.Each(ctx, tidyEvery, func() {
-		h.board.With(func(r *registry.Registry) bool { return r.Tick(time.Now()) })
+		h.board.WithRegistry(func(r *registry.Registry) bool { return r.Tick(time.Now()) })
 	})
 }
 
 // say has it counted as a mixer; it takes no heartbeats.
-func (h *hollowAgent) say(a *distribution.Ask, _ bool) {
+func (h *hollowAgent) say(a *distribution.PullRequest, _ bool) {
 	h.calls += 1000 // a controller may go on from it in our name
-	a.Mixer = &distribution.Pulse{Calls: h.calls}
+	a.Mixer = &distribution.AgentHeartbeat{Calls: h.calls}
 }
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -25,7 +25,7 @@
 func benchmark(b *testing.B, path string) {
 	const shards = 4
 	now := time.Now()
-	board := distribution.NewBoard(registry.New(registry.Config{Name: "h", Start: now}))
+	board := distribution.NewReplica(registry.New(registry.Config{Name: "h", Start: now}))
 	doc := `{"config-version":1,"routes":[{"name":"a","host":"h","path-prefix":"/all/","mode":"idempotent","horizon-ms":2000,"setpoint-ms":500,"fan-out":["s0","s1","s2","s3"],"retries":2,"top-k":10,"min-coverage":0.5},
 	{"name":"o","host":"h","path-prefix":"/one/","mode":"non_idempotent","horizon-ms":2000,"setpoint-ms":500,"plant":"s0","retries":1}],
 	"plants":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}],"limits":{}}`
@@ -33,18 +33,18 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	board.Put(m)
+	board.SetDocument(m)
 	for i := range shards {
 		s, err := faulty.Start(faulty.Options{ID: fmt.Sprint("i", i), Capacity: 64, Queue: 1000})
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer s.Close()
-		board.With(func(r *registry.Registry) bool {
+		board.WithRegistry(func(r *registry.Registry) bool {
 			return r.Heartbeat(now, registry.Searcher{ID: fmt.Sprint("i", i), Plant: fmt.Sprint("s", i), Address: s.Addr(), Calls: 1}).Published
 		})
 	}
-	board.With(func(r *registry.Registry) bool {
+	board.WithRegistry(func(r *registry.Registry) bool {
 		r.Restore(now, []registry.Entry{{Searcher: registry.Searcher{ID: "old", Plant: "x", Address: "y"}, Source: "z", No: 1}})
 		return true
 	})
@@ -57,7 +57,7 @@
 		b.Fatal(err)
 	}
 	set.PortFirst = ln.Addr().(*net.TCPAddr).Port - 2
-	go (&distribution.Server{Board: board}).Serve(ctx, ln)
+	go (&distribution.Server{Replica: board}).Serve(ctx, ln)
 	q := New(set, "q", &log.Logger{Level: log.ErrorLevel})
 	go q.Run(ctx)
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
--- a/proxy/invariants_test.go
+++ b/proxy/invariants_test.go
@@ -36,7 +36,7 @@
 // TestVersionsThatFall: an older configuration than the one in force is seen, should the board ever give one.
 func TestVersionsThatFall(t *testing.T) {
 	q := New(&settings.Settings{RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
-	q.board.Put(version(t, "5"))
+	q.board.SetDocument(version(t, "5"))
 	q.doc.Store(version(t, "9"))
 	must.Eq(t, invariant.VersionRises, caught(t, q.merged))
 }
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -23,7 +23,7 @@
 	document := func(text string) {
 		doc, err := manifest.Parse([]byte(text))
 		must.NoError(t, err)
-		q.board.Put(doc)
+		q.board.SetDocument(doc)
 	}
 	service := func(number, limit string) string {
 		return `{"config-version":` + number + `,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent","horizon-ms":2000,` +
@@ -60,7 +60,7 @@
 		}
 	}
 	must.Eq(t, connShare(100, 0), opens())
-	q.board.SetMixers(5)
+	q.board.SetMixerCount(5)
 	q.merged()
 	must.Eq(t, connShare(100, 5), opens())
 	document(service("2", "150"))
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -37,7 +37,7 @@
 	log   *log.Logger
 	name  string
 	start time.Time
-	board *distribution.Board
+	board *distribution.Replica
 	doc   atomic.Pointer[manifest.Manifest]
 
 	mu      sync.Mutex
@@ -60,7 +60,7 @@
 func New(s *settings.Settings, life string, l *log.Logger) *Proxy {
 	now := time.Now()
 	p := &Proxy{set: s, name: life, log: l, start: now, pools: map[string]*upstream.Pool{},
-		sight: newSight(), callers: connlimit.New(s.CallersMost()), board: distribution.NewBoard(registry.New(registry.Config{Name: life, Relay: true, Period: s.BeatPeriod, Start: now}))}
+		sight: newSight(), callers: connlimit.New(s.CallersMost()), board: distribution.NewReplica(registry.New(registry.Config{Name: life, Relay: true, Period: s.BeatPeriod, Start: now}))}
 	p.life = p.newLife(nil)
 	p.clock = time.AfterFunc(time.Hour, p.due)
 	p.clock.Stop()
@@ -90,7 +90,7 @@
 	}
 	all, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	puller := distribution.Puller{Board: p.board, Node: p.set.Node, Life: p.name, Kind: "proxy", Merged: p.merged,
+	puller := distribution.Puller{Replica: p.board, Node: p.set.Node, Incarnation: p.name, Kind: "proxy", OnMerge: p.merged,
 		Choose: func(int) string { return AgentPort(p.set) }, Network: keepalive.TCP{Relay: p.set.Relay, From: p.set.Node}}
 	go puller.Run(all)
 	go p.pulse(all)
@@ -168,7 +168,7 @@
 	var gen uint64
 	var entries []registry.Entry
 	whole := false
-	p.board.With(func(r *registry.Registry) bool {
+	p.board.WithRegistry(func(r *registry.Registry) bool {
 		gen, whole = r.Generation(), r.Complete()
 		if gen != p.gen {
 			for e := range r.All() {
@@ -177,7 +177,7 @@
 		}
 		return false
 	})
-	n := p.board.Mixers()
+	n := p.board.MixerCount()
 	p.sight.told(p.now())
 	spent := p.board.SlackSpent()
 	p.do(func() {
