--- a/distribution/dial.go
+++ b/distribution/dial.go
@@ -15,7 +15,7 @@
 	// dialStagger is the delay after which the next address is dialled in parallel to those that have not answered yet. Machines
 	// without power don't answer at all, and after a power loss of all machines a proxy can't serve until it reaches a controller.
 	dialStagger      = 150 * time.Millisecond
-	maxParallelDials = 3
+	maxParallelDials = 3 // addresses that one connect dials
 )
 
 // errUnreachable is returned after the error of each address has been reported to Puller.OnError.
--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -174,9 +174,9 @@
 	eventually(t, func() bool { return version(fresh) == 10 })
 }
 
-// TestMovesOn checks that a puller leaves an isolated server for another one, as it does one that refuses connections
+// TestLeavesIsolatedServer checks that a puller leaves an isolated server for another one, as it does one that refuses connections
 // or never answers. If there is no other server, it still takes updates from the isolated one.
-func TestMovesOn(t *testing.T) {
+func TestLeavesIsolatedServer(t *testing.T) {
 	t.Parallel()
 	isolated, healthy := serve(t, newBoard("alone", false), ""), serve(t, newBoard("sound", false), "")
 	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
@@ -211,8 +211,8 @@
 	eventually(t, hasStates(only, "i ready", "k ready"))
 }
 
-// TestBetter checks that the puller changes to a preferred address while the present one still answers.
-func TestBetter(t *testing.T) {
+// TestChangesToBetterAddress checks that the puller changes to a preferred address while the present one still answers.
+func TestChangesToBetterAddress(t *testing.T) {
 	t.Parallel()
 	far, near := serve(t, newBoard("far", false), ""), serve(t, newBoard("near", false), "")
 	near.heartbeat("n", 1, registry.Ready)
@@ -223,9 +223,9 @@
 	eventually(t, hasStates(end, "f ready", "n ready"))
 }
 
-// TestBadPatch checks that a patch that can't be applied leads to a request for the whole configuration, while the other
+// TestUnusablePatch checks that a patch that can't be applied leads to a request for the whole configuration, while the other
 // updates of the response are applied.
-func TestBadPatch(t *testing.T) {
+func TestUnusablePatch(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
--- a/distribution/repair.go
+++ b/distribution/repair.go
@@ -20,13 +20,13 @@
 }
 
 // repairLocked takes a peer's step and returns the next one, or nil when the comparison is complete. The caller holds r.mu.
-func (r *Replica) repairLocked(m *Repair, now time.Time) *Repair {
-	if m.Patch != nil && r.registry.Repair(now, *m.Patch) {
+func (r *Replica) repairLocked(step *Repair, now time.Time) *Repair {
+	if step.Patch != nil && r.registry.Repair(now, *step.Patch) {
 		r.notifyLocked()
 	}
-	finer, differ := r.registry.Compare(m.Digests)
+	finer, differ := r.registry.Compare(step.Digests)
 	next := &Repair{Digests: finer, Want: differ}
-	if ranges := append(differ, m.Want...); len(ranges) > 0 {
+	if ranges := append(differ, step.Want...); len(ranges) > 0 {
 		p := r.registry.Patch(ranges, maxEntries)
 		next.Patch = &p
 	}
@@ -44,8 +44,8 @@
 }
 
 // continueRepair takes a step that a server sent in its response and returns the next one.
-func (r *Replica) continueRepair(m *Repair) *Repair {
+func (r *Replica) continueRepair(step *Repair) *Repair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.repairLocked(m, time.Now())
+	return r.repairLocked(step, time.Now())
 }
--- a/distribution/system_test.go
+++ b/distribution/system_test.go
@@ -10,10 +10,10 @@
 	"peathollow/registry"
 )
 
-// TestOtherSystemIsRefused checks that an agent that belongs to a system applies nothing from a controller of another system, not
+// TestAnotherSystemIsRefused checks that an agent that belongs to a system applies nothing from a controller of another system, not
 // even newer versions, and moves on to a controller of its own. This happens when a known address is reassigned to a machine of
 // another system.
-func TestOtherSystemIsRefused(t *testing.T) {
+func TestAnotherSystemIsRefused(t *testing.T) {
 	const ownSystem, otherSystem = 1, 2
 	own, other := serve(t, newBoard("own", false), ""), serve(t, newBoard("other", false), "")
 	own.SetSystem(ownSystem)
@@ -52,8 +52,8 @@
 	must.Eq(t, []string{"i-own ready"}, states(agent))
 }
 
-// TestIsolatedServerDoesNotSetSystem checks that a process that belongs to no system yet does not join that of an isolated server,
-// whose disk may come from another system.
+// TestIsolatedServerDoesNotSetSystem checks that a process that belongs to no system yet does not adopt the system of an isolated
+// server, whose disk may come from another system.
 func TestIsolatedServerDoesNotSetSystem(t *testing.T) {
 	const ownSystem, otherSystem = 1, 2
 	own, other := serve(t, newBoard("own", false), ""), serve(t, newBoard("other", false), "")
