--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -16,14 +16,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// benchAnswer is a searcher's usual answer: 64 records.
-var benchAnswer = "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41d07be2a35f68\r\nAnswer-Seal: 3e1b.07.5a2.600.0.c9f2a4d1\r\n" +
+// benchResponse is a typical response of a searcher, with 64 records.
+var benchResponse = "HTTP/1.1 200 OK\r\nAttempt-Id: 9c41d07be2a35f68\r\nAnswer-Seal: 3e1b.07.5a2.600.0.c9f2a4d1\r\n" +
 	"Searcher-Load: 3,0,8\r\nKeep-Alive: timeout=15\r\nContent-Length: 1024\r\n\r\n" + strings.Repeat("0123456789abcdef", 64)
 
-const benchEnv = "MOORING_BENCH_PEER"
+const benchEnv = "PEATHOLLOW_BENCH_PEER"
 
-// TestMain serves as the benchmarks' peer when started as one: in a process of its own, so that the processor time
-// measured is that of our side.
+// TestMain serves as the peer of the benchmarks if the environment asks for it. The peer is a process of its own, so that
+// the measured processor time is that of the client side only.
 func TestMain(m *testing.M) {
 	if os.Getenv(benchEnv) == "" {
 		os.Exit(m.Run())
@@ -46,7 +46,7 @@
 					c.Close()
 					return
 				}
-				io.WriteString(c, benchAnswer)
+				io.WriteString(c, benchResponse)
 			}
 		}()
 	}
@@ -66,24 +66,24 @@
 	return strings.TrimSpace(addr)
 }
 
-// measure runs f and reports the processor time of this process, which is our side's.
+// measure runs f and reports the processor time of this process, which is the client side.
 func measure(b *testing.B, f func()) {
 	cpu := func() time.Duration {
 		var u syscall.Rusage
 		must.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
-	f() // the connection is there
+	f() // establishes the connection
 	b.ReportAllocs()
 	b.ResetTimer()
-	from := cpu()
-	b.SetParallelism(8) // a proxy has many under way; one alone would mostly measure going to sleep
+	before := cpu()
+	b.SetParallelism(8) // a proxy has many requests in flight; with only one, mostly going to sleep would be measured
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			f()
 		}
 	})
-	b.ReportMetric(float64((cpu()-from).Nanoseconds())/float64(b.N)/1000, "cpu-us/op")
+	b.ReportMetric(float64((cpu()-before).Nanoseconds())/float64(b.N)/1000, "cpu-us/op")
 }
 
 var benchHeaders = []Header{{"Accept", "*/*"}, {"Accept-Encoding", "identity"}}
@@ -92,16 +92,16 @@
 	p := NewPool(benchPeer(b), Options{})
 	defer p.Close()
 	measure(b, func() {
-		till := time.Now().Add(time.Second)
-		a := p.Do(&Call{Request: Request{Method: "GET", Path: "/yewu161/2f", Host: "file10.example", Headers: benchHeaders,
-			AttemptID: "9c41d07be2a35f68", Target: "i-7f3a91c2"}, Deadline: till, ToldDeadline: till})
-		if a.Outcome != Answered {
-			b.Fatal(a.Err)
+		deadline := time.Now().Add(time.Second)
+		response := p.Do(&Call{Request: Request{Method: "GET", Path: "/yewu161/2f", Host: "file10.example", Headers: benchHeaders,
+			AttemptID: "9c41d07be2a35f68", Target: "i-7f3a91c2"}, Deadline: deadline, ToldDeadline: deadline})
+		if response.Outcome != Answered {
+			b.Fatal(response.Err)
 		}
 	})
 }
 
-// BenchmarkNetHTTP does the same by the standard client, to compare with.
+// BenchmarkNetHTTP sends the same request with the net/http client, for comparison.
 func BenchmarkNetHTTP(b *testing.B) {
 	addr := benchPeer(b)
 	tr := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -6,24 +6,25 @@
 	"slices"
 )
 
-// source is what comes back on a connection, through the buffer of the exchange.
-type source struct {
-	r    io.Reader
-	buf  []byte // of full length
-	i, n int    // buf[i:n] is read from the connection and not yet used
+// responseReader reads responses from a connection through the buffer of the exchange.
+type responseReader struct {
+	conn       io.Reader
+	buf        []byte // kept at its full length
+	start, end int    // buf[start:end] has been read from the connection and not consumed yet
 }
 
-// fill reads more, making room first; false room is an answer's part that outgrew its bound.
-func (s *source) fill() error {
-	if s.i == s.n {
-		s.i, s.n = 0, 0
-	}
-	if s.n == len(s.buf) {
-		copy(s.buf, s.buf[s.i:s.n])
-		s.i, s.n = 0, s.n-s.i
-	}
-	n, err := s.r.Read(s.buf[s.n:])
-	s.n += n
+// fill reads more data, after making room in the buffer. If a part of the response exceeds its bound, there is no room and
+// fill returns io.ErrNoProgress.
+func (r *responseReader) fill() error {
+	if r.start == r.end {
+		r.start, r.end = 0, 0
+	}
+	if r.end == len(r.buf) {
+		copy(r.buf, r.buf[r.start:r.end])
+		r.start, r.end = 0, r.end-r.start
+	}
+	n, err := r.conn.Read(r.buf[r.end:])
+	r.end += n
 	if n > 0 {
 		return nil
 	}
@@ -36,22 +37,22 @@
 var blankLine = []byte("\r\n\r\n")
 
 const (
-	interimMost   = 8   // 1xx answers before the real one
-	chunkLineMost = 256 // with extensions
+	maxInterimResponses = 8   // 1xx responses before the final one
+	maxChunkLine        = 256 // including chunk extensions
 )
 
-// readHead takes the next head but for interim ones; most bounds all of them together.
-func (s *source) readHead(most int) (head, error) {
+// readHead reads the next head that is not interim (1xx); maxLen limits the total length of all heads read.
+func (r *responseReader) readHead(maxLen int) (head, error) {
 	used := 0
-	for range interimMost + 1 {
-		raw, err := s.rawHead(most - used)
+	for range maxInterimResponses + 1 {
+		raw, err := r.readRawHead(maxLen - used)
 		if err != nil {
 			return head{}, err
 		}
 		used += len(raw)
-		if raw[9] == '1' { // rawHead has seen that it is there
+		if raw[9] == '1' { // readRawHead has checked the length
 			if string(raw[9:12]) == "101" {
-				return head{}, garbled("protocol switched unasked")
+				return head{}, invalidResponse("unrequested protocol switch")
 			}
 			if _, err := parseHead(string(raw)); err != nil {
 				return head{}, err
@@ -60,62 +61,62 @@
 		}
 		return parseHead(string(raw))
 	}
-	return head{}, garbled("too many interim answers")
+	return head{}, invalidResponse("too many interim responses")
 }
 
-// rawHead takes the bytes up to the next blank line, which is taken and left out. It gives up as soon as the first
-// bytes can't begin an answer, rather than wait for a blank line that never comes.
-func (s *source) rawHead(most int) ([]byte, error) {
-	seen := 0 // of buf[i:n], without a blank line
+// readRawHead consumes the bytes up to the next blank line and returns them without it. It fails as soon as the first
+// bytes cannot begin an HTTP/1 response, rather than waiting for a blank line that never comes.
+func (r *responseReader) readRawHead(maxLen int) ([]byte, error) {
+	searched := 0 // bytes of buf[start:end] that were searched and contain no blank line
 	for {
-		have := s.buf[s.i:s.n]
-		const begin = "HTTP/1."
-		if k := min(len(have), len(begin)); string(have[:k]) != begin[:k] {
-			return nil, garbled("not an answer")
+		data := r.buf[r.start:r.end]
+		const prefix = "HTTP/1."
+		if k := min(len(data), len(prefix)); string(data[:k]) != prefix[:k] {
+			return nil, invalidResponse("not an HTTP/1 response")
 		}
-		if at := bytes.Index(have[max(0, seen-3):], blankLine); at >= 0 {
-			at += max(0, seen-3)
+		if at := bytes.Index(data[max(0, searched-3):], blankLine); at >= 0 {
+			at += max(0, searched-3)
 			if at < len("HTTP/1.1 200") {
-				return nil, garbled("not a status line")
+				return nil, invalidResponse("not a status line")
 			}
-			if at > most {
-				return nil, garbled("head too long")
+			if at > maxLen {
+				return nil, invalidResponse("head too long")
 			}
-			s.i += at + len(blankLine)
-			return have[:at], nil
+			r.start += at + len(blankLine)
+			return data[:at], nil
 		}
-		if seen = len(have); seen > most+len(blankLine) {
-			return nil, garbled("head too long")
+		if searched = len(data); searched > maxLen+len(blankLine) {
+			return nil, invalidResponse("head too long")
 		}
-		if seen == len(s.buf) {
-			s.buf = slices.Grow(s.buf, len(s.buf))
-			s.buf = s.buf[:cap(s.buf)]
+		if searched == len(r.buf) {
+			r.buf = slices.Grow(r.buf, len(r.buf))
+			r.buf = r.buf[:cap(r.buf)]
 		}
-		if err := s.fill(); err != nil {
+		if err := r.fill(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// readBody takes the body that follows a head, and tells whether the connection ended with it.
-func (s *source) readBody(h *head, most, trailerMost int) (body []byte, ended bool, err error) {
+// readBody reads the body that follows a head. connEnded means that the end of the connection delimited the body.
+func (r *responseReader) readBody(h *head, maxLen, maxTrailerLen int) (body []byte, connEnded bool, err error) {
 	switch {
 	case h.chunked:
-		body, err = s.chunks(most, trailerMost)
+		body, err = r.readChunked(maxLen, maxTrailerLen)
 		return body, false, err
-	case h.length > int64(most):
-		return nil, false, garbled("body too long")
+	case h.length > int64(maxLen):
+		return nil, false, invalidResponse("body too long")
 	case h.length >= 0:
-		body, err = s.exactly(nil, int(h.length))
+		body, err = r.readExactly(nil, int(h.length))
 		return body, false, err
 	}
 	for {
-		body = append(body, s.buf[s.i:s.n]...)
-		s.i = s.n
-		if len(body) > most {
-			return nil, true, garbled("body too long")
+		body = append(body, r.buf[r.start:r.end]...)
+		r.start = r.end
+		if len(body) > maxLen {
+			return nil, true, invalidResponse("body too long")
 		}
-		if err := s.fill(); err == io.EOF {
+		if err := r.fill(); err == io.EOF {
 			return body, true, nil
 		} else if err != nil {
 			return nil, true, err
@@ -123,93 +124,94 @@
 	}
 }
 
-// exactly appends the next n bytes, past the buffer when that is empty.
-func (s *source) exactly(to []byte, n int) ([]byte, error) {
+// readExactly appends the next n bytes to the slice, reading past the buffer once it is empty.
+func (r *responseReader) readExactly(dst []byte, n int) ([]byte, error) {
 	if n == 0 {
-		return to, nil
-	}
-	to = slices.Grow(to, n)
-	k := min(n, s.n-s.i)
-	to = append(to, s.buf[s.i:s.i+k]...)
-	s.i += k
-	if k == n {
-		return to, nil
-	}
-	at := len(to)
-	to = to[:at+n-k]
-	_, err := io.ReadFull(s.r, to[at:])
+		return dst, nil
+	}
+	dst = slices.Grow(dst, n)
+	buffered := min(n, r.end-r.start)
+	dst = append(dst, r.buf[r.start:r.start+buffered]...)
+	r.start += buffered
+	if buffered == n {
+		return dst, nil
+	}
+	at := len(dst)
+	dst = dst[:at+n-buffered]
+	_, err := io.ReadFull(r.conn, dst[at:])
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	return to, err
+	return dst, err
 }
 
-// chunks takes a chunked body and its trailers, which are left out.
-func (s *source) chunks(most, trailerMost int) ([]byte, error) {
+// readChunked reads a chunked body and discards its trailers.
+func (r *responseReader) readChunked(maxLen, maxTrailerLen int) ([]byte, error) {
 	var body []byte
 	for {
-		line, err := s.line(chunkLineMost)
+		line, err := r.readLine(maxChunkLine)
 		if err != nil {
 			return nil, err
 		}
-		size, err := chunkSize(line)
+		size, err := parseChunkSize(line)
 		if err != nil {
 			return nil, err
 		}
 		if size == 0 {
 			break
 		}
-		if size > most-len(body) {
-			return nil, garbled("body too long")
+		if size > maxLen-len(body) {
+			return nil, invalidResponse("body too long")
 		}
-		if body, err = s.exactly(body, size); err != nil {
+		if body, err = r.readExactly(body, size); err != nil {
 			return nil, err
 		}
-		if _, err = s.line(0); err != nil {
+		if _, err = r.readLine(0); err != nil {
 			return nil, err
 		}
 	}
 	for {
-		line, err := s.line(scratchSize / 2)
+		line, err := r.readLine(scratchSize / 2)
 		if err != nil {
 			return nil, err
 		}
 		if len(line) == 0 {
 			return body, nil
 		}
-		if trailerMost -= len(line) + 2; trailerMost < 0 {
-			return nil, garbled("trailers too long")
+		if maxTrailerLen -= len(line) + 2; maxTrailerLen < 0 {
+			return nil, invalidResponse("trailers too long")
 		}
-		if colon := bytes.IndexByte(line, ':'); colon <= 0 || !isToken(string(line[:colon])) || !isValue(string(line[colon+1:])) {
-			return nil, garbled("bad trailer")
+		if colon := bytes.IndexByte(line, ':'); colon <= 0 || !isToken(string(line[:colon])) ||
+			!isFieldValue(string(line[colon+1:])) {
+			return nil, invalidResponse("invalid trailer")
 		}
 	}
 }
 
-// line takes the bytes up to the next CRLF, which is taken and left out; a bare LF ends no line.
-func (s *source) line(most int) ([]byte, error) {
+// readLine consumes the bytes up to the next CRLF and returns them without it. A bare LF is an error.
+func (r *responseReader) readLine(maxLen int) ([]byte, error) {
 	for {
-		have := s.buf[s.i:s.n]
-		if at := bytes.IndexByte(have, '\n'); at >= 0 {
-			if at == 0 || have[at-1] != '\r' || at-1 > most {
-				return nil, garbled("bad line in chunks")
+		data := r.buf[r.start:r.end]
+		if at := bytes.IndexByte(data, '\n'); at >= 0 {
+			if at == 0 || data[at-1] != '\r' || at-1 > maxLen {
+				return nil, invalidResponse("invalid line in chunked body")
 			}
-			s.i += at + 1
-			return have[:at-1], nil
+			r.start += at + 1
+			return data[:at-1], nil
 		}
-		if len(have) > most+1 {
-			return nil, garbled("bad line in chunks")
+		if len(data) > maxLen+1 {
+			return nil, invalidResponse("invalid line in chunked body")
 		}
-		if err := s.fill(); err != nil {
+		if err := r.fill(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-func chunkSize(line []byte) (int, error) {
+func parseChunkSize(line []byte) (int, error) {
 	digits, ext, _ := bytes.Cut(line, []byte(";"))
-	if len(digits) == 0 || len(digits) > 7 || !isValue(string(ext)) {
-		return 0, garbled("bad chunk size")
+	if len(digits) == 0 || len(digits) > 7 || !isFieldValue(string(ext)) {
+		return 0, invalidResponse("invalid chunk size")
 	}
 	n := 0
 	for _, c := range digits {
@@ -219,7 +221,7 @@
 		case c|0x20 >= 'a' && c|0x20 <= 'f':
 			n = n<<4 | int(c|0x20-'a'+10)
 		default:
-			return 0, garbled("bad chunk size")
+			return 0, invalidResponse("invalid chunk size")
 		}
 	}
 	return n, nil
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,28 +10,28 @@
 	"github.com/go-faster/errors"
 )
 
-// conn is one connection. While it lies idle it holds no buffer.
+// conn is one connection. It holds no buffer while it is idle.
 type conn struct {
-	nc     *net.TCPConn
-	raw    syscall.RawConn
-	step   func(fd uintptr) bool // conn.advance, bound once
-	abort  func()                // closes nc, bound once
-	life   uint32                // the pool's, when it was dialled
-	used   bool                  // a request went over it
-	shown  bool                  // the searcher is known to be at the other end
-	dialed time.Time             // when it was made, at the latest
-	since  time.Time             // idle since; zero: never was
-	most   time.Duration         // may lie idle for so long
-	peeked [1]byte
+	nc          *net.TCPConn
+	raw         syscall.RawConn
+	advanceFunc func(fd uintptr) bool // conn.advance as a method value, allocated once
+	abort       func()                // resets nc; allocated once
+	generation  uint32                // generation of the pool when it was dialed
+	used        bool                  // a request was sent over it
+	identified  bool                  // the searcher is known to be the peer
+	dialedAt    time.Time             // not before it was established: taken after the dial returned
+	idleSince   time.Time             // zero if it was never idle
+	idleTimeout time.Duration         // how long it may stay idle
+	peeked      [1]byte
 
-	// of the exchange under way
-	call  *Call
-	sc    *scratch
-	now   time.Time
-	stage stage
-	wrote bool
-	got   int
-	err   error
+	// State of the exchange in progress.
+	exchange  *Call
+	scratch   *scratchBuffer
+	now       time.Time
+	stage     stage
+	wrote     bool
+	readCount int
+	err       error
 }
 
 type stage uint8
@@ -39,28 +39,28 @@
 const (
 	checking stage = iota
 	reading
-	stale // ended or spoke up while nobody asked
+	stale // closed, or received data, while idle
 )
 
-// newConn wraps a connection that was just dialled.
-func newConn(nc *net.TCPConn, life uint32, most time.Duration) (*conn, error) {
+// newConn wraps a connection that was just dialed.
+func newConn(nc *net.TCPConn, generation uint32, idleTimeout time.Duration) (*conn, error) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{nc: nc, raw: raw, life: life, most: most, dialed: time.Now()}
-	c.step = c.advance
+	c := &conn{nc: nc, raw: raw, generation: generation, idleTimeout: idleTimeout, dialedAt: time.Now()}
+	c.advanceFunc = c.advance
 	c.abort = func() {
-		nc.SetLinger(0) // see Pool.drop
+		nc.SetLinger(0) // reset instead of close, see Pool.closeFinished
 		nc.Close()
 	}
 	return c, nil
 }
 
-// advance does all of an exchange up to the answer's first bytes inside a single RawConn.Read: it makes sure that the
-// connection is open and silent, writes the request and, having returned false, is called again once there is
-// something to read. A Read before that would find nothing, so this saves a system call of four; the poller loses no
-// wakeup, as the check's read has found the socket empty after the poller was made ready.
+// advance runs an exchange up to the first bytes of the response inside a single RawConn.Read. It checks that the
+// connection is open and has nothing to read, writes the request and returns false; RawConn.Read calls it again once there
+// is data to read. Reading right after the write would find nothing, so this saves one of four system calls. No wakeup is
+// lost, because the read of the check found the socket empty after the poller was armed.
 func (c *conn) advance(fd uintptr) bool {
 	if c.stage == checking {
 		if n, err := readFD(fd, c.peeked[:]); n >= 0 || err != syscall.EAGAIN {
@@ -70,10 +70,10 @@
 			}
 			return true
 		}
-		head, err := finish(c.sc.buf, c.call.ToldDeadline, c.now)
+		head, err := finishHead(c.scratch.buf, c.exchange.ToldDeadline, c.now)
 		if err == nil {
 			var n int64
-			n, err = writeOut(c.nc, head, c.call.Body)
+			n, err = writeRequest(c.nc, head, c.exchange.Body)
 			c.wrote = n > 0
 		}
 		if c.err = err; err != nil {
@@ -82,17 +82,17 @@
 		c.stage = reading
 		return false
 	}
-	c.got, c.err = readFD(fd, c.sc.buf[:cap(c.sc.buf)])
+	c.readCount, c.err = readFD(fd, c.scratch.buf[:cap(c.scratch.buf)])
 	if c.err == syscall.EAGAIN {
 		return false
 	}
-	if c.got == 0 && c.err == nil {
+	if c.readCount == 0 && c.err == nil {
 		c.err = io.EOF
 	}
 	return true
 }
 
-var errStale = errors.New("closed or spoke up while idle")
+var errStale = errors.New("connection was closed or received data while idle")
 
 func readFD(fd uintptr, b []byte) (int, error) {
 	for {
@@ -103,56 +103,57 @@
 	}
 }
 
-// exchange sends the request and takes its answer. again means that nothing was written as the connection had died
-// while idle; reuse, that it may serve further requests.
-func (c *conn) exchange(call *Call, sc *scratch, lim *Options, now time.Time) (a Answer, reuse, again bool) {
-	c.call, c.sc, c.now = call, sc, now
-	c.stage, c.wrote, c.got, c.err = checking, false, 0, nil
-	defer func() { c.call, c.sc, c.err = nil, nil, nil }()
-	if a.Fresh = c.since.IsZero(); !a.Fresh {
-		a.Idle = now.Sub(c.since)
+// roundTrip sends the request and reads its response. retry means that nothing was written because the connection was
+// closed while idle; reuse means that the connection may serve further requests.
+func (c *conn) roundTrip(exchange *Call, scratch *scratchBuffer, options *Options, now time.Time) (response Answer,
+	reuse, retry bool) {
+	c.exchange, c.scratch, c.now = exchange, scratch, now
+	c.stage, c.wrote, c.readCount, c.err = checking, false, 0, nil
+	defer func() { c.exchange, c.scratch, c.err = nil, nil, nil }()
+	if response.Fresh = c.idleSince.IsZero(); !response.Fresh {
+		response.Idle = now.Sub(c.idleSince)
 	}
 	step := "write"
-	err := c.nc.SetDeadline(call.Deadline)
+	err := c.nc.SetDeadline(exchange.Deadline)
 	if err == nil {
-		if err = c.raw.Read(c.step); err == nil {
+		if err = c.raw.Read(c.advanceFunc); err == nil {
 			err = c.err
 		}
 	}
-	a.Wrote = c.wrote
-	var h head
-	src := source{r: c.nc, buf: sc.buf[:cap(sc.buf)], n: c.got}
-	ended := false
+	response.Wrote = c.wrote
+	var responseHead head
+	reader := responseReader{conn: c.nc, buf: scratch.buf[:cap(scratch.buf)], end: c.readCount}
+	connEnded := false
 	if err == nil {
-		h, ended, step, err = src.answer(&a, call, !c.used, lim)
+		responseHead, connEnded, step, err = reader.readResponse(&response, exchange, !c.used, options)
 	} else if c.stage == reading {
 		step = "read head"
 	}
-	open := call.detach()
+	notCancelled := exchange.clearAbort()
 	c.used = c.used || c.wrote
 	if err == nil {
-		c.most = lim.IdleMost
-		if h.idleMost >= 0 {
-			c.most = min(c.most, h.idleMost)
+		c.idleTimeout = options.IdleMost
+		if responseHead.idleTimeout >= 0 {
+			c.idleTimeout = min(c.idleTimeout, responseHead.idleTimeout)
 		}
-		// Bytes past a whole answer belong to no request, and more of them may be on the way.
-		return a, open && h.keep && !ended && src.i == src.n && c.most > 0, false
+		// Bytes after a complete response belong to no request, and more of them may follow, so the connection is not reused.
+		return response, notCancelled && responseHead.reusable && !connEnded && reader.start == reader.end && c.idleTimeout > 0, false
 	}
-	late := err == errToldPassed || errors.Is(err, os.ErrDeadlineExceeded)
-	if !a.Fresh && !c.wrote && open && !late {
-		return a, false, true
+	deadlinePassed := err == errDeadlinePassed || errors.Is(err, os.ErrDeadlineExceeded)
+	if !response.Fresh && !c.wrote && notCancelled && !deadlinePassed {
+		return response, false, true
 	}
-	a.Outcome = c.outcome(err, open)
-	a.Err = errors.Wrapf(err, "%s, searcher %s", step, c.nc.RemoteAddr())
-	return a, open && late && !c.wrote, false // a connection that nothing happened to is worth keeping
+	response.Outcome = c.outcome(err, notCancelled)
+	response.Err = errors.Wrapf(err, "%s, searcher %s", step, c.nc.RemoteAddr())
+	return response, notCancelled && deadlinePassed && !c.wrote, false // the connection was not used and stays valid
 }
 
-func (c *conn) outcome(err error, open bool) Outcome {
-	if _, ok := err.(garbled); ok {
+func (c *conn) outcome(err error, notCancelled bool) Outcome {
+	if _, ok := err.(invalidResponse); ok {
 		return Garbled
 	}
 	switch {
-	case !open:
+	case !notCancelled:
 		return Cancelled
 	case !c.wrote:
 		return NoConnect
--- a/internal/upstream/head.go
+++ b/internal/upstream/head.go
@@ -7,91 +7,91 @@
 	"time"
 )
 
-// garbled is why an answer can't be trusted. Its values are constants, so that they cost no memory.
-type garbled string
+// invalidResponse is the reason why a response is rejected. All values are constants, so that none is allocated.
+type invalidResponse string
 
-func (g garbled) Error() string { return string(g) }
+func (g invalidResponse) Error() string { return string(g) }
 
-// head is an answer's status line and fields.
+// head is the status line and header fields of a response.
 type head struct {
-	status      int
-	length      int64 // -1 without Content-Length
-	chunked     bool
-	keep        bool          // the connection may serve further requests
-	closes      bool          // Connection lists close
-	stays       bool          // Connection lists keep-alive
-	idleMost    time.Duration // from Keep-Alive; negative without one
-	id          string
-	hasID       bool
-	seal        string
-	searcherID  string
-	notExecuted bool
-	load        Load
-	hasLoad     bool
-	retryAfter  time.Duration
-	headers     []Header
+	status              int
+	length              int64 // -1 without Content-Length
+	chunked             bool
+	reusable            bool          // the connection may serve further requests
+	connectionClose     bool          // Connection lists close
+	connectionKeepAlive bool          // Connection lists keep-alive
+	idleTimeout         time.Duration // derived from Keep-Alive; negative without it
+	attemptID           string
+	hasAttemptID        bool
+	seal                string
+	searcherID          string
+	notExecuted         bool
+	load                Load
+	hasLoad             bool
+	retryAfter          time.Duration
+	headers             []Header
 }
 
-// statusOf reads the status line's version and code. What is not HTTP/1.x is told by its first bytes.
-func statusOf(line string) (status int, minor byte, err error) {
+// parseStatusLine parses the version and the status code. It rejects all versions but HTTP/1.0 and HTTP/1.1.
+func parseStatusLine(line string) (status int, minor byte, err error) {
 	if len(line) < 12 || line[:7] != "HTTP/1." || line[7] != '0' && line[7] != '1' || line[8] != ' ' {
-		return 0, 0, garbled("not a status line")
+		return 0, 0, invalidResponse("not a status line")
 	}
 	for _, c := range []byte(line[9:12]) {
 		if c < '0' || c > '9' {
-			return 0, 0, garbled("status is no number")
+			return 0, 0, invalidResponse("status code is not a number")
 		}
 		status = status*10 + int(c-'0')
 	}
-	if len(line) > 12 && line[12] != ' ' || status < 100 || status > 599 || !isValue(line) {
-		return 0, 0, garbled("bad status line")
+	if len(line) > 12 && line[12] != ' ' || status < 100 || status > 599 || !isFieldValue(line) {
+		return 0, 0, invalidResponse("invalid status line")
 	}
 	return status, line[7], nil
 }
 
-// parseHead reads all of an answer's head, without the empty line that ends it.
+// parseHead parses a response head without the empty line that ends it.
 func parseHead(s string) (h head, err error) {
 	line, rest, _ := strings.Cut(s, "\r\n")
 	var minor byte
-	if h.status, minor, err = statusOf(line); err != nil {
+	if h.status, minor, err = parseStatusLine(line); err != nil {
 		return h, err
 	}
-	h.length, h.idleMost = -1, -1
+	h.length, h.idleTimeout = -1, -1
 	if rest != "" {
 		h.headers = make([]Header, 0, strings.Count(rest, "\r\n")+1)
 	}
-	var dropped string // names that Connection lists
+	var connectionOptions string // field names that Connection lists
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		colon := strings.IndexByte(line, ':')
 		if colon <= 0 || !isToken(line[:colon]) {
-			return h, garbled("bad header name")
+			return h, invalidResponse("invalid header name")
 		}
 		name, value := line[:colon], strings.Trim(line[colon+1:], " \t")
-		if !isValue(value) {
-			return h, garbled("bad header value")
+		if !isFieldValue(value) {
+			return h, invalidResponse("invalid header value")
 		}
-		if hopByHop(name) {
-			err = h.framing(name, value, &dropped)
+		if isHopByHop(name) {
+			err = h.parseHopByHop(name, value, &connectionOptions)
 		} else {
 			h.headers = append(h.headers, Header{name, value})
-			err = h.known(name, value)
+			err = h.parseEndToEnd(name, value)
 		}
 		if err != nil {
 			return h, err
 		}
 	}
-	h.keep = !h.closes && (minor == '1' || h.stays)
+	h.reusable = !h.connectionClose && (minor == '1' || h.connectionKeepAlive)
 	if h.chunked && h.length >= 0 {
-		return h, garbled("both a length and chunks")
+		return h, invalidResponse("both Content-Length and chunked encoding")
 	}
 	if h.chunked && minor == '0' {
-		return h, garbled("chunks in HTTP/1.0")
+		return h, invalidResponse("chunked encoding in HTTP/1.0")
 	}
-	if dropped != "" {
+	if connectionOptions != "" {
 		kept := h.headers[:0]
 		for _, f := range h.headers {
-			if !lists(dropped, f.Name) {
+			if !listContains(connectionOptions, f.Name) {
 				kept = append(kept, f)
 			}
 		}
@@ -100,49 +100,51 @@
 	return h, nil
 }
 
-func (h *head) framing(name, value string, dropped *string) error {
+// parseHopByHop processes a hop-by-hop field and adds the field names listed in Connection to connectionOptions.
+func (h *head) parseHopByHop(name, value string, connectionOptions *string) error {
 	switch len(name) {
 	case len("Content-Length"):
-		n, ok := decimal(value)
+		n, ok := parseDecimal(value)
 		if !ok || h.length >= 0 && h.length != n {
-			return garbled("bad or differing lengths")
+			return invalidResponse("invalid or conflicting content lengths")
 		}
 		h.length = n
 	case len("Transfer-Encoding"):
 		if h.chunked || !strings.EqualFold(value, "chunked") {
-			return garbled("unknown transfer encoding")
+			return invalidResponse("unknown transfer encoding")
 		}
 		h.chunked = true
 	case len("Connection"):
 		if name[0]|0x20 == 'k' {
-			if n, ok := keepAlive(value); ok && (h.idleMost < 0 || n < h.idleMost) {
-				h.idleMost = n
+			if n, ok := parseKeepAlive(value); ok && (h.idleTimeout < 0 || n < h.idleTimeout) {
+				h.idleTimeout = n
 			}
 			break
 		}
-		h.closes = h.closes || lists(value, "close")
-		h.stays = h.stays || lists(value, "keep-alive")
+		h.connectionClose = h.connectionClose || listContains(value, "close")
+		h.connectionKeepAlive = h.connectionKeepAlive || listContains(value, "keep-alive")
 		if !strings.EqualFold(value, "close") && !strings.EqualFold(value, "keep-alive") {
-			*dropped += "," + value
+			*connectionOptions += "," + value
 		}
 	}
 	return nil
 }
 
-func (h *head) known(name, value string) error {
+// parseEndToEnd processes the end-to-end fields that this package evaluates.
+func (h *head) parseEndToEnd(name, value string) error {
 	switch len(name) {
 	case 10:
 		if strings.EqualFold(name, "Attempt-Id") {
-			if h.hasID {
-				return garbled("two attempt ids")
+			if h.hasAttemptID {
+				return invalidResponse("duplicate attempt id")
 			}
-			h.id, h.hasID = value, value != ""
+			h.attemptID, h.hasAttemptID = value, value != ""
 		}
 	case 11:
 		switch {
 		case strings.EqualFold(name, "Answer-Seal"):
 			if h.seal != "" {
-				return garbled("two seals")
+				return invalidResponse("duplicate seal")
 			}
 			h.seal = value
 		case strings.EqualFold(name, "Searcher-Id"):
@@ -162,14 +164,14 @@
 		}
 	case 16:
 		if strings.EqualFold(name, "Content-Encoding") && value != "" && !strings.EqualFold(value, "identity") {
-			return garbled("encoded body") // nobody asked for it: not the searcher's bytes
+			return invalidResponse("unrequested content encoding") // so these are not the bytes of the searcher
 		}
 	}
 	return nil
 }
 
-// decimal reads a number of digits alone; no sign, no list.
-func decimal(s string) (int64, bool) {
+// parseDecimal parses a number that consists of digits only, without a sign or a list.
+func parseDecimal(s string) (int64, bool) {
 	if s == "" || len(s) > 15 {
 		return 0, false
 	}
@@ -183,39 +185,41 @@
 	return n, true
 }
 
-// keepAlive reads how long an idle connection may be used, from the timeout of Keep-Alive: well less than that, as a
-// request must not cross the close on its way.
-func keepAlive(value string) (time.Duration, bool) {
+// parseKeepAlive returns how long an idle connection may be used, from the timeout of Keep-Alive. The result is shorter
+// than the timeout by a quarter, at least 500 ms, so that a request does not cross the close on its way.
+func parseKeepAlive(value string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(value, ",") {
-		k, v, ok := strings.Cut(strings.TrimSpace(part), "=")
-		if !ok || !strings.EqualFold(strings.TrimSpace(k), "timeout") {
+		key, timeout, ok := strings.Cut(strings.TrimSpace(part), "=")
+		if !ok || !strings.EqualFold(strings.TrimSpace(key), "timeout") {
 			continue
 		}
-		if n, ok := decimal(strings.Trim(v, " \t\"")); ok && n < math.MaxInt32 {
-			whole := time.Duration(n) * time.Second
-			return max(0, whole-max(whole/4, 500*time.Millisecond)), true
+		if seconds, ok := parseDecimal(strings.Trim(timeout, " \t\"")); ok && seconds < math.MaxInt32 {
+			timeoutDuration := time.Duration(seconds) * time.Second
+			return max(0, timeoutDuration-max(timeoutDuration/4, 500*time.Millisecond)), true
 		}
 	}
 	return 0, false
 }
 
-func lists(list, name string) bool {
-	for part := range strings.SplitSeq(list, ",") {
-		if strings.EqualFold(strings.TrimSpace(part), name) {
+// listContains reports whether a comma-separated list contains a name, ignoring case.
+func listContains(list, name string) bool {
+	for item := range strings.SplitSeq(list, ",") {
+		if strings.EqualFold(strings.TrimSpace(item), name) {
 			return true
 		}
 	}
 	return false
 }
 
-func parseLoad(s string) (l Load, ok bool) {
-	for i, to := range [...]*int{&l.Running, &l.Waiting, &l.Slots} {
-		part, rest, more := strings.Cut(s, ",")
-		n, ok := decimal(strings.TrimSpace(part))
+// parseLoad parses the three numbers of Searcher-Load.
+func parseLoad(value string) (load Load, ok bool) {
+	for i, field := range [...]*int{&load.Running, &load.Waiting, &load.Slots} {
+		part, rest, more := strings.Cut(value, ",")
+		n, ok := parseDecimal(strings.TrimSpace(part))
 		if !ok || n > math.MaxInt32 || more != (i < 2) {
 			return Load{}, false
 		}
-		*to, s = int(n), rest
+		*field, value = int(n), rest
 	}
-	return l, true
+	return load, true
 }
--- a/internal/upstream/identity.go
+++ b/internal/upstream/identity.go
@@ -7,20 +7,21 @@
 	"github.com/go-faster/errors"
 )
 
-// An address goes to another searcher some time after the one that had it has ended, and a request that is sent there is read by somebody
-// whom it was not meant for. So where nobody vouches for the searcher (Call.VouchedUntil), a new connection carries no request until its other
-// end is known: by an answer that the searcher gave to this mixer shortly before, over whichever connection, as an address rests for a
-// while before it is given away; else by what it says of itself when it is probed. A connection that was made to the searcher stays one to it for as long as it lasts.
+// The address of a searcher that has ended is later reused by another one, which would then receive requests not intended for it.
+// So unless the searcher list confirms the address (Call.VouchedUntil), a new connection carries no request until its peer is
+// identified: either by a response that this mixer received from the searcher shortly before on any connection, since an address
+// is not reused for a while after its release; or by the id that the peer reports when it is probed. An identified connection
+// stays identified as long as it is open.
 
-// errNotShown is why a call was not sent: who is at the other end of its connection could not be made out.
-var errNotShown = errors.New("the other end did not say who it is")
+// errIdentityUnknown is why a call was not sent: the peer of its connection could not be identified.
+var errIdentityUnknown = errors.New("peer did not identify itself")
 
-// identifyMost is how many new connections a call is probed on: one that can't be used after its probe is followed by another.
-const identifyMost = 2
+// maxProbedConns is how many new connections one call may probe. If a connection cannot be used after its probe, another is dialed.
+const maxProbedConns = 2
 
-// isKnown tells whether the searcher is known to be at the other end of a connection.
-func (p *Pool) isKnown(c *conn, call *Call) bool {
-	if c.shown || call.Target == "" || c.dialed.Before(call.VouchedUntil) {
+// identityConfirmed reports whether the searcher is known to be the peer of a connection.
+func (p *Pool) identityConfirmed(c *conn, exchange *Call) bool {
+	if c.identified || exchange.Target == "" || c.dialedAt.Before(exchange.VouchedUntil) {
 		return true
 	}
 	p.mu.Lock()
@@ -28,122 +29,127 @@
 	if p.opts.ProbePath == "" {
 		return true
 	}
-	c.shown = !p.sign.IsZero() && c.dialed.Sub(p.sign) < p.opts.VouchFor
-	return c.shown
+	c.identified = !p.confirmedAt.IsZero() && c.dialedAt.Sub(p.confirmedAt) < p.opts.VouchFor
+	return c.identified
 }
 
-// noteSign notes that the searcher was at its address at some time, by its answer to what was written then.
-func (p *Pool) noteSign(c *conn, at time.Time) {
-	c.shown = true
+// confirmIdentity records that the searcher was at its address when the request it has responded to was written.
+func (p *Pool) confirmIdentity(c *conn, writtenAt time.Time) {
+	c.identified = true
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at.After(p.sign) {
-		p.sign = at
+	if writtenAt.After(p.confirmedAt) {
+		p.confirmedAt = writtenAt
 	}
 }
 
-// noteOther notes that another searcher is at the address.
-func (p *Pool) noteOther(c *conn) {
-	c.shown = false
+// rejectIdentity records that another searcher is at the address.
+func (p *Pool) rejectIdentity(c *conn) {
+	c.identified = false
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sign = time.Time{}
+	p.confirmedAt = time.Time{}
 }
 
-// identity is what a probe of a connection came to.
-type identity uint8
+// probeResult is the result of probing a connection.
+type probeResult uint8
 
 const (
-	isSearcher identity = iota // the one meant; the connection may carry the call
-	isUnusable                 // the one meant, but the connection can't be used again
-	isOther                    // another one, or nobody that answers: the call ends as the answer says
+	probeMatched           probeResult = iota // the intended searcher; the connection may carry the call
+	probeMatchedConnClosed                    // the intended searcher, but the connection cannot be reused
+	probeRejected                             // another searcher, or no valid response: the call ends with the response given
 )
 
-// ProbeCounts counts how often searchers were probed, and why, for all pools that share it.
+// ProbeCounts counts probes and their reasons over all pools that share it.
 type ProbeCounts struct {
-	First atomic.Uint64 // nothing was heard of the searcher yet
-	Old   atomic.Uint64 // its last answer was too old
-	Took  atomic.Int64  // nanoseconds, of all
+	First atomic.Uint64 // no response had been received from the searcher yet
+	Old   atomic.Uint64 // the searcher's last response was too old
+	Took  atomic.Int64  // total duration in nanoseconds
 }
 
-// count notes a probe.
-func (p *Pool) count(took time.Duration) {
+// countProbe counts a probe and its reason.
+func (p *Pool) countProbe(duration time.Duration) {
 	counts := p.opts.Probes
 	if counts == nil {
 		return
 	}
 	p.mu.Lock()
-	first := p.sign.IsZero()
+	first := p.confirmedAt.IsZero()
 	p.mu.Unlock()
 	if first {
 		counts.First.Add(1)
 	} else {
 		counts.Old.Add(1)
 	}
-	counts.Took.Add(int64(took))
+	counts.Took.Add(int64(duration))
 }
 
-// identify probes a connection on which the call is attached, till some time at the latest. Where it is of no use, it is closed or laid by.
-func (p *Pool) identify(c *conn, call *Call, now, until time.Time) (identity, Answer) {
+// identify probes a connection that the call may abort, until the deadline. Unless the call may use the connection, it is closed or
+// released.
+func (p *Pool) identify(c *conn, exchange *Call, now, deadline time.Time) (probeResult, Answer) {
 	p.mu.Lock()
 	path := p.opts.ProbePath
 	p.mu.Unlock()
-	a, reuse := p.probe(c, path, now, until)
-	p.count(time.Since(now))
+	response, reuse := p.probe(c, path, now, deadline)
+	p.countProbe(time.Since(now))
 	switch {
-	case a.SearcherID == call.Target:
-		p.noteSign(c, now)
+	case response.SearcherID == exchange.Target:
+		p.confirmIdentity(c, now)
 		if reuse {
-			return isSearcher, a
+			return probeMatched, response
 		}
-		p.lose(c)
-		return isUnusable, a
-	case a.SearcherID != "":
-		p.noteOther(c)
-		p.lose(c)
-		return isOther, p.unsentAs(call, Answer{Outcome: NotExecuted, Status: misdirected, SearcherID: a.SearcherID})
-	case a.Outcome == NotExecuted: // it is full, and would turn the call away too
-		p.layBy(c, reuse)
-		return isOther, p.unsentAs(call, Answer{Outcome: NotExecuted, Status: a.Status, RetryAfter: a.RetryAfter})
-	case a.Outcome == Answered && reuse: // it does not say who it is: the call names who is meant, and is answered with 421 by any other
-		c.shown = true
-		return isSearcher, a
+		p.discard(c)
+		return probeMatchedConnClosed, response
+	case response.SearcherID != "":
+		p.rejectIdentity(c)
+		p.discard(c)
+		return probeRejected, p.unsentResponse(exchange, Answer{Outcome: NotExecuted, Status: statusMisdirected,
+			SearcherID: response.SearcherID})
+	case response.Outcome == NotExecuted: // the searcher is overloaded and would reject the call too
+		p.releaseOrDiscard(c, reuse)
+		return probeRejected, p.unsentResponse(exchange, Answer{Outcome: NotExecuted, Status: response.Status,
+			RetryAfter: response.RetryAfter})
+	case response.Outcome == Answered && reuse:
+		// It does not report an id. The call names its target, and any other searcher responds with 421.
+		c.identified = true
+		return probeMatched, response
 	}
-	p.lose(c)
-	if a.Err == nil {
-		a.Err = errNotShown
+	p.discard(c)
+	if response.Err == nil {
+		response.Err = errIdentityUnknown
 	}
-	return isOther, p.unsent(call, errors.Wrap(a.Err, "probe"))
+	return probeRejected, p.notConnected(exchange, errors.Wrap(response.Err, "probe"))
 }
 
-// probe asks who is at the other end.
-func (p *Pool) probe(c *conn, path string, now, until time.Time) (a Answer, reuse bool) {
-	probe := Call{Request: Request{Method: "GET", Path: path}, Deadline: until}
-	sc := scratches.Get().(*scratch)
-	defer sc.free()
+// probe asks the peer for its id.
+func (p *Pool) probe(c *conn, path string, now, deadline time.Time) (response Answer, reuse bool) {
+	exchange := Call{Request: Request{Method: "GET", Path: path}, Deadline: deadline}
+	scratch := scratchBuffers.Get().(*scratchBuffer)
+	defer scratch.release()
 	var err error
-	if sc.buf, err = encode(sc.buf[:0], &probe.Request, p.addr); err != nil {
+	if scratch.buf, err = encodeHead(scratch.buf[:0], &exchange.Request, p.addr); err != nil {
 		return Answer{Outcome: Unsendable, Err: err}, false
 	}
-	used := c.used
-	a, reuse, _ = c.exchange(&probe, sc, &p.opts, now)
-	c.used = used // a surplus answer to a probe says whose it is
-	return a, reuse
+	usedBefore := c.used
+	response, reuse, _ = c.roundTrip(&exchange, scratch, &p.opts, now)
+	c.used = usedBefore // a surplus response to a probe names its searcher, so the connection still counts as unused
+	return response, reuse
 }
 
-func (p *Pool) layBy(c *conn, reuse bool) {
+func (p *Pool) releaseOrDiscard(c *conn, reuse bool) {
 	if reuse {
-		p.put(c)
+		p.release(c)
 	} else {
-		p.lose(c)
+		p.discard(c)
 	}
 }
 
-// unsentAs gives an answer to a call of which nothing was written, unless it was cancelled meanwhile.
-func (p *Pool) unsentAs(call *Call, a Answer) Answer {
-	a.Fresh = true
-	if !call.detach() {
-		a.Outcome = Cancelled
+// unsentResponse completes the response to a call of which nothing was written; the outcome is Cancelled if the call was cancelled
+// meanwhile.
+func (p *Pool) unsentResponse(exchange *Call, response Answer) Answer {
+	response.Fresh = true
+	if !exchange.clearAbort() {
+		response.Outcome = Cancelled
 	}
-	return a
+	return response
 }
--- a/internal/upstream/identity_test.go
+++ b/internal/upstream/identity_test.go
@@ -15,83 +15,83 @@
 
 const probePath = "/health"
 
-// to is a call that names its searcher.
-func to(target, id string) *Call {
-	c := get(id)
+// newTargetedExchange returns a call that names its searcher.
+func newTargetedExchange(target, id string) *Call {
+	c := newExchange(id)
 	c.Target = target
 	return c
 }
 
-// TestIdentity: a new connection carries a request once its searcher is known to be at the other end: it was vouched for, has answered
-// lately, or says so itself.
+// TestIdentity checks that a new connection carries a request only once the searcher is known to be its peer: because its
+// address was confirmed, because it has responded lately, or because it reports its id when probed.
 func TestIdentity(t *testing.T) {
 	s, p := setup(t, faulty.Options{ID: "i-1"}, Options{ProbePath: probePath, VouchFor: time.Hour})
 	probes := 0
 	do := func(call *Call, probed bool) {
 		t.Helper()
-		a := p.Do(call)
-		must.Eq(t, Answered, a.Outcome, must.Sprint(a.Err))
+		response := p.Do(call)
+		must.Eq(t, Answered, response.Outcome, must.Sprint(response.Err))
 		if probed {
 			probes++
 		}
 		must.Eq(t, probes, s.Probes())
 	}
-	vouched := to("i-1", "a1")
-	vouched.VouchedUntil = time.Now().Add(time.Hour)
-	do(vouched, false)
-	do(to("i-1", "a2"), false) // over the same connection
+	confirmed := newTargetedExchange("i-1", "a1")
+	confirmed.VouchedUntil = time.Now().Add(time.Hour)
+	do(confirmed, false)
+	do(newTargetedExchange("i-1", "a2"), false) // over the same connection
 	p.Retire()
-	do(to("i-1", "a3"), false) // it has answered lately
+	do(newTargetedExchange("i-1", "a3"), false) // it has responded lately
 	p.Retire()
-	p.sign = p.sign.Add(-time.Hour)
-	do(to("i-1", "a4"), true)
-	do(to("i-1", "a5"), false)
+	p.confirmedAt = p.confirmedAt.Add(-time.Hour)
+	do(newTargetedExchange("i-1", "a4"), true)
+	do(newTargetedExchange("i-1", "a5"), false)
 	p.Retire()
-	p.sign = time.Time{}
-	do(to("i-1", "a6"), true)
+	p.confirmedAt = time.Time{}
+	do(newTargetedExchange("i-1", "a6"), true)
 	must.Eq(t, 4, s.Accepted())
-	p.Follow(0, "") // nobody can be asked
+	p.Follow(0, "") // probing is disabled
 	p.Retire()
-	p.sign = time.Time{}
-	do(to("i-1", "a7"), false)
+	p.confirmedAt = time.Time{}
+	do(newTargetedExchange("i-1", "a7"), false)
 }
 
-// TestVouchRunsOut: what was vouched for when a call was decided on holds for a connection that is made soon.
-func TestVouchRunsOut(t *testing.T) {
+// TestAddressConfirmationExpires checks that a confirmation does not cover a connection made after it has expired.
+func TestAddressConfirmationExpires(t *testing.T) {
 	s, p := setup(t, faulty.Options{ID: "i-2"}, Options{ProbePath: probePath})
-	c := to("i-1", "a1")
+	c := newTargetedExchange("i-1", "a1")
 	c.VouchedUntil = time.Now()
-	a := p.Do(c)
-	must.True(t, a.Misdirected() && !a.Wrote)
+	response := p.Do(c)
+	must.True(t, response.Misdirected() && !response.Wrote)
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
 }
 
-// TestAnotherAtTheAddress: a request for a searcher whose address is another's is not sent, and its end says why.
-func TestAnotherAtTheAddress(t *testing.T) {
+// TestAddressOfAnotherSearcher checks that a request is not sent to an address that belongs to another searcher.
+func TestAddressOfAnotherSearcher(t *testing.T) {
 	s, p := setup(t, faulty.Options{ID: "i-2"}, Options{ProbePath: probePath, VouchFor: time.Hour})
 	for range 2 {
-		a := p.Do(to("i-1", "a1"))
-		must.Eq(t, NotExecuted, a.Outcome)
-		must.True(t, a.Misdirected() && !a.Wrote)
-		must.Eq(t, "i-2", a.SearcherID)
+		response := p.Do(newTargetedExchange("i-1", "a1"))
+		must.Eq(t, NotExecuted, response.Outcome)
+		must.True(t, response.Misdirected() && !response.Wrote)
+		must.Eq(t, "i-2", response.SearcherID)
 	}
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
 	must.Eq(t, 0, p.Open())
 
-	// Where it was vouched for, the request finds out, and what answered before vouches no more.
-	p.sign = time.Now()
-	sent := to("i-1", "a2")
-	a := p.Do(sent)
-	must.True(t, a.Misdirected() && a.Wrote)
+	// With a confirmed address the request is sent and rejected. After that, earlier responses no longer confirm the address.
+	p.confirmedAt = time.Now()
+	sent := newTargetedExchange("i-1", "a2")
+	response := p.Do(sent)
+	must.True(t, response.Misdirected() && response.Wrote)
 	must.Eq(t, 1, s.Ledger().Arrived("a2"))
-	a = p.Do(to("i-1", "a3"))
-	must.True(t, a.Misdirected() && !a.Wrote)
+	response = p.Do(newTargetedExchange("i-1", "a3"))
+	must.True(t, response.Misdirected() && !response.Wrote)
 	must.Eq(t, 0, s.Ledger().Arrived("a3"))
 }
 
-// TestProbeThatComesToNothing: a connection whose other end does not say who it is carries nothing, for no longer than a connection may
-// take; one that says nothing of itself is asked by the request, which names its searcher.
-func TestProbeThatComesToNothing(t *testing.T) {
+// TestProbeWithoutIdentity checks that a connection whose peer does not respond to the probe properly carries no request, and that
+// the call ends within the connect timeout. A peer that responds without an id gets the request, which names its searcher.
+func TestProbeWithoutIdentity(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply faulty.Reply
 		out   Outcome
@@ -113,55 +113,57 @@
 				}
 				return faulty.Reply{}
 			}
-			s, p := setup(t, faulty.Options{ID: "i-1", Script: script, ScriptProbes: true}, Options{ProbePath: probePath, VouchFor: time.Hour, ConnectTimeout: 200 * time.Millisecond})
-			a := p.Do(to("i-1", "a1"))
-			must.Eq(t, c.out, a.Outcome, must.Sprint(a.Err))
-			must.Eq(t, a.Wrote, c.out == Answered)
-			must.Eq(t, a.Wrote, s.Ledger().Arrived("a1") == 1)
-			must.False(t, a.Misdirected())
+			s, p := setup(t, faulty.Options{ID: "i-1", Script: script, ScriptProbes: true},
+				Options{ProbePath: probePath, VouchFor: time.Hour, ConnectTimeout: 200 * time.Millisecond})
+			response := p.Do(newTargetedExchange("i-1", "a1"))
+			must.Eq(t, c.out, response.Outcome, must.Sprint(response.Err))
+			must.Eq(t, response.Wrote, c.out == Answered)
+			must.Eq(t, response.Wrote, s.Ledger().Arrived("a1") == 1)
+			must.False(t, response.Misdirected())
 		})
 	}
 }
 
-// TestFullSearcherIsProbedAgain: the connection on which a full searcher turned a probe away is kept, and asked again before its first
-// request.
+// TestFullSearcherIsProbedAgain checks that a connection on which a full searcher rejected a probe is kept, and probed again before
+// its first request.
 func TestFullSearcherIsProbedAgain(t *testing.T) {
 	s, p := setup(t, faulty.Options{ID: "i-1", Capacity: 1}, Options{ProbePath: probePath, VouchFor: time.Hour})
 	other := NewPool(s.Addr(), Options{})
 	t.Cleanup(other.Close)
-	_, answers, release := busy(t, s, other, 1)
-	a := p.Do(to("i-1", "a1"))
-	must.Eq(t, NotExecuted, a.Outcome)
+	_, responses, release := startBlocked(t, s, other, 1)
+	response := p.Do(newTargetedExchange("i-1", "a1"))
+	must.Eq(t, NotExecuted, response.Outcome)
 	must.Eq(t, 1, p.Idle())
 	release()
-	<-answers
+	<-responses
 	eventually(t, func() bool { running, _ := s.Load(); return running == 0 })
-	must.Eq(t, Answered, p.Do(to("i-1", "a2")).Outcome)
+	must.Eq(t, Answered, p.Do(newTargetedExchange("i-1", "a2")).Outcome)
 	must.Eq(t, 2, s.Probes())
-	must.Eq(t, 2, s.Accepted()) // the other pool's, and this one
+	must.Eq(t, 2, s.Accepted()) // one of the other pool and one of this pool
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
 }
 
-// TestCancelledProbe: a call that is called off while its connection is probed ends at once, and nothing of it goes out.
+// TestCancelledProbe checks that a call cancelled while its connection is probed ends at once and sends nothing.
 func TestCancelledProbe(t *testing.T) {
-	at := make(chan bool, 1)
-	s, p := setup(t, faulty.Options{ID: "i-1", ScriptProbes: true, Script: func(faulty.Call) faulty.Reply { at <- true; return faulty.Reply{Way: faulty.Hang} }},
+	arrived := make(chan bool, 1)
+	s, p := setup(t, faulty.Options{ID: "i-1", ScriptProbes: true,
+		Script: func(faulty.Call) faulty.Reply { arrived <- true; return faulty.Reply{Way: faulty.Hang} }},
 		Options{ProbePath: probePath, ConnectTimeout: time.Hour})
-	c := to("i-1", "a1")
-	answer := make(chan Answer, 1)
-	go func() { answer <- p.Do(c) }()
-	<-at
+	c := newTargetedExchange("i-1", "a1")
+	responses := make(chan Answer, 1)
+	go func() { responses <- p.Do(c) }()
+	<-arrived
 	c.Cancel()
-	a := <-answer
-	must.Eq(t, Cancelled, a.Outcome)
-	must.False(t, a.Wrote)
+	response := <-responses
+	must.Eq(t, Cancelled, response.Outcome)
+	must.False(t, response.Wrote)
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
 	must.Eq(t, 0, p.Open())
 }
 
-// TestGivenUpIsTakenBack: a connection on which a call was given up is reset, so that what the kernel has not delivered is dropped.
-func TestGivenUpIsTakenBack(t *testing.T) {
-	for name, give := range map[string]func(c *Call){
+// TestAbandonedConnectionIsReset checks that the connection of an abandoned call is reset, so that the kernel drops undelivered data.
+func TestAbandonedConnectionIsReset(t *testing.T) {
+	for name, abandon := range map[string]func(c *Call){
 		"called off": func(c *Call) { c.Cancel() },
 		"too late":   func(c *Call) {},
 	} {
@@ -171,44 +173,44 @@
 			defer ln.Close()
 			p := NewPool(ln.Addr().String(), Options{})
 			defer p.Close()
-			c := get("a1")
+			c := newExchange("a1")
 			if name == "too late" {
 				c.Deadline = time.Now().Add(50 * time.Millisecond)
 			}
-			answer := make(chan Answer, 1)
-			go func() { answer <- p.Do(c) }()
-			far, err := ln.Accept()
+			responses := make(chan Answer, 1)
+			go func() { responses <- p.Do(c) }()
+			peer, err := ln.Accept()
 			must.NoError(t, err)
-			defer far.Close()
-			far.SetReadDeadline(time.Now().Add(10 * time.Second))
-			_, err = far.Read(make([]byte, 1000))
+			defer peer.Close()
+			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
+			_, err = peer.Read(make([]byte, 1000))
 			must.NoError(t, err)
-			give(c)
-			<-answer
-			_, err = io.Copy(io.Discard, far)
+			abandon(c)
+			<-responses
+			_, err = io.Copy(io.Discard, peer)
 			must.True(t, errors.Is(err, syscall.ECONNRESET), must.Sprint(err))
 		})
 	}
 }
 
-// TestFollow: the bound on connections may change after the pool was made.
+// TestFollow checks that the maximum number of connections may change after the pool was created.
 func TestFollow(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{ConnMost: 1})
-	_, _, release := busy(t, s, p, 1)
+	_, _, release := startBlocked(t, s, p, 1)
 	defer release()
-	must.ErrorIs(t, p.Do(get("a1")).Err, ErrFull)
+	must.ErrorIs(t, p.Do(newExchange("a1")).Err, ErrFull)
 	p.Follow(2, "")
-	must.Eq(t, Answered, p.Do(get("a2")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
 	p.Follow(1, "")
-	must.Eq(t, Answered, p.Do(get("a3")).Outcome) // over the one that is open
+	must.Eq(t, Answered, p.Do(newExchange("a3")).Outcome) // over an idle connection
 }
 
-// TestUnreachable: an address where nobody listens, or nobody answers for as long as a connection may take, is unreachable; a call without
-// that much time says nothing of it.
+// TestUnreachable checks that an address is unreachable if it refuses connections or does not respond within the connect timeout,
+// and that a call with a shorter deadline does not report this.
 func TestUnreachable(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{})
 	s.Close()
-	must.True(t, p.Do(get("a1")).Unreachable)
+	must.True(t, p.Do(newExchange("a1")).Unreachable)
 
 	for name, c := range map[string]struct {
 		left, most time.Duration
@@ -220,16 +222,16 @@
 		t.Run(name, func(t *testing.T) {
 			full := unanswered(t)
 			p := NewPool(full, Options{ConnectTimeout: c.most})
-			call := get("a1")
+			call := newExchange("a1")
 			call.Deadline = time.Now().Add(c.left)
-			a := p.Do(call)
-			must.Eq(t, NoConnect, a.Outcome)
-			must.Eq(t, c.want, a.Unreachable, must.Sprint(a.Err))
+			response := p.Do(call)
+			must.Eq(t, NoConnect, response.Outcome)
+			must.Eq(t, c.want, response.Unreachable, must.Sprint(response.Err))
 		})
 	}
 }
 
-// unanswered gives an address at which new connections get no answer: its queue of them is full.
+// unanswered returns an address at which connection attempts get no response, because its accept queue is full.
 func unanswered(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,160 +12,164 @@
 	"peathollow/internal/keepalive"
 )
 
-// Options bound a pool. Zero fields get the defaults told here.
+// Options configures a pool. A zero field is replaced by the default given in its comment, except ProbePath, Probes and VouchFor.
 type Options struct {
-	ConnMost       int           // connections in all, those being dialled included; 64
-	ConnectTimeout time.Duration // 1 s
-	IdleMost       time.Duration // idle connections are closed after it; 10 s
-	BodyMost       int           // 1 MB
-	HeaderMost     int           // of an answer's head; 16 KB
-	// SilenceMost is TCP_USER_TIMEOUT: a machine without power says nothing, and only this ends the connection; 3 s.
+	ConnMost       int           // open connections, including those being dialed; default 64
+	ConnectTimeout time.Duration // default 1 s
+	IdleMost       time.Duration // how long a connection may stay idle before it is closed; default 10 s
+	BodyMost       int           // maximum length of a response body; default 1 MB
+	HeaderMost     int           // maximum length of a response head; default 16 KB
+	// SilenceMost is TCP_USER_TIMEOUT. A machine that lost power sends nothing, neither FIN nor RST, so that only this
+	// timeout ends the connection. Default 3 s.
 	SilenceMost time.Duration
-	// ProbePath is where the searcher says who it is; see identity.go. If empty, nobody is asked.
+	// ProbePath is the path at which the searcher reports its id; see identity.go. If empty, searchers are not probed.
 	ProbePath string
-	// Probes counts probes, if not nil.
+	// Probes counts the probes if it is not nil.
 	Probes *ProbeCounts
-	// VouchFor is how long an answer of the searcher vouches for its address; 0: not at all.
+	// VouchFor is how long a response from the searcher confirms that it is at its address; with 0 it does not.
 	VouchFor time.Duration
-	// KeepAlive is how long a connection is silent before the kernel asks whether its peer is there; 2 s, negative:
-	// never.
+	// KeepAlive is how long a connection stays idle before the kernel sends keep-alive probes; default 2 s, negative
+	// disables them.
 	KeepAlive time.Duration
 }
 
-const connMostUsual = 64
+const defaultMaxConns = 64
 
-func orElse[T int | time.Duration](v *T, d T) {
-	if *v == 0 {
-		*v = d
+// setDefault replaces a zero value.
+func setDefault[T int | time.Duration](value *T, fallback T) {
+	if *value == 0 {
+		*value = fallback
 	}
 }
 
-// Pool holds the connections to one searcher's address.
+// Pool holds the connections to the address of one searcher.
 type Pool struct {
 	addr   string
-	opts   Options // ConnMost and ProbePath may change, under mu
+	opts   Options // MaxConns and ProbePath may change; guarded by mu
 	dialer net.Dialer
 
-	mu     sync.Mutex
-	idle   []*conn // the most recently used last
-	open   int     // idle, in use and being dialled
-	life   uint32  // connections of an earlier one are not used again
-	closed bool
-	sweeps *time.Timer
-	next   time.Time // when the next sweep is due; zero: none is
-	sign   time.Time // when the searcher was last at its address, by its answers; zero: it never was
+	mu          sync.Mutex
+	idle        []*conn // most recently used last
+	openCount   int     // connections that are idle, in use or being dialed
+	generation  uint32  // incremented by Retire; connections of an earlier generation are not reused
+	closed      bool
+	sweepTimer  *time.Timer
+	nextSweep   time.Time // when the next sweep is due; zero if none is scheduled
+	confirmedAt time.Time // when a response last confirmed that the searcher is at its address; zero if none has
 }
 
-// NewPool makes a pool that dials nothing yet. The address is an IP number with a port.
-func NewPool(addr string, o Options) *Pool {
-	orElse(&o.ConnMost, connMostUsual)
-	orElse(&o.ConnectTimeout, time.Second)
-	orElse(&o.IdleMost, 10*time.Second)
-	orElse(&o.BodyMost, 1<<20)
-	orElse(&o.HeaderMost, 16<<10)
-	orElse(&o.SilenceMost, 3*time.Second)
-	orElse(&o.KeepAlive, 2*time.Second)
-	p := &Pool{addr: addr, opts: o}
-	p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: o.KeepAlive > 0, Idle: o.KeepAlive, Interval: time.Second, Count: 3}
+// NewPool creates a pool without dialing. The address is an IP address with a port.
+func NewPool(addr string, options Options) *Pool {
+	setDefault(&options.ConnMost, defaultMaxConns)
+	setDefault(&options.ConnectTimeout, time.Second)
+	setDefault(&options.IdleMost, 10*time.Second)
+	setDefault(&options.BodyMost, 1<<20)
+	setDefault(&options.HeaderMost, 16<<10)
+	setDefault(&options.SilenceMost, 3*time.Second)
+	setDefault(&options.KeepAlive, 2*time.Second)
+	p := &Pool{addr: addr, opts: options}
+	p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: options.KeepAlive > 0, Idle: options.KeepAlive,
+		Interval: time.Second, Count: 3}
 	p.dialer.KeepAlive = -1
-	p.dialer.Control = func(_, _ string, raw syscall.RawConn) error { return keepalive.SetSilence(raw, o.SilenceMost) }
+	p.dialer.Control = func(_, _ string, raw syscall.RawConn) error { return keepalive.SetSilence(raw, options.SilenceMost) }
 	return p
 }
 
 var (
-	// ErrFull is why a call got no connection: as many as may be are in use.
-	ErrFull = errors.New("as many connections as may be are in use")
-	// ErrClosed is why a call got no connection of a pool that was closed.
+	// ErrFull is returned in Answer.Err when the maximum number of connections is in use.
+	ErrFull = errors.New("maximum number of connections in use")
+	// ErrClosed is returned in Answer.Err when the pool is closed.
 	ErrClosed = errors.New("pool is closed")
 )
 
-// Do sends the call's request and blocks until its outcome is known. It takes the most recently used idle connection
-// or dials one, and turns to the next connection only while no byte of the request has been written.
-func (p *Pool) Do(call *Call) Answer {
-	sc := scratches.Get().(*scratch)
-	defer sc.free()
+// Do sends the request of the call and blocks until its outcome is known. It uses the most recently used idle connection or
+// dials a new one, and moves on to another connection only while no byte of the request has been written.
+func (p *Pool) Do(exchange *Call) Answer {
+	scratch := scratchBuffers.Get().(*scratchBuffer)
+	defer scratch.release()
 	var err error
-	if sc.buf, err = encode(sc.buf[:0], &call.Request, p.addr); err != nil {
+	if scratch.buf, err = encodeHead(scratch.buf[:0], &exchange.Request, p.addr); err != nil {
 		return Answer{Outcome: Unsendable, Err: errors.Wrapf(err, "encode, searcher %s", p.addr)}
 	}
 	now := time.Now()
-	if !call.ToldDeadline.IsZero() && call.ToldDeadline.Sub(now) < time.Millisecond {
-		return p.unsent(call, errToldPassed) // not worth a connection
+	if !exchange.ToldDeadline.IsZero() && exchange.ToldDeadline.Sub(now) < time.Millisecond {
+		return p.notConnected(exchange, errDeadlinePassed) // too late to use up a connection
 	}
-	connected := p.connectBy(call, now) // what is sent follows what was known when it was decided
+	connectDeadline := p.connectDeadline(exchange, now) // counts from the decision to send, which is based on what was known then
 	for probes := 0; ; {
-		c, err := p.take(now)
+		c, err := p.acquire(now)
 		if c == nil && err == nil {
-			if c, err = p.dial(call, connected); err != nil {
-				p.lose(nil)
-				a := p.unsent(call, err)
-				a.Unreachable = a.Outcome == NoConnect && !(isTimeout(err) && connected.Equal(call.Deadline))
-				return a
+			if c, err = p.dial(exchange, connectDeadline); err != nil {
+				p.discard(nil)
+				response := p.notConnected(exchange, err)
+				response.Unreachable = response.Outcome == NoConnect && !(isTimeout(err) && connectDeadline.Equal(exchange.Deadline))
+				return response
 			}
 			now = time.Now()
 		}
 		if err != nil {
-			return p.unsent(call, err)
+			return p.notConnected(exchange, err)
 		}
-		if !call.attach(c.abort) {
-			p.put(c) // new connections are priced: one that nothing was asked on serves the next call
-			return p.unsent(call, errors.New("cancelled before it was written"))
+		if !exchange.setAbort(c.abort) {
+			p.release(c) // new connections are expensive: an unused one serves the next call
+			return p.notConnected(exchange, errors.New("cancelled before the request was written"))
 		}
-		if !p.isKnown(c, call) {
-			if probes++; probes > identifyMost {
-				p.lose(c)
-				return p.unsent(call, errNotShown)
+		if !p.identityConfirmed(c, exchange) {
+			if probes++; probes > maxProbedConns {
+				p.discard(c)
+				return p.notConnected(exchange, errIdentityUnknown)
 			}
-			who, a := p.identify(c, call, now, connected)
+			result, response := p.identify(c, exchange, now, connectDeadline)
 			now = time.Now()
-			switch who {
-			case isOther:
-				return a
-			case isUnusable:
+			switch result {
+			case probeRejected:
+				return response
+			case probeMatchedConnClosed:
 				continue
 			}
 		}
-		a, reuse, again := c.exchange(call, sc, &p.opts, now)
-		p.learn(c, &a, now)
+		response, reuse, retry := c.roundTrip(exchange, scratch, &p.opts, now)
+		p.recordIdentity(c, &response, now)
 		switch {
 		case reuse:
-			p.put(c)
-		case again:
-			p.lose(c)
+			p.release(c)
+		case retry:
+			p.discard(c)
 		default:
-			p.drop(c, &a)
+			p.closeFinished(c, &response)
 		}
-		if !again {
-			return a
+		if !retry {
+			return response
 		}
 	}
 }
 
-// learn takes from an answer whether the searcher is at its address.
-func (p *Pool) learn(c *conn, a *Answer, written time.Time) {
+// recordIdentity updates, from a response, whether the searcher is known to be at its address.
+func (p *Pool) recordIdentity(c *conn, response *Answer, writtenAt time.Time) {
 	switch {
-	case a.Outcome == Answered:
-		p.noteSign(c, written)
-	case a.Misdirected():
-		p.noteOther(c)
+	case response.Outcome == Answered:
+		p.confirmIdentity(c, writtenAt)
+	case response.Misdirected():
+		p.rejectIdentity(c)
 	}
 }
 
-// drop closes a connection whose exchange has ended. What it has not been answered is taken back as far as that goes: what the kernel has not
-// delivered yet is dropped with a reset, and would go out after a close. What has reached the other machine may be read all the same.
-func (p *Pool) drop(c *conn, a *Answer) {
-	if a.Outcome != Answered && a.Outcome != NotExecuted {
+// closeFinished closes a connection whose exchange has ended. Without a valid response it resets the connection, so that the kernel
+// discards what it has not delivered yet; a plain close would still send it. Data that has reached the peer may be read all the same.
+func (p *Pool) closeFinished(c *conn, response *Answer) {
+	if response.Outcome != Answered && response.Outcome != NotExecuted {
 		c.nc.SetLinger(0)
 	}
-	p.lose(c)
+	p.discard(c)
 }
 
-func (p *Pool) unsent(call *Call, err error) Answer {
-	return p.unsentAs(call, Answer{Outcome: NoConnect, Err: errors.Wrapf(err, "connect, searcher %s", p.addr)})
+// notConnected completes a call that got no connection, or whose request was not written for another reason.
+func (p *Pool) notConnected(exchange *Call, err error) Answer {
+	return p.unsentResponse(exchange, Answer{Outcome: NoConnect, Err: errors.Wrapf(err, "connect, searcher %s", p.addr)})
 }
 
-// take gives an idle connection, or none when one may be dialled, which is counted as open from then on.
-func (p *Pool) take(now time.Time) (*conn, error) {
+// acquire returns an idle connection. It returns nil without an error if a connection may be dialed, and counts it as open.
+func (p *Pool) acquire(now time.Time) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -175,135 +179,136 @@
 		c := p.idle[len(p.idle)-1]
 		p.idle[len(p.idle)-1] = nil
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Sub(c.since) < c.most {
+		if now.Sub(c.idleSince) < c.idleTimeout {
 			return c, nil
 		}
-		p.open--
+		p.openCount--
 		c.nc.Close()
 	}
-	if p.open >= p.opts.ConnMost {
+	if p.openCount >= p.opts.ConnMost {
 		return nil, ErrFull
 	}
-	p.open++
+	p.openCount++
 	return nil, nil
 }
 
-// isTimeout tells whether a dial ended for want of time.
+// isTimeout reports whether a dial ended by a timeout.
 func isTimeout(err error) bool {
-	var fault net.Error
-	return errors.As(err, &fault) && fault.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// connectBy is until when a call's connection has to be there, and its other end known.
-func (p *Pool) connectBy(call *Call, now time.Time) time.Time {
-	until := now.Add(p.opts.ConnectTimeout)
-	if !call.Deadline.IsZero() && call.Deadline.Before(until) {
-		return call.Deadline
+// connectDeadline returns when the connection has to be established and its peer identified.
+func (p *Pool) connectDeadline(exchange *Call, now time.Time) time.Time {
+	deadline := now.Add(p.opts.ConnectTimeout)
+	if !exchange.Deadline.IsZero() && exchange.Deadline.Before(deadline) {
+		return exchange.Deadline
 	}
-	return until
+	return deadline
 }
 
-func (p *Pool) dial(call *Call, until time.Time) (*conn, error) {
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+// dial establishes a connection. If the pool is retired meanwhile, release closes it.
+func (p *Pool) dial(exchange *Call, deadline time.Time) (*conn, error) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	if !call.attach(cancel) {
+	if !exchange.setAbort(cancel) {
 		return nil, context.Canceled
 	}
 	p.mu.Lock()
-	life := p.life
+	generation := p.generation
 	p.mu.Unlock()
 	nc, err := p.dialer.DialContext(ctx, "tcp", p.addr)
-	call.detach()
+	exchange.clearAbort()
 	if err != nil {
 		return nil, err
 	}
-	return newConn(nc.(*net.TCPConn), life, p.opts.IdleMost)
+	return newConn(nc.(*net.TCPConn), generation, p.opts.IdleMost)
 }
 
-// lose closes a connection, or counts off one that never came about.
-func (p *Pool) lose(c *conn) {
+// discard closes a connection, or with nil releases the slot of one that was never established.
+func (p *Pool) discard(c *conn) {
 	if c != nil {
 		c.nc.Close()
 	}
 	p.mu.Lock()
-	p.open--
+	p.openCount--
 	p.mu.Unlock()
 }
 
-// put lays a connection by for further use. How long it may idle counts from its last answer, as it does at the other
-// end.
-func (p *Pool) put(c *conn) {
-	if c.wrote || c.since.IsZero() {
-		c.since = time.Now()
+// release returns a connection to the pool. Its idle time counts from its last response, as it does at the searcher.
+func (p *Pool) release(c *conn) {
+	if c.wrote || c.idleSince.IsZero() {
+		c.idleSince = time.Now()
 	}
 	c.wrote = false
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || c.life != p.life {
-		p.open--
+	if p.closed || c.generation != p.generation {
+		p.openCount--
 		c.nc.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
-	p.sweepAt(c.since.Add(c.most))
+	p.scheduleSweep(c.idleSince.Add(c.idleTimeout))
 }
 
-// sweepAt makes sure that a sweep is due by then. Mostly one is: each connection goes back later than the last.
-func (p *Pool) sweepAt(then time.Time) {
-	if !p.next.IsZero() && !then.Before(p.next) {
+// scheduleSweep makes sure that a sweep runs by the given time. Usually one is already scheduled, because connections
+// are released in order of time.
+func (p *Pool) scheduleSweep(at time.Time) {
+	if !p.nextSweep.IsZero() && !at.Before(p.nextSweep) {
 		return
 	}
-	p.next = then
-	if wait := time.Until(then); p.sweeps == nil {
-		p.sweeps = time.AfterFunc(wait, p.sweep)
+	p.nextSweep = at
+	if wait := time.Until(at); p.sweepTimer == nil {
+		p.sweepTimer = time.AfterFunc(wait, p.sweep)
 	} else {
-		p.sweeps.Reset(wait)
+		p.sweepTimer.Reset(wait)
 	}
 }
 
-// sweep closes the connections that lay idle for too long.
+// sweep closes connections whose idle timeout has passed.
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, kept := time.Now(), p.idle[:0]
 	var next time.Time
 	for _, c := range p.idle {
-		end := c.since.Add(c.most)
-		if !now.Before(end) {
-			p.open--
+		expiry := c.idleSince.Add(c.idleTimeout)
+		if !now.Before(expiry) {
+			p.openCount--
 			c.nc.Close()
 			continue
 		}
 		kept = append(kept, c)
-		if next.IsZero() || end.Before(next) {
-			next = end
+		if next.IsZero() || expiry.Before(next) {
+			next = expiry
 		}
 	}
 	clear(p.idle[len(kept):])
-	p.idle, p.next = kept, time.Time{}
+	p.idle, p.nextSweep = kept, time.Time{}
 	if !next.IsZero() {
-		p.sweepAt(next)
+		p.scheduleSweep(next)
 	}
 }
 
-// Retire closes the idle connections and has those in use closed after their present request: whoever answers at the
-// address may have changed.
+// Retire closes the idle connections, and those in use after their current request: another searcher may be using the
+// address now.
 func (p *Pool) Retire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.life++
+	p.generation++
 	for _, c := range p.idle {
-		p.open--
+		p.openCount--
 		c.nc.Close()
 	}
 	clear(p.idle)
-	p.idle, p.next = p.idle[:0], time.Time{}
-	if p.sweeps != nil {
-		p.sweeps.Stop()
+	p.idle, p.nextSweep = p.idle[:0], time.Time{}
+	if p.sweepTimer != nil {
+		p.sweepTimer.Stop()
 	}
 }
 
-// Close retires the pool and turns further calls away. Requests under way end as they would have.
+// Close retires the pool and rejects further calls. Requests in flight run to their end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -311,25 +316,25 @@
 	p.Retire()
 }
 
-// Follow changes the bound on connections and the path of probes, from the next call on; 0 is the default bound. What is open above the
-// bound stays open till its end.
-func (p *Pool) Follow(connMost int, probePath string) {
+// Follow changes the maximum number of connections (0 for the default) and the probe path for further calls. Connections
+// that exceed a lower maximum are not closed early.
+func (p *Pool) Follow(maxConns int, probePath string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opts.ConnMost, p.opts.ProbePath = connMost, probePath
-	orElse(&p.opts.ConnMost, connMostUsual)
+	p.opts.ConnMost, p.opts.ProbePath = maxConns, probePath
+	setDefault(&p.opts.ConnMost, defaultMaxConns)
 }
 
-// Idle tells how many connections lie idle.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle)
 }
 
-// Open tells how many connections there are, those in use or being dialled included.
+// Open returns the number of connections, including those in use or being dialed.
 func (p *Pool) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open
+	return p.openCount
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -18,30 +18,31 @@
 	"peathollow/internal/standin/faulty"
 )
 
-// setup starts a faulty searcher and a pool to it.
 // tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 0x12
 
-func setup(t *testing.T, ro faulty.Options, o Options) (*faulty.Server, *Pool) {
-	s, err := faulty.Start(ro)
+// setup starts a faulty searcher and a pool of connections to it.
+func setup(t *testing.T, serverOptions faulty.Options, options Options) (*faulty.Server, *Pool) {
+	server, err := faulty.Start(serverOptions)
 	must.NoError(t, err)
-	p := NewPool(s.Addr(), o)
-	t.Cleanup(func() { p.Close(); s.Close() })
-	return s, p
+	pool := NewPool(server.Addr(), options)
+	t.Cleanup(func() { pool.Close(); server.Close() })
+	return server, pool
 }
 
-func get(id string) *Call {
+// newExchange returns a call with a deadline of 20 s.
+func newExchange(id string) *Call {
 	return &Call{Request: Request{Method: "GET", Path: "/p/" + id, Host: "h.example", AttemptID: id},
 		Deadline: time.Now().Add(20 * time.Second)}
 }
 
-func eventually(t *testing.T, f func() bool) {
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
 }
 
-// heard waits until there is something to read on every idle connection.
-func heard(t *testing.T, p *Pool) {
+// waitReadable waits until every idle connection has something to read.
+func waitReadable(t *testing.T, p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
@@ -54,172 +55,173 @@
 	}
 }
 
-// TestStale: an idle connection that ended or spoke up is found out before anything is written to it.
+// TestStale checks that an idle connection that was closed or has received data is detected before a request is written to it.
 func TestStale(t *testing.T) {
-	for name, spoil := range map[string]func(*faulty.Server) int{
+	for name, disturb := range map[string]func(*faulty.Server) int{
 		"closed": func(s *faulty.Server) int { return s.CloseIdle(false) },
 		"reset":  func(s *faulty.Server) int { return s.CloseIdle(true) },
 		"spoke":  func(s *faulty.Server) int { return s.Say([]byte("HTTP/1.1 408 Timeout\r\n\r\n")) },
 	} {
 		s, p := setup(t, faulty.Options{}, Options{})
-		must.Eq(t, Answered, p.Do(get("a1")).Outcome)
-		must.Eq(t, 1, spoil(s), must.Sprint(name))
-		heard(t, p)
-		a := p.Do(get("a2"))
-		must.Eq(t, Answered, a.Outcome, must.Sprint(name, a.Err))
-		must.True(t, a.Fresh)
+		must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
+		must.Eq(t, 1, disturb(s), must.Sprint(name))
+		waitReadable(t, p)
+		response := p.Do(newExchange("a2"))
+		must.Eq(t, Answered, response.Outcome, must.Sprint(name, response.Err))
+		must.True(t, response.Fresh)
 		must.Eq(t, 1, s.Ledger().Arrived("a2"))
 		must.Eq(t, 1, p.Open())
 	}
 }
 
-// busy sends n requests that stay at work until release is called, and gives a channel of their answers.
-func busy(t *testing.T, s *faulty.Server, p *Pool, n int) (calls []*Call, answers chan Answer, release func()) {
-	hold, at := make(chan struct{}), make(chan struct{})
-	s.SetScript(func(faulty.Call) faulty.Reply { at <- struct{}{}; return faulty.Reply{Hold: hold} })
-	answers = make(chan Answer, n)
+// startBlocked sends n requests that block at the searcher until release is called. Their responses go to the channel.
+func startBlocked(t *testing.T, server *faulty.Server, pool *Pool, n int) (exchanges []*Call,
+	responses chan Answer, release func()) {
+	unblock, arrived := make(chan struct{}), make(chan struct{})
+	server.SetScript(func(faulty.Call) faulty.Reply { arrived <- struct{}{}; return faulty.Reply{Hold: unblock} })
+	responses = make(chan Answer, n)
 	for i := range n {
-		c := get(fmt.Sprint("busy", i))
-		calls = append(calls, c)
-		go func() { answers <- p.Do(c) }()
+		c := newExchange(fmt.Sprint("busy", i))
+		exchanges = append(exchanges, c)
+		go func() { responses <- pool.Do(c) }()
 	}
 	for range n {
-		<-at
+		<-arrived
 	}
-	s.SetScript(nil)
-	return calls, answers, sync.OnceFunc(func() { close(hold) })
+	server.SetScript(nil)
+	return exchanges, responses, sync.OnceFunc(func() { close(unblock) })
 }
 
-// TestBounds: connections are never more than may be, the last used goes first, and the others age out.
-func TestBounds(t *testing.T) {
+// TestConnectionLimit checks the maximum number of connections, the reuse of the most recently used one, and the idle timeout.
+func TestConnectionLimit(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{ConnMost: 3})
-	_, answers, release := busy(t, s, p, 3)
-	a := p.Do(get("a1"))
-	must.Eq(t, NoConnect, a.Outcome)
-	must.ErrorIs(t, a.Err, ErrFull)
-	must.True(t, a.NeverRan())
+	_, responses, release := startBlocked(t, s, p, 3)
+	response := p.Do(newExchange("a1"))
+	must.Eq(t, NoConnect, response.Outcome)
+	must.ErrorIs(t, response.Err, ErrFull)
+	must.True(t, response.NeverRan())
 	must.Eq(t, 3, p.Open())
 	release()
 	for range 3 {
-		must.Eq(t, Answered, (<-answers).Outcome)
+		must.Eq(t, Answered, (<-responses).Outcome)
 	}
 	must.Eq(t, 3, p.Idle())
 	oldest, last := p.idle[0], p.idle[2]
 	for range 5 {
-		must.Eq(t, Answered, p.Do(get("a2")).Outcome)
+		must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
 		must.True(t, p.idle[2] == last)
 	}
 	must.Eq(t, 3, s.Accepted())
 	p.mu.Lock()
-	oldest.since = oldest.since.Add(-time.Hour)
+	oldest.idleSince = oldest.idleSince.Add(-time.Hour)
 	p.mu.Unlock()
 	p.sweep()
 	must.Eq(t, 2, p.Open())
 	p.mu.Lock()
 	for _, c := range p.idle {
-		c.since = c.since.Add(-time.Hour)
+		c.idleSince = c.idleSince.Add(-time.Hour)
 	}
 	p.mu.Unlock()
-	a = p.Do(get("a3")) // too old, whether or not a sweep came by
-	must.True(t, a.Outcome == Answered && a.Fresh)
+	response = p.Do(newExchange("a3")) // expired, whether or not a sweep has run
+	must.True(t, response.Outcome == Answered && response.Fresh)
 	must.Eq(t, 1, p.Open())
 }
 
-func TestIdleEnds(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	s, p := setup(t, faulty.Options{KeepAliveS: 1}, Options{IdleMost: time.Hour})
-	must.Eq(t, Answered, p.Do(get("a1")).Outcome)
-	eventually(t, func() bool { return p.Open() == 0 }) // by the sweep alone
+	must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
+	eventually(t, func() bool { return p.Open() == 0 }) // closed by the sweep alone
 	_, p = setup(t, faulty.Options{}, Options{IdleMost: 20 * time.Millisecond})
-	must.Eq(t, Answered, p.Do(get("a1")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
 	eventually(t, func() bool { return p.Open() == 0 })
 	s.SetScript(func(faulty.Call) faulty.Reply { return faulty.Reply{Header: []string{"Keep-Alive: timeout=0"}} })
 	p = NewPool(s.Addr(), Options{})
-	must.Eq(t, Answered, p.Do(get("a2")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
 	must.Eq(t, 0, p.Open())
 }
 
 func TestRetireAndClose(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{})
-	must.Eq(t, Answered, p.Do(get("a1")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
 	p.Retire()
 	must.Eq(t, 0, p.Open())
-	_, answers, release := busy(t, s, p, 2)
+	_, responses, release := startBlocked(t, s, p, 2)
 	p.Retire()
 	release()
 	for range 2 {
-		must.Eq(t, Answered, (<-answers).Outcome)
+		must.Eq(t, Answered, (<-responses).Outcome)
 	}
 	must.Eq(t, 0, p.Open())
-	must.Eq(t, Answered, p.Do(get("a2")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
 	must.Eq(t, 1, p.Idle())
 	p.Close()
 	must.Eq(t, 0, p.Open())
-	a := p.Do(get("a3"))
-	must.True(t, a.Outcome == NoConnect && a.NeverRan())
-	must.ErrorIs(t, a.Err, ErrClosed)
+	response := p.Do(newExchange("a3"))
+	must.True(t, response.Outcome == NoConnect && response.NeverRan())
+	must.ErrorIs(t, response.Err, ErrClosed)
 }
 
-// TestCancel: Do returns, and the searcher sees the connection close and drops the work.
+// TestCancel checks that Do returns, and that the searcher sees the connection close and drops the work.
 func TestCancel(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{})
-	c := get("a0")
+	c := newExchange("a0")
 	c.Cancel()
-	a := p.Do(c)
-	must.True(t, a.Outcome == Cancelled && a.NeverRan())
+	response := p.Do(c)
+	must.True(t, response.Outcome == Cancelled && response.NeverRan())
 	must.Eq(t, 0, s.Ledger().Arrived("a0"))
 
-	calls, answers, release := busy(t, s, p, 1)
+	exchanges, responses, release := startBlocked(t, s, p, 1)
 	defer release()
-	calls[0].Cancel()
-	calls[0].Cancel()
-	a = <-answers
-	must.True(t, a.Outcome == Cancelled && a.Wrote && !a.NeverRan(), must.Sprint(a))
+	exchanges[0].Cancel()
+	exchanges[0].Cancel()
+	response = <-responses
+	must.True(t, response.Outcome == Cancelled && response.Wrote && !response.NeverRan(), must.Sprint(response))
 	must.Eq(t, 0, p.Open())
 	eventually(t, func() bool { return s.Ledger().Dropped("busy0") == 1 })
 
-	c = get("a1")
+	c = newExchange("a1")
 	must.Eq(t, Answered, p.Do(c).Outcome)
-	c.Cancel() // too late to touch a connection that is another's by now
-	c = get("a2")
+	c.Cancel() // too late: the connection may already serve another call
+	c = newExchange("a2")
 	c.Cancel()
-	must.Eq(t, Cancelled, p.Do(c).Outcome) // and one never begun leaves the idle one be
-	a = p.Do(get("a3"))
-	must.True(t, a.Outcome == Answered && !a.Fresh)
+	must.Eq(t, Cancelled, p.Do(c).Outcome) // a call cancelled before it began leaves the idle connection alone
+	response = p.Do(newExchange("a3"))
+	must.True(t, response.Outcome == Answered && !response.Fresh)
 }
 
 func TestDeadlines(t *testing.T) {
 	dropped := make(chan struct{})
 	s, p := setup(t, faulty.Options{}, Options{})
-	must.Eq(t, Answered, p.Do(get("a0")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a0")).Outcome)
 	s.SetScript(func(faulty.Call) faulty.Reply {
 		return faulty.Reply{Way: faulty.Hang, OnDrop: func() { close(dropped) }}
 	})
-	c := get("a1")
+	c := newExchange("a1")
 	c.Deadline = time.Now().Add(500 * time.Millisecond)
-	a := p.Do(c)
-	must.True(t, a.Outcome == TimedOut && a.Wrote && !a.NeverRan(), must.Sprint(a))
+	response := p.Do(c)
+	must.True(t, response.Outcome == TimedOut && response.Wrote && !response.NeverRan(), must.Sprint(response))
 	must.Eq(t, 0, p.Open())
 	<-dropped
 
 	s.SetScript(nil)
-	must.Eq(t, Answered, p.Do(get("a2")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
 	for _, change := range []func(c *Call){
 		func(c *Call) { c.Deadline = time.Now().Add(-time.Second) },
 		func(c *Call) { c.ToldDeadline = time.Now() },
 	} {
-		c := get("a3")
+		c := newExchange("a3")
 		change(c)
-		a := p.Do(c)
-		must.True(t, a.Outcome == NoConnect && a.NeverRan(), must.Sprint(a))
+		response := p.Do(c)
+		must.True(t, response.Outcome == NoConnect && response.NeverRan(), must.Sprint(response))
 		must.Eq(t, 0, s.Ledger().Arrived("a3"))
-		must.Eq(t, 1, p.Idle()) // nothing happened to it
+		must.Eq(t, 1, p.Idle()) // the connection was not used
 	}
-	must.Eq(t, Answered, p.Do(get("a4")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a4")).Outcome)
 	must.Eq(t, 2, s.Accepted())
 }
 
-// deaf gives an address whose queue of new connections is full, so that dials hang.
-func deaf(t *testing.T) string {
+// unansweredAddress returns an address whose accept queue is full, so that dials hang.
+func unansweredAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	must.NoError(t, err)
 	t.Cleanup(func() { syscall.Close(fd) })
@@ -235,48 +237,49 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("the queue never fills")
+	t.Fatal("accept queue does not fill up")
 	return ""
 }
 
 func TestNoConnect(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{})
 	s.Close()
-	a := p.Do(get("a1"))
-	must.True(t, a.Outcome == NoConnect && a.NeverRan())
-	must.ErrorIs(t, a.Err, syscall.ECONNREFUSED)
-	must.StrContains(t, a.Err.Error(), s.Addr())
+	response := p.Do(newExchange("a1"))
+	must.True(t, response.Outcome == NoConnect && response.NeverRan())
+	must.ErrorIs(t, response.Err, syscall.ECONNREFUSED)
+	must.StrContains(t, response.Err.Error(), s.Addr())
 
-	p = NewPool(deaf(t), Options{ConnectTimeout: 30 * time.Millisecond})
-	a = p.Do(get("a2"))
-	must.True(t, a.Outcome == NoConnect && a.NeverRan())
+	p = NewPool(unansweredAddress(t), Options{ConnectTimeout: 30 * time.Millisecond})
+	response = p.Do(newExchange("a2"))
+	must.True(t, response.Outcome == NoConnect && response.NeverRan())
 	p.opts.ConnectTimeout = time.Hour
-	c := get("a3")
+	c := newExchange("a3")
 	c.Deadline = time.Now().Add(30 * time.Millisecond)
 	must.Eq(t, NoConnect, p.Do(c).Outcome)
-	c = get("a4")
+	c = newExchange("a4")
 	done := make(chan Answer)
 	go func() { done <- p.Do(c) }()
 	eventually(t, func() bool { return p.Open() == 1 })
 	c.Cancel()
-	a = <-done
-	must.True(t, a.Outcome == Cancelled && a.NeverRan())
+	response = <-done
+	must.True(t, response.Outcome == Cancelled && response.NeverRan())
 	must.Eq(t, 0, p.Open())
 
 	s, p = setup(t, faulty.Options{ConnLimit: 1}, Options{})
-	_, answers, release := busy(t, s, p, 1)
-	a = p.Do(get("a5")) // reset at the door: whether before or after the write is the kernel's affair
-	must.True(t, a.Outcome == NoConnect && !a.Wrote || a.Outcome == Broken && a.Wrote, must.Sprint(a))
+	_, responses, release := startBlocked(t, s, p, 1)
+	response = p.Do(newExchange("a5")) // reset by the searcher, seen before or after the write depending on the kernel
+	must.True(t, response.Outcome == NoConnect && !response.Wrote || response.Outcome == Broken && response.Wrote, must.Sprint(response))
 	must.Eq(t, 0, s.Ledger().Arrived("a5"))
 	release()
-	must.Eq(t, Answered, (<-answers).Outcome)
+	must.Eq(t, Answered, (<-responses).Outcome)
 }
 
 func TestSocketOptions(t *testing.T) {
 	_, p := setup(t, faulty.Options{}, Options{})
-	must.Eq(t, Answered, p.Do(get("a1")).Outcome)
+	must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
 	must.NoError(t, p.idle[0].raw.Control(func(fd uintptr) {
-		for opt, want := range map[int]int{tcpUserTimeout: 3000, syscall.TCP_NODELAY: 1, syscall.TCP_KEEPIDLE: 2, syscall.TCP_KEEPINTVL: 1} {
+		for opt, want := range map[int]int{tcpUserTimeout: 3000, syscall.TCP_NODELAY: 1, syscall.TCP_KEEPIDLE: 2,
+			syscall.TCP_KEEPINTVL: 1} {
 			got, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, opt)
 			must.NoError(t, err)
 			must.Eq(t, want, got)
@@ -286,9 +289,9 @@
 	}))
 }
 
-// TestHammer: whatever a searcher and the callers do at once, an answer is the request's own, nothing is sent twice and
-// no connection is lost count of.
-func TestHammer(t *testing.T) {
+// TestConcurrentFaults checks under random faults and cancellations that a response belongs to its request, no request is sent twice,
+// and the count of open connections stays correct.
+func TestConcurrentFaults(t *testing.T) {
 	s, p := setup(t, faulty.Options{Capacity: 4, Queue: 2, KeepAliveS: 5}, Options{ConnMost: 12})
 	s.SetScript(func(c faulty.Call) faulty.Reply {
 		var way faulty.Way
@@ -297,23 +300,23 @@
 		}
 		return faulty.Reply{Way: way, Work: time.Duration(rand.IntN(300)) * time.Microsecond}
 	})
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for g := range 16 {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := range 60 {
-				c := get(fmt.Sprintf("g%d-%d", g, i))
+				c := newExchange(fmt.Sprintf("g%d-%d", g, i))
 				c.Deadline = time.Now().Add(200 * time.Millisecond)
 				if i%7 == 0 {
 					stop := time.AfterFunc(time.Duration(rand.IntN(500))*time.Microsecond, c.Cancel)
 					defer stop.Stop()
 				}
-				a := p.Do(c)
-				if a.NeverRan() && s.Ledger().Ran(c.AttemptID) > 0 {
-					t.Error("ran though it never did", c.AttemptID, a)
+				response := p.Do(c)
+				if response.NeverRan() && s.Ledger().Ran(c.AttemptID) > 0 {
+					t.Error("reported as not run, but ran", c.AttemptID, response)
 				}
 				whole := faulty.Records(s.ID(), c.Path, 4)
-				if a.Outcome == Answered && a.Status == 200 && !bytes.HasPrefix(whole, a.Body) {
-					t.Error("another's answer", c.AttemptID, a)
+				if response.Outcome == Answered && response.Status == 200 && !bytes.HasPrefix(whole, response.Body) {
+					t.Error("response to another request", c.AttemptID, response)
 				}
 				if p.Open() > 12 {
 					t.Error("too many connections")
@@ -321,16 +324,16 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	must.SliceEmpty(t, s.Ledger().Twice(nil))
 	must.Eq(t, p.Idle(), p.Open())
 }
 
-// TestShortWrite: of a request that only partly went out, nobody knows.
+// TestShortWrite checks that a request that was written only partly is reported as one that may have run.
 func TestShortWrite(t *testing.T) {
-	for want, end := range map[Outcome]func(*net.TCPConn){
+	for want, endConn := range map[Outcome]func(*net.TCPConn){
 		Broken:   func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		TimedOut: func(c *net.TCPConn) {}, // reads no more
+		TimedOut: func(c *net.TCPConn) {}, // stops reading
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
@@ -338,19 +341,19 @@
 		go func() {
 			if c, err := ln.Accept(); err == nil {
 				io.CopyN(io.Discard, c, 1000)
-				end(c.(*net.TCPConn))
-				ln.Accept() // keeps c
+				endConn(c.(*net.TCPConn))
+				ln.Accept() // blocks, so that c stays open
 				c.Close()
 			}
 		}()
 		p := NewPool(ln.Addr().String(), Options{})
-		c := get("a1")
+		c := newExchange("a1")
 		c.Method, c.Body = "POST", []byte(strings.Repeat("x", 64<<20))
 		if want == TimedOut {
 			c.Deadline = time.Now().Add(time.Second)
 		}
-		a := p.Do(c)
-		must.True(t, a.Outcome == want && a.Wrote && !a.NeverRan(), must.Sprint(a.Outcome, a.Err))
+		response := p.Do(c)
+		must.True(t, response.Outcome == want && response.Wrote && !response.NeverRan(), must.Sprint(response.Outcome, response.Err))
 		must.Eq(t, 0, p.Open())
 	}
 }
--- a/internal/upstream/types.go
+++ b/internal/upstream/types.go
@@ -9,33 +9,33 @@
 // Header is one header field.
 type Header struct{ Name, Value string }
 
-// Request is what goes out. The method, path and body go as they are.
+// Request is the request to send. Method, path and body are sent unchanged.
 type Request struct {
 	Method string
-	Path   string // with the query
-	Host   string // empty: the searcher's address
-	// Headers are the end-to-end ones to pass on. Fields that this package writes itself, or that concern one
-	// connection, are left out whatever is given: a second length would let one request hide inside another.
+	Path   string // including the query
+	Host   string // if empty, the searcher's address
+	// Headers are the end-to-end fields to pass on. Fields that this package writes itself and hop-by-hop fields are
+	// dropped: a second Content-Length would allow request smuggling.
 	Headers []Header
-	// AttemptID goes out as Attempt-Id and must come back. Without one the request is a probe: its answer must
-	// carry no id and needs no seal.
+	// AttemptID is sent as Attempt-Id, and the response must carry the same value. A request without an AttemptID is a
+	// probe: its response must carry no id and needs no seal.
 	AttemptID string
-	Target    string // Target-Searcher, if not empty
+	Target    string // sent as Target-Searcher if not empty
 	Body      []byte
 }
 
-// Outcome is what became of a request.
+// Outcome is the result of a request.
 type Outcome uint8
 
 const (
-	Answered    Outcome = iota + 1 // a whole answer to this request, of any status
-	NotExecuted                    // the searcher says that it has not run it
-	NoConnect                      // no byte was written: refused, reset, no free connection or out of time
-	Broken                         // written at least partly, then the connection failed; may have run
-	TimedOut                       // written at least partly, then the deadline passed; may have run
-	Garbled                        // what came back can't be trusted; may have run
-	Cancelled                      // may have run if Wrote
-	Unsendable                     // the request can't be put on the wire as it is; nothing was written
+	Answered    Outcome = iota + 1 // a complete response to this request, with any status
+	NotExecuted                    // the searcher states that it has not run the request
+	NoConnect                      // no byte was written: connection refused or reset, no free connection, or timed out
+	Broken                         // the connection failed after at least part of the request was written; it may have run
+	TimedOut                       // the deadline passed after at least part of the request was written; it may have run
+	Garbled                        // the response is invalid; the request may have run
+	Cancelled                      // cancelled by the caller; the request may have run if Wrote is set
+	Unsendable                     // the request cannot be encoded as HTTP; nothing was written
 )
 
 var outcomeNames = [...]string{"none", "answered", "not executed", "no connect", "broken", "timed out", "garbled",
@@ -48,55 +48,55 @@
 	return "outcome " + strconv.Itoa(int(o))
 }
 
-// Load is what a searcher says of itself in Searcher-Load.
+// Load is the load that a searcher reports in Searcher-Load.
 type Load struct{ Running, Waiting, Slots int }
 
-// Answer is a searcher's answer, or why there is none. Strings and body are the caller's to keep.
+// Answer is a searcher's response, or the reason why there is none. The caller owns its strings and its body.
 type Answer struct {
 	Outcome     Outcome
-	Status      int    // also of an answer that was cut after its head; 0 without one
-	Seal        string // Answer-Seal
+	Status      int    // also set if the response was cut off after its head; 0 if there was no head
+	Seal        string // value of Answer-Seal
 	SearcherID  string
-	Headers     []Header // the end-to-end ones, as sent, of Answered and NotExecuted
+	Headers     []Header // end-to-end fields as received; set for Answered and NotExecuted
 	Body        []byte
 	Load        Load
 	HasLoad     bool
-	NotExecuted bool // the Not-Executed header was there, believed or not
+	NotExecuted bool // the Not-Executed header was present, whether or not it was accepted
 	RetryAfter  time.Duration
-	Wrote       bool          // at least one byte of the request was handed to the kernel
-	Unreachable bool          // no connection to the address came about, though the call had the time that one may take
-	Fresh       bool          // went over a new connection, or would have
-	Idle        time.Duration // how long the connection had lain idle
+	Wrote       bool          // at least one byte of the request was passed to the kernel
+	Unreachable bool          // connecting failed although the full connect timeout was available
+	Fresh       bool          // used, or would have used, a new connection
+	Idle        time.Duration // how long the connection was idle before this request
 	Err         error         // nil for Answered and NotExecuted
 }
 
-// NeverRan tells whether the searcher has surely not run the request and never will.
+// NeverRan reports whether the searcher has certainly not run the request and never will.
 func (a *Answer) NeverRan() bool { return a.Outcome == NotExecuted || !a.Wrote }
 
-// misdirected is the status by which a searcher says that another one was meant.
-const misdirected = 421
+// statusMisdirected is the status with which a searcher rejects a request intended for another one.
+const statusMisdirected = 421
 
-// Misdirected tells whether the searcher's address turned out to be another's.
-func (a *Answer) Misdirected() bool { return a.Outcome == NotExecuted && a.Status == misdirected }
+// Misdirected reports whether the address turned out to belong to another searcher.
+func (a *Answer) Misdirected() bool { return a.Outcome == NotExecuted && a.Status == statusMisdirected }
 
-// Call is one request under way. It serves for one Do.
+// Call is one request in flight. It may be passed to Do only once.
 type Call struct {
 	Request
-	// Deadline is when Do gives up; none if zero.
+	// Deadline is when Do gives up; zero means no deadline.
 	Deadline time.Time
-	// ToldDeadline goes out in Deadline-Ms as what is left of it at the moment of writing; none if zero. Once it has
-	// passed, nothing is written.
+	// ToldDeadline is sent in Deadline-Ms as the time remaining when the request is written; zero means none. Once it
+	// has passed, nothing is written.
 	ToldDeadline time.Time
-	// VouchedUntil is until when a connection that is made to the address may be taken for one to the searcher; see identity.go.
+	// VouchedUntil is the time before which a new connection to the address is assumed to reach the searcher; see identity.go.
 	VouchedUntil time.Time
 
 	mu        sync.Mutex
 	cancelled bool
-	abort     func() // ends what the call waits for now
+	abort     func() // interrupts the operation that the call is blocked on
 }
 
-// Cancel ends the call: its Do returns promptly and its connection is closed, as searchers drop work whose connection
-// closes. It may come from any goroutine, before, during or after Do, any number of times.
+// Cancel ends the call: Do returns promptly and closes the connection, because searchers drop work whose connection
+// closes. Cancel may be called from any goroutine, before, during or after Do, any number of times.
 func (c *Call) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,8 +107,8 @@
 	}
 }
 
-// attach says how Cancel ends what comes next; false if the call is cancelled already.
-func (c *Call) attach(abort func()) bool {
+// setAbort sets how Cancel interrupts the next operation. It returns false if the call was already cancelled.
+func (c *Call) setAbort(abort func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cancelled {
@@ -118,8 +118,9 @@
 	return true
 }
 
-// detach takes abort back: after it Cancel touches nothing. False if the call was cancelled before.
-func (c *Call) detach() bool {
+// clearAbort removes the abort function, so that Cancel no longer affects the connection. It returns false if the call was
+// cancelled before.
+func (c *Call) clearAbort() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.abort = nil
