--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,6 +1,7 @@
-// Package connlimit bounds how many connections an HTTP server has open. A process has so many descriptors, and those that its
-// callers take up are missing where it dials itself: searchers would seem to be unreachable. Beyond the bound the connection that
-// has rested longest makes room; if none rests, the newest is closed unread, which its caller may take for never sent.
+// Package connlimit limits the number of open connections of an HTTP server. A process has a limited number of file descriptors, and
+// those that its clients use up are missing for its own connections: searchers would appear unreachable. When the limit is reached,
+// the longest idle connection is closed for a new one. If none is idle, the new connection is closed unread, so that its client may
+// treat the request as never sent.
 package connlimit
 
 import (
@@ -10,29 +11,29 @@
 	"sync"
 )
 
-// Limit is the bound of one server.
+// Limit is the connection limit of one server.
 type Limit struct {
-	most int
+	maxConns int
 
 	mu      sync.Mutex
-	open    map[net.Conn]*list.Element // nil while it has a request in hand
-	resting *list.List                 // net.Conn, that which has rested longest first
+	open    map[net.Conn]*list.Element // element in idle; nil while a request is in progress
+	idle    *list.List                 // net.Conn, longest idle first
 	evicted uint64
 	refused uint64
 }
 
-// New makes a bound of so many connections.
-func New(most int) *Limit {
-	return &Limit{most: most, open: map[net.Conn]*list.Element{}, resting: list.New()}
+// New creates a limit of maxConns connections.
+func New(maxConns int) *Limit {
+	return &Limit{maxConns: maxConns, open: map[net.Conn]*list.Element{}, idle: list.New()}
 }
 
-// Bind has a server go by the bound; its connections have to come from Listen.
-func (l *Limit) Bind(s *http.Server) { s.ConnState = l.state }
+// Bind makes a server report its connections to the limit; they have to come from Listen.
+func (l *Limit) Bind(server *http.Server) { server.ConnState = l.onStateChange }
 
-// Listen gives a listener that goes by the bound.
+// Listen returns a listener that enforces the limit.
 func (l *Limit) Listen(ln net.Listener) net.Listener { return listener{ln, l} }
 
-// Counts tells how many connections are open, how many made room for others, and how many found none.
+// Counts returns how many connections are open, were evicted for new ones, and were refused.
 func (l *Limit) Counts() (open int, evicted, refused uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,7 +45,7 @@
 	limit *Limit
 }
 
-// Accept gives the next connection that there is room for.
+// Accept returns the next connection that the limit admits.
 func (ln listener) Accept() (net.Conn, error) {
 	for {
 		c, err := ln.Listener.Accept()
@@ -55,56 +56,56 @@
 	}
 }
 
-// admit tells whether there is room for one more, and makes some where that is needed and can be done.
+// admit reports whether another connection may be opened. At the limit it evicts the longest idle connection.
 func (l *Limit) admit() bool {
 	l.mu.Lock()
-	if len(l.open) < l.most {
+	if len(l.open) < l.maxConns {
 		l.mu.Unlock()
 		return true
 	}
-	oldest := l.resting.Front()
-	if oldest == nil {
+	longestIdle := l.idle.Front()
+	if longestIdle == nil {
 		l.refused++
 		l.mu.Unlock()
 		return false
 	}
-	c := oldest.Value.(net.Conn)
-	l.forget(c)
+	c := longestIdle.Value.(net.Conn)
+	l.remove(c)
 	l.evicted++
 	l.mu.Unlock()
 	c.Close()
 	return true
 }
 
-// state follows a connection; see http.Server.ConnState.
-func (l *Limit) state(c net.Conn, s http.ConnState) {
+// onStateChange tracks the state of a connection; see http.Server.ConnState.
+func (l *Limit) onStateChange(c net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch s {
+	switch state {
 	case http.StateNew:
-		l.open[c] = l.resting.PushBack(c)
+		l.open[c] = l.idle.PushBack(c)
 	case http.StateActive:
-		l.wake(c)
+		l.removeFromIdle(c)
 	case http.StateIdle:
-		l.wake(c)
+		l.removeFromIdle(c)
 		if _, known := l.open[c]; known {
-			l.open[c] = l.resting.PushBack(c)
+			l.open[c] = l.idle.PushBack(c)
 		}
 	case http.StateClosed, http.StateHijacked:
-		l.forget(c)
+		l.remove(c)
 	}
 }
 
-// wake takes a connection out of those that rest; the lock is held.
-func (l *Limit) wake(c net.Conn) {
-	if at := l.open[c]; at != nil {
-		l.resting.Remove(at)
+// removeFromIdle removes a connection from the idle list. The lock must be held.
+func (l *Limit) removeFromIdle(c net.Conn) {
+	if element := l.open[c]; element != nil {
+		l.idle.Remove(element)
 		l.open[c] = nil
 	}
 }
 
-// forget drops a connection; the lock is held.
-func (l *Limit) forget(c net.Conn) {
-	l.wake(c)
+// remove stops tracking a connection. The lock must be held.
+func (l *Limit) remove(c net.Conn) {
+	l.removeFromIdle(c)
 	delete(l.open, c)
 }
--- a/internal/hangup/doc.go
+++ b/internal/hangup/doc.go
@@ -1,8 +1,9 @@
-// Package hangup keeps a process that serves from being ended by a SIGHUP that comes while it starts. The runtime ends a
-// program by that signal until the program asks for it, and that is after the start of all packages: some milliseconds, and
-// ten times as many on a machine of a tenth of a core. Reloading settings is planned work and may come at any moment.
+// Package hangup prevents a SIGHUP that arrives during startup from terminating a serving process. The Go runtime lets the
+// signal terminate a program until the program calls signal.Notify, which happens only after all packages are initialized:
+// some milliseconds after the start, and ten times as many on a machine with a tenth of a core. Operators reload the
+// settings by SIGHUP in routine maintenance, so the signal may arrive at any time.
 //
-// Before the runtime starts, the signal is set to be ignored where the arguments name a command that serves. The runtime
-// leaves an ignored SIGHUP as it is until the program asks for it, which each such command does first. Other commands end by
-// it as any program does. Without cgo nothing is set, and the start is as it was.
+// If the arguments name a command that serves, the signal is set to be ignored before the runtime starts. The runtime leaves an
+// ignored SIGHUP alone until the program calls signal.Notify, which each such command does first. Other commands are
+// terminated by the signal as usual. Without cgo nothing is set, and the process can be terminated while it starts.
 package hangup
--- a/internal/hangup/ignore_linux.go
+++ b/internal/hangup/ignore_linux.go
@@ -7,7 +7,7 @@
 #include <signal.h>
 #include <string.h>
 
-// The C library hands a program's arguments to what runs before main; that is so with glibc.
+// glibc passes the arguments of the program to constructors; other C libraries may not.
 #ifdef __GLIBC__
 static int serves(const char *command) {
 	static const char *const commands[] = {"proxy", "agent", "controller", "quay", "tender", "harbour", "serve"};
--- a/internal/keepalive/accept.go
+++ b/internal/keepalive/accept.go
@@ -8,23 +8,23 @@
 	"github.com/go-faster/errors"
 )
 
-// acceptPause is waited after a fault that passes, such as being out of descriptors.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a temporary error, such as running out of file descriptors.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// Accept serves each connection in a goroutine of its own until ctx ends, which closes the listener and what is open. A
-// connection is closed when serve returns. The error is nil when ctx has ended.
+// Accept serves each connection in its own goroutine until ctx ends, which closes the listener and all open connections. A
+// connection is closed when serve returns. Accept returns nil if ctx has ended.
 func Accept(ctx context.Context, ln net.Listener, serve func(net.Conn)) error {
 	stop := context.AfterFunc(ctx, func() { ln.Close() })
 	defer stop()
 	for {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		switch {
 		case err == nil:
 			go func() {
-				defer c.Close()
-				stop := context.AfterFunc(ctx, func() { c.Close() })
+				defer conn.Close()
+				stop := context.AfterFunc(ctx, func() { conn.Close() })
 				defer stop()
-				serve(c)
+				serve(conn)
 			}()
 		case ctx.Err() != nil:
 			return nil
@@ -33,7 +33,7 @@
 		default:
 			select {
 			case <-ctx.Done():
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 			}
 		}
 	}
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -1,5 +1,5 @@
-// Package keepalive makes connections notice a peer that says nothing: a machine without power, or behind a cut, neither
-// refuses nor resets. It decides nothing; the callers give the bounds.
+// Package keepalive makes connections detect a peer that has stopped responding: a machine that lost power or is cut off from
+// the network neither refuses nor resets connections. The callers choose the timeouts.
 package keepalive
 
 import (
@@ -10,21 +10,21 @@
 
 const tcpUserTimeout = 0x12 // TCP_USER_TIMEOUT, which package syscall lacks
 
-// Dialer gives a dialer whose connections end once the peer has acknowledged nothing for the given time, the opening
-// packet included.
-func Dialer(connect, silence time.Duration) net.Dialer {
-	return net.Dialer{Timeout: connect, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
-		return SetSilence(raw, silence)
+// Dialer returns a dialer whose connections end once the peer has acknowledged nothing for userTimeout. This includes the
+// SYN.
+func Dialer(connectTimeout, userTimeout time.Duration) net.Dialer {
+	return net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
+		return SetSilence(raw, userTimeout)
 	}}
 }
 
-// SetSilence bounds how long the kernel waits for a peer that acknowledges nothing.
-func SetSilence(raw syscall.RawConn, most time.Duration) error {
+// SetSilence sets TCP_USER_TIMEOUT, which limits how long the kernel waits for a peer that acknowledges nothing.
+func SetSilence(raw syscall.RawConn, timeout time.Duration) error {
 	var err error
-	if cerr := raw.Control(func(fd uintptr) {
-		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(most.Milliseconds()))
-	}); cerr != nil {
-		return cerr
+	if controlErr := raw.Control(func(fd uintptr) {
+		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
--- a/internal/keepalive/network.go
+++ b/internal/keepalive/network.go
@@ -10,57 +10,57 @@
 	"github.com/go-faster/errors"
 )
 
-// Network is how a process reaches others: TCP in service, a simulated network in tests.
+// Network connects a process with others: over TCP in production, over a simulated network in tests.
 type Network interface {
 	Listen(address string) (net.Listener, error)
-	// Dial gives up after connect; the connection ends once the peer has acknowledged nothing for the time of silence.
-	Dial(ctx context.Context, address string, connect, silence time.Duration) (net.Conn, error)
+	// Dial gives up after connectTimeout. The connection ends once the peer has acknowledged nothing for userTimeout.
+	Dial(ctx context.Context, address string, connectTimeout, userTimeout time.Duration) (net.Conn, error)
 }
 
-// TCP is the network of the machine. With a Relay, connections go through one that a test puts between processes, to cut
-// and slow their links: it is told who calls whom, and answers with a byte once the callee is connected.
+// TCP is the network of the machine. If Relay is set, connections go through a relay that tests put between processes to cut
+// or slow their connections. The relay is sent the names of caller and callee, and replies with one byte once it is connected.
 type TCP struct{ Relay, From string }
 
-// relayAnswer is what a relay says once the callee is connected.
-const relayAnswer = '+'
+// relayConnected is the reply of a relay once it is connected to the callee.
+const relayConnected = '+'
 
-// ErrRelayed is why a connection through a relay came to nothing.
+// ErrRelayed is returned when a relay could not connect.
 var ErrRelayed = errors.New("relay: not connected")
 
 // Listen listens on an address of this machine.
 func (TCP) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// Dial connects to an address.
-func (t TCP) Dial(ctx context.Context, address string, connect, silence time.Duration) (net.Conn, error) {
-	d := Dialer(connect, silence)
+// Dial connects to an address, through the relay if one is set.
+func (t TCP) Dial(ctx context.Context, address string, connectTimeout, userTimeout time.Duration) (net.Conn, error) {
+	dialer := Dialer(connectTimeout, userTimeout)
 	if t.Relay == "" {
-		return d.DialContext(ctx, "tcp", address)
+		return dialer.DialContext(ctx, "tcp", address)
 	}
-	c, err := d.DialContext(ctx, "tcp", t.Relay)
+	conn, err := dialer.DialContext(ctx, "tcp", t.Relay)
 	if err != nil {
 		return nil, err
 	}
-	if err := t.call(ctx, c, address, connect); err != nil {
-		c.Close()
-		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err} // as without a relay
+	if err := t.requestRelay(ctx, conn, address, connectTimeout); err != nil {
+		conn.Close()
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err} // same error type as without a relay
 	}
-	return c, nil
+	return conn, nil
 }
 
-// call has the relay connect to an address.
-func (t TCP) call(ctx context.Context, c net.Conn, address string, within time.Duration) error {
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+// requestRelay makes the relay connect to an address.
+func (t TCP) requestRelay(ctx context.Context, conn net.Conn, address string, timeout time.Duration) error {
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	c.SetDeadline(time.Now().Add(within))
-	if _, err := fmt.Fprintf(c, "%s %s\n", t.From, address); err != nil {
+	conn.SetDeadline(time.Now().Add(timeout))
+	if _, err := fmt.Fprintf(conn, "%s %s\n", t.From, address); err != nil {
 		return err
 	}
-	var b [1]byte
-	if _, err := io.ReadFull(c, b[:]); err != nil {
+	var reply [1]byte
+	if _, err := io.ReadFull(conn, reply[:]); err != nil {
 		return err
 	}
-	if b[0] != relayAnswer {
+	if reply[0] != relayConnected {
 		return ErrRelayed
 	}
-	return c.SetDeadline(time.Time{})
+	return conn.SetDeadline(time.Time{})
 }
--- a/internal/keepalive/redial.go
+++ b/internal/keepalive/redial.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// dialPatience is how long a dial goes on before a sign of life from the other end makes it begin anew: an opening packet
-// that was sent while a machine was without power is sent again only after a second.
-const dialPatience = 100 * time.Millisecond
+// minDialTime is how long a dial lasts before a sign of life from the peer restarts it. A SYN that was sent while the peer had
+// no power is retransmitted only after a second.
+const minDialTime = 100 * time.Millisecond
 
-// DialAgain dials as network does, and begins anew when alive says that the other end lives and the dial has lasted for a
-// while: most likely the other end was not there when it began.
-func DialAgain(ctx context.Context, network Network, address string, connect, silence time.Duration, alive <-chan struct{}) (net.Conn, error) {
-	end := time.Now().Add(connect)
+// DialAgain dials as network does, and restarts the dial when alive reports a sign of life from the peer and the dial has lasted
+// for minDialTime: most likely the peer was down when it began.
+func DialAgain(ctx context.Context, network Network, address string, connectTimeout, userTimeout time.Duration,
+	alive <-chan struct{}) (net.Conn, error) {
+	deadline := time.Now().Add(connectTimeout)
 	for {
-		dialling, stop := context.WithCancel(ctx)
-		anew := make(chan bool, 1)
-		go func() { anew <- awaitSign(dialling, alive, stop) }()
-		c, err := network.Dial(dialling, address, max(time.Until(end), time.Millisecond), silence)
+		dialCtx, stop := context.WithCancel(ctx)
+		restarted := make(chan bool, 1)
+		go func() { restarted <- awaitAlive(dialCtx, alive, stop) }()
+		conn, err := network.Dial(dialCtx, address, max(time.Until(deadline), time.Millisecond), userTimeout)
 		stop()
-		if again := <-anew; err == nil || !again || ctx.Err() != nil || !time.Now().Before(end) {
-			return c, err
+		if restart := <-restarted; err == nil || !restart || ctx.Err() != nil || !time.Now().Before(deadline) {
+			return conn, err
 		}
 	}
 }
 
-// awaitSign stops a dial at the first sign of life once it has lasted for a while, and tells whether it did.
-func awaitSign(dialling context.Context, alive <-chan struct{}, stop func()) bool {
-	patience := time.NewTimer(dialPatience)
-	defer patience.Stop()
+// awaitAlive stops a dial at the first sign of life after minDialTime, and reports whether it did.
+func awaitAlive(dialCtx context.Context, alive <-chan struct{}, stop func()) bool {
+	timer := time.NewTimer(minDialTime)
+	defer timer.Stop()
 	select {
-	case <-patience.C:
-	case <-dialling.Done():
+	case <-timer.C:
+	case <-dialCtx.Done():
 		return false
 	}
 	select {
 	case <-alive:
 		stop()
 		return true
-	case <-dialling.Done():
+	case <-dialCtx.Done():
 		return false
 	}
 }
--- a/internal/keepalive/redial_test.go
+++ b/internal/keepalive/redial_test.go
@@ -10,36 +10,36 @@
 	"github.com/shoenig/test/must"
 )
 
-// waking is a network whose far end takes nothing before some moment: a dial that began earlier hangs.
-type waking struct{ at time.Time }
+// unresponsiveNetwork is a network whose peer accepts no connection before some time: a dial that began earlier hangs.
+type unresponsiveNetwork struct{ until time.Time }
 
-func (waking) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (unresponsiveNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-func (w waking) Dial(ctx context.Context, _ string, connect, _ time.Duration) (net.Conn, error) {
-	if time.Now().Before(w.at) {
-		hang, stop := context.WithTimeout(ctx, connect)
+func (n unresponsiveNetwork) Dial(ctx context.Context, _ string, connectTimeout, _ time.Duration) (net.Conn, error) {
+	if time.Now().Before(n.until) {
+		dialCtx, stop := context.WithTimeout(ctx, connectTimeout)
 		defer stop()
-		<-hang.Done()
-		return nil, hang.Err()
+		<-dialCtx.Done()
+		return nil, dialCtx.Err()
 	}
-	near, _ := net.Pipe()
-	return near, nil
+	local, _ := net.Pipe()
+	return local, nil
 }
 
-// TestDialAgain: a dial that began while the other end was without power ends at its first sign of life, and no sooner.
+// TestDialAgain checks that a dial that began while the peer had no power is restarted at the first sign of life, and not earlier.
 func TestDialAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const off, connect = 250 * time.Millisecond, 450 * time.Millisecond
-		began, alive := time.Now(), make(chan struct{}, 1)
-		time.AfterFunc(off, func() { alive <- struct{}{} })
-		c, err := DialAgain(t.Context(), waking{began.Add(off)}, "a", connect, time.Second, alive)
+		const outage, connectTimeout = 250 * time.Millisecond, 450 * time.Millisecond
+		start, alive := time.Now(), make(chan struct{}, 1)
+		time.AfterFunc(outage, func() { alive <- struct{}{} })
+		conn, err := DialAgain(t.Context(), unresponsiveNetwork{start.Add(outage)}, "a", connectTimeout, time.Second, alive)
 		must.NoError(t, err)
-		must.Eq(t, off, time.Since(began))
-		c.Close()
+		must.Eq(t, outage, time.Since(start))
+		conn.Close()
 
-		began = time.Now()
-		_, err = DialAgain(t.Context(), waking{began.Add(off)}, "a", connect, time.Second, alive) // no sign
+		start = time.Now() // without a sign of life
+		_, err = DialAgain(t.Context(), unresponsiveNetwork{start.Add(outage)}, "a", connectTimeout, time.Second, alive)
 		must.Error(t, err)
-		must.Eq(t, connect, time.Since(began))
+		must.Eq(t, connectTimeout, time.Since(start))
 	})
 }
