--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,7 +1,7 @@
-// Package connlimit limits the number of open connections of an HTTP server. A process has a limited number of file descriptors, and
-// those that its clients use up are missing for its own connections: searchers would appear unreachable. When the limit is reached,
-// the longest idle connection is closed for a new one. If none is idle, the new connection is closed unread, so that its client may
-// treat the request as never sent.
+// Package connlimit limits the number of open connections of an HTTP server. A process has a limited number of file
+// descriptors, and those that its clients use up are missing for its own connections: searchers would appear
+// unreachable. When the limit is reached, the longest idle connection is closed for a new one. If none is idle, the new
+// connection is closed unread, so that its client may treat the request as never sent.
 package connlimit
 
 import (
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -31,8 +31,8 @@
 	return err != nil
 }
 
-// TestLongestIdleConnectionIsEvicted checks that the longest idle connection is closed for a new one, and that the new one is closed
-// if all have a request in progress.
+// TestLongestIdleConnectionIsEvicted checks that the longest idle connection is closed for a new one, and that the new
+// one is closed if all have a request in progress.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unblock := make(chan struct{})
--- a/internal/keepalive/network.go
+++ b/internal/keepalive/network.go
@@ -17,15 +17,16 @@
 	Dial(ctx context.Context, address string, connectTimeout, userTimeout time.Duration) (net.Conn, error)
 }
 
-// TCP is the network of the machine. If Relay is set, connections go through a relay that tests put between processes to cut
-// or slow their connections. The relay is sent the names of caller and callee, and replies with one byte once it is connected.
+// TCP is the network of the machine. If Relay is set, connections go through a relay that tests put between processes
+// to cut or slow their connections. The relay is sent the names of caller and callee, and replies with one byte once it
+// is connected.
 type TCP struct{ Relay, From string }
 
 // relayConnected is the reply of a relay once it is connected to the callee.
 const relayConnected = '+'
 
-// ErrRelayed is returned when a relay could not connect.
-var ErrRelayed = errors.New("relay: not connected")
+// ErrRelay is returned when a relay could not connect.
+var ErrRelay = errors.New("relay: not connected")
 
 // Listen listens on an address of this machine.
 func (TCP) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -60,7 +61,7 @@
 		return err
 	}
 	if reply[0] != relayConnected {
-		return ErrRelayed
+		return ErrRelay
 	}
 	return conn.SetDeadline(time.Time{})
 }
--- a/internal/keepalive/redial.go
+++ b/internal/keepalive/redial.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// minDialTime is how long a dial lasts before a sign of life from the peer restarts it. A SYN that was sent while the peer had
-// no power is retransmitted only after a second.
+// minDialTime is how long a dial lasts before a sign of life from the peer restarts it. A SYN that was sent while the
+// peer had no power is retransmitted only after a second.
 const minDialTime = 100 * time.Millisecond
 
-// DialAgain dials as network does, and restarts the dial when alive reports a sign of life from the peer and the dial has lasted
-// for minDialTime: most likely the peer was down when it began.
+// DialAgain dials as network does, and restarts the dial when alive reports a sign of life from the peer and the dial
+// has lasted for minDialTime: most likely the peer was down when it began.
 func DialAgain(ctx context.Context, network Network, address string, connectTimeout, userTimeout time.Duration,
 	alive <-chan struct{}) (net.Conn, error) {
 	deadline := time.Now().Add(connectTimeout)
--- a/internal/keepalive/redial_test.go
+++ b/internal/keepalive/redial_test.go
@@ -26,7 +26,8 @@
 	return local, nil
 }
 
-// TestDialAgain checks that a dial that began while the peer had no power is restarted at the first sign of life, and not earlier.
+// TestDialAgain checks that a dial that began while the peer had no power is restarted at the first sign of life, and
+// not earlier.
 func TestDialAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage, connectTimeout = 250 * time.Millisecond, 450 * time.Millisecond
--- a/internal/standin/faulty/faulty_test.go
+++ b/internal/standin/faulty/faulty_test.go
@@ -22,21 +22,21 @@
 	defer s.Close()
 	p := upstream.NewPool(s.Addr(), upstream.Options{})
 	defer p.Close()
-	do := func(id string, told time.Duration) upstream.Answer {
-		return p.Do(&upstream.Call{Request: upstream.Request{Method: "GET", Path: "/x", AttemptID: id},
-			ToldDeadline: time.Now().Add(told), Deadline: time.Now().Add(20 * time.Second)})
+	do := func(id string, told time.Duration) upstream.Response {
+		return p.Do(&upstream.Exchange{Request: upstream.Request{Method: "GET", Path: "/x", AttemptID: id},
+			AdvertisedDeadline: time.Now().Add(told), Deadline: time.Now().Add(20 * time.Second)})
 	}
 	a := do("late", 100*time.Millisecond)
 	must.Eq(t, upstream.Answered, a.Outcome)
 	must.Eq(t, 504, a.Status)
 	<-at
-	works := make(chan upstream.Answer)
+	works := make(chan upstream.Response)
 	go func() { works <- do("works", time.Minute) }()
 	<-at
 	must.Eq(t, upstream.NotExecuted, do("queued", 100*time.Millisecond).Outcome)
 	<-at
-	waits := &upstream.Call{Request: upstream.Request{Method: "GET", Path: "/x", AttemptID: "waits"}}
-	waited := make(chan upstream.Answer)
+	waits := &upstream.Exchange{Request: upstream.Request{Method: "GET", Path: "/x", AttemptID: "waits"}}
+	waited := make(chan upstream.Response)
 	go func() { waited <- p.Do(waits) }()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { _, n := s.Load(); return n == 1 }),
 		wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -93,8 +93,8 @@
 	defer p.Close()
 	measure(b, func() {
 		deadline := time.Now().Add(time.Second)
-		response := p.Do(&Call{Request: Request{Method: "GET", Path: "/yewu161/2f", Host: "file10.example", Headers: benchHeaders,
-			AttemptID: "9c41d07be2a35f68", Target: "i-7f3a91c2"}, Deadline: deadline, ToldDeadline: deadline})
+		response := p.Do(&Exchange{Request: Request{Method: "GET", Path: "/yewu161/2f", Host: "file10.example", Headers: benchHeaders,
+			AttemptID: "9c41d07be2a35f68", Target: "i-7f3a91c2"}, Deadline: deadline, AdvertisedDeadline: deadline})
 		if response.Outcome != Answered {
 			b.Fatal(response.Err)
 		}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -25,7 +25,7 @@
 	peeked      [1]byte
 
 	// State of the exchange in progress.
-	exchange  *Call
+	exchange  *Exchange
 	scratch   *scratchBuffer
 	now       time.Time
 	stage     stage
@@ -70,7 +70,7 @@
 			}
 			return true
 		}
-		head, err := finishHead(c.scratch.buf, c.exchange.ToldDeadline, c.now)
+		head, err := finishHead(c.scratch.buf, c.exchange.AdvertisedDeadline, c.now)
 		if err == nil {
 			var n int64
 			n, err = writeRequest(c.nc, head, c.exchange.Body)
@@ -104,14 +104,14 @@
 }
 
 // roundTrip sends the request and reads its response. retry means that nothing was written because the connection was
-// closed while idle; reuse means that the connection may serve further requests.
-func (c *conn) roundTrip(exchange *Call, scratch *scratchBuffer, options *Options, now time.Time) (response Answer,
+// closed, or received data, while idle; reuse means that the connection may serve further requests.
+func (c *conn) roundTrip(exchange *Exchange, scratch *scratchBuffer, options *Options, now time.Time) (response Response,
 	reuse, retry bool) {
 	c.exchange, c.scratch, c.now = exchange, scratch, now
 	c.stage, c.wrote, c.readCount, c.err = checking, false, 0, nil
 	defer func() { c.exchange, c.scratch, c.err = nil, nil, nil }()
-	if response.Fresh = c.idleSince.IsZero(); !response.Fresh {
-		response.Idle = now.Sub(c.idleSince)
+	if response.NewConnection = c.idleSince.IsZero(); !response.NewConnection {
+		response.IdleTime = now.Sub(c.idleSince)
 	}
 	step := "write"
 	err := c.nc.SetDeadline(exchange.Deadline)
@@ -132,15 +132,16 @@
 	notCancelled := exchange.clearAbort()
 	c.used = c.used || c.wrote
 	if err == nil {
-		c.idleTimeout = options.IdleMost
+		c.idleTimeout = options.IdleTimeout
 		if responseHead.idleTimeout >= 0 {
 			c.idleTimeout = min(c.idleTimeout, responseHead.idleTimeout)
 		}
-		// Bytes after a complete response belong to no request, and more of them may follow, so the connection is not reused.
+		// Bytes after a complete response belong to no request, and more of them may follow, so the connection is not
+		// reused.
 		return response, notCancelled && responseHead.reusable && !connEnded && reader.start == reader.end && c.idleTimeout > 0, false
 	}
 	deadlinePassed := err == errDeadlinePassed || errors.Is(err, os.ErrDeadlineExceeded)
-	if !response.Fresh && !c.wrote && notCancelled && !deadlinePassed {
+	if !response.NewConnection && !c.wrote && notCancelled && !deadlinePassed {
 		return response, false, true
 	}
 	response.Outcome = c.outcome(err, notCancelled)
@@ -150,15 +151,15 @@
 
 func (c *conn) outcome(err error, notCancelled bool) Outcome {
 	if _, ok := err.(invalidResponse); ok {
-		return Garbled
+		return InvalidResponse
 	}
 	switch {
 	case !notCancelled:
 		return Cancelled
 	case !c.wrote:
-		return NoConnect
+		return ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return TimedOut
 	}
-	return Broken
+	return ConnectionLost
 }
--- a/internal/upstream/identity.go
+++ b/internal/upstream/identity.go
@@ -7,21 +7,22 @@
 	"github.com/go-faster/errors"
 )
 
-// The address of a searcher that has ended is later reused by another one, which would then receive requests not intended for it.
-// So unless the searcher list confirms the address (Call.VouchedUntil), a new connection carries no request until its peer is
-// identified: either by a response that this mixer received from the searcher shortly before on any connection, since an address
-// is not reused for a while after its release; or by the id that the peer reports when it is probed. An identified connection
-// stays identified as long as it is open.
+// The address of a searcher that has ended is later reused by another one, which would then receive requests not
+// intended for it. So unless the searcher list confirms the address (Exchange.AddressConfirmedUntil), a new connection
+// carries no request until its peer is identified: either by a response that this mixer received from the searcher
+// shortly before on any connection, since an address is not reused for a while after its release; or by the id that the
+// peer reports when it is probed. An identified connection stays identified as long as it is open.
 
-// errIdentityUnknown is why a call was not sent: the peer of its connection could not be identified.
+// errIdentityUnknown is why an exchange was not sent: the peer of its connection could not be identified.
 var errIdentityUnknown = errors.New("peer did not identify itself")
 
-// maxProbedConns is how many new connections one call may probe. If a connection cannot be used after its probe, another is dialed.
+// maxProbedConns is how many new connections one exchange may probe. If a connection cannot be used after its probe,
+// another is dialed.
 const maxProbedConns = 2
 
 // identityConfirmed reports whether the searcher is known to be the peer of a connection.
-func (p *Pool) identityConfirmed(c *conn, exchange *Call) bool {
-	if c.identified || exchange.Target == "" || c.dialedAt.Before(exchange.VouchedUntil) {
+func (p *Pool) identityConfirmed(c *conn, exchange *Exchange) bool {
+	if c.identified || exchange.Target == "" || c.dialedAt.Before(exchange.AddressConfirmedUntil) {
 		return true
 	}
 	p.mu.Lock()
@@ -29,7 +30,7 @@
 	if p.opts.ProbePath == "" {
 		return true
 	}
-	c.identified = !p.confirmedAt.IsZero() && c.dialedAt.Sub(p.confirmedAt) < p.opts.VouchFor
+	c.identified = !p.confirmedAt.IsZero() && c.dialedAt.Sub(p.confirmedAt) < p.opts.ConfirmationTTL
 	return c.identified
 }
 
@@ -55,16 +56,16 @@
 type probeResult uint8
 
 const (
-	probeMatched           probeResult = iota // the intended searcher; the connection may carry the call
+	probeMatched           probeResult = iota // the intended searcher; the connection may carry the exchange
 	probeMatchedConnClosed                    // the intended searcher, but the connection cannot be reused
-	probeRejected                             // another searcher, or no valid response: the call ends with the response given
+	probeRejected                             // another searcher, or no valid response: the exchange ends with the response given
 )
 
 // ProbeCounts counts probes and their reasons over all pools that share it.
 type ProbeCounts struct {
-	First atomic.Uint64 // no response had been received from the searcher yet
-	Old   atomic.Uint64 // the searcher's last response was too old
-	Took  atomic.Int64  // total duration in nanoseconds
+	First            atomic.Uint64 // no response had been received from the searcher yet
+	Old              atomic.Uint64 // the searcher's last response was too old
+	TotalNanoseconds atomic.Int64  // total duration of the probes
 }
 
 // countProbe counts a probe and its reason.
@@ -81,12 +82,12 @@
 	} else {
 		counts.Old.Add(1)
 	}
-	counts.Took.Add(int64(duration))
+	counts.TotalNanoseconds.Add(int64(duration))
 }
 
-// identify probes a connection that the call may abort, until the deadline. Unless the call may use the connection, it is closed or
-// released.
-func (p *Pool) identify(c *conn, exchange *Call, now, deadline time.Time) (probeResult, Answer) {
+// identify probes a connection that the exchange may abort, until the deadline. Unless the exchange may use the
+// connection, it is closed or released.
+func (p *Pool) identify(c *conn, exchange *Exchange, now, deadline time.Time) (probeResult, Response) {
 	p.mu.Lock()
 	path := p.opts.ProbePath
 	p.mu.Unlock()
@@ -103,14 +104,14 @@
 	case response.SearcherID != "":
 		p.rejectIdentity(c)
 		p.discard(c)
-		return probeRejected, p.unsentResponse(exchange, Answer{Outcome: NotExecuted, Status: statusMisdirected,
+		return probeRejected, p.unsentResponse(exchange, Response{Outcome: NotExecuted, Status: statusMisdirected,
 			SearcherID: response.SearcherID})
-	case response.Outcome == NotExecuted: // the searcher is overloaded and would reject the call too
+	case response.Outcome == NotExecuted: // the searcher is overloaded and would reject the exchange too
 		p.releaseOrDiscard(c, reuse)
-		return probeRejected, p.unsentResponse(exchange, Answer{Outcome: NotExecuted, Status: response.Status,
+		return probeRejected, p.unsentResponse(exchange, Response{Outcome: NotExecuted, Status: response.Status,
 			RetryAfter: response.RetryAfter})
 	case response.Outcome == Answered && reuse:
-		// It does not report an id. The call names its target, and any other searcher responds with 421.
+		// It does not report an id. The exchange names its target, and any other searcher responds with 421.
 		c.identified = true
 		return probeMatched, response
 	}
@@ -122,13 +123,13 @@
 }
 
 // probe asks the peer for its id.
-func (p *Pool) probe(c *conn, path string, now, deadline time.Time) (response Answer, reuse bool) {
-	exchange := Call{Request: Request{Method: "GET", Path: path}, Deadline: deadline}
+func (p *Pool) probe(c *conn, path string, now, deadline time.Time) (response Response, reuse bool) {
+	exchange := Exchange{Request: Request{Method: "GET", Path: path}, Deadline: deadline}
 	scratch := scratchBuffers.Get().(*scratchBuffer)
 	defer scratch.release()
 	var err error
 	if scratch.buf, err = encodeHead(scratch.buf[:0], &exchange.Request, p.addr); err != nil {
-		return Answer{Outcome: Unsendable, Err: err}, false
+		return Response{Outcome: InvalidRequest, Err: err}, false
 	}
 	usedBefore := c.used
 	response, reuse, _ = c.roundTrip(&exchange, scratch, &p.opts, now)
@@ -144,10 +145,10 @@
 	}
 }
 
-// unsentResponse completes the response to a call of which nothing was written; the outcome is Cancelled if the call was cancelled
-// meanwhile.
-func (p *Pool) unsentResponse(exchange *Call, response Answer) Answer {
-	response.Fresh = true
+// unsentResponse completes the response to an exchange of which nothing was written; the outcome is Cancelled if the
+// exchange was cancelled meanwhile.
+func (p *Pool) unsentResponse(exchange *Exchange, response Response) Response {
+	response.NewConnection = true
 	if !exchange.clearAbort() {
 		response.Outcome = Cancelled
 	}
--- a/internal/upstream/identity_test.go
+++ b/internal/upstream/identity_test.go
@@ -15,8 +15,8 @@
 
 const probePath = "/health"
 
-// newTargetedExchange returns a call that names its searcher.
-func newTargetedExchange(target, id string) *Call {
+// newTargetedExchange returns an exchange that names its searcher.
+func newTargetedExchange(target, id string) *Exchange {
 	c := newExchange(id)
 	c.Target = target
 	return c
@@ -25,9 +25,9 @@
 // TestIdentity checks that a new connection carries a request only once the searcher is known to be its peer: because its
 // address was confirmed, because it has responded lately, or because it reports its id when probed.
 func TestIdentity(t *testing.T) {
-	s, p := setup(t, faulty.Options{ID: "i-1"}, Options{ProbePath: probePath, VouchFor: time.Hour})
+	s, p := setup(t, faulty.Options{ID: "i-1"}, Options{ProbePath: probePath, ConfirmationTTL: time.Hour})
 	probes := 0
-	do := func(call *Call, probed bool) {
+	do := func(call *Exchange, probed bool) {
 		t.Helper()
 		response := p.Do(call)
 		must.Eq(t, Answered, response.Outcome, must.Sprint(response.Err))
@@ -37,7 +37,7 @@
 		must.Eq(t, probes, s.Probes())
 	}
 	confirmed := newTargetedExchange("i-1", "a1")
-	confirmed.VouchedUntil = time.Now().Add(time.Hour)
+	confirmed.AddressConfirmedUntil = time.Now().Add(time.Hour)
 	do(confirmed, false)
 	do(newTargetedExchange("i-1", "a2"), false) // over the same connection
 	p.Retire()
@@ -50,7 +50,7 @@
 	p.confirmedAt = time.Time{}
 	do(newTargetedExchange("i-1", "a6"), true)
 	must.Eq(t, 4, s.Accepted())
-	p.Follow(0, "") // probing is disabled
+	p.Reconfigure(0, "") // probing is disabled
 	p.Retire()
 	p.confirmedAt = time.Time{}
 	do(newTargetedExchange("i-1", "a7"), false)
@@ -60,7 +60,7 @@
 func TestAddressConfirmationExpires(t *testing.T) {
 	s, p := setup(t, faulty.Options{ID: "i-2"}, Options{ProbePath: probePath})
 	c := newTargetedExchange("i-1", "a1")
-	c.VouchedUntil = time.Now()
+	c.AddressConfirmedUntil = time.Now()
 	response := p.Do(c)
 	must.True(t, response.Misdirected() && !response.Wrote)
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
@@ -68,7 +68,7 @@
 
 // TestAddressOfAnotherSearcher checks that a request is not sent to an address that belongs to another searcher.
 func TestAddressOfAnotherSearcher(t *testing.T) {
-	s, p := setup(t, faulty.Options{ID: "i-2"}, Options{ProbePath: probePath, VouchFor: time.Hour})
+	s, p := setup(t, faulty.Options{ID: "i-2"}, Options{ProbePath: probePath, ConfirmationTTL: time.Hour})
 	for range 2 {
 		response := p.Do(newTargetedExchange("i-1", "a1"))
 		must.Eq(t, NotExecuted, response.Outcome)
@@ -76,9 +76,10 @@
 		must.Eq(t, "i-2", response.SearcherID)
 	}
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
-	must.Eq(t, 0, p.Open())
+	must.Eq(t, 0, p.OpenConns())
 
-	// With a confirmed address the request is sent and rejected. After that, earlier responses no longer confirm the address.
+	// With a confirmed address the request is sent and rejected. After that, earlier responses no longer confirm the
+	// address.
 	p.confirmedAt = time.Now()
 	sent := newTargetedExchange("i-1", "a2")
 	response := p.Do(sent)
@@ -89,21 +90,22 @@
 	must.Eq(t, 0, s.Ledger().Arrived("a3"))
 }
 
-// TestProbeWithoutIdentity checks that a connection whose peer does not respond to the probe properly carries no request, and that
-// the call ends within the connect timeout. A peer that responds without an id gets the request, which names its searcher.
+// TestProbeWithoutIdentity checks that a connection whose peer does not respond to the probe properly carries no
+// request, and that the exchange ends within the connect timeout. A peer that responds without an id gets the request,
+// which names its searcher.
 func TestProbeWithoutIdentity(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply faulty.Reply
 		out   Outcome
 	}{
-		"silence":        {faulty.Reply{Way: faulty.Hang}, NoConnect},
-		"reset":          {faulty.Reply{Way: faulty.ResetRun}, NoConnect},
-		"no answer":      {faulty.Reply{Way: faulty.Spoil}, NoConnect},
+		"silence":        {faulty.Reply{Way: faulty.Hang}, ConnectFailed},
+		"reset":          {faulty.Reply{Way: faulty.ResetRun}, ConnectFailed},
+		"no answer":      {faulty.Reply{Way: faulty.Spoil}, ConnectFailed},
 		"full":           {faulty.Reply{Way: faulty.Refuse}, NotExecuted},
 		"it won't say":   {faulty.Reply{RawBack: []byte("HTTP/1.1 503 Ill\r\nContent-Length: 0\r\n\r\n")}, Answered},
 		"closed after":   {faulty.Reply{Way: faulty.CloseAfter}, Answered},
 		"it feels ill":   {faulty.Reply{Status: 503}, Answered},
-		"none of a kind": {faulty.Reply{Way: faulty.NoLength, Status: 404}, NoConnect},
+		"none of a kind": {faulty.Reply{Way: faulty.NoLength, Status: 404}, ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -114,7 +116,7 @@
 				return faulty.Reply{}
 			}
 			s, p := setup(t, faulty.Options{ID: "i-1", Script: script, ScriptProbes: true},
-				Options{ProbePath: probePath, VouchFor: time.Hour, ConnectTimeout: 200 * time.Millisecond})
+				Options{ProbePath: probePath, ConfirmationTTL: time.Hour, ConnectTimeout: 200 * time.Millisecond})
 			response := p.Do(newTargetedExchange("i-1", "a1"))
 			must.Eq(t, c.out, response.Outcome, must.Sprint(response.Err))
 			must.Eq(t, response.Wrote, c.out == Answered)
@@ -124,16 +126,16 @@
 	}
 }
 
-// TestFullSearcherIsProbedAgain checks that a connection on which a full searcher rejected a probe is kept, and probed again before
-// its first request.
+// TestFullSearcherIsProbedAgain checks that a connection on which a full searcher rejected a probe is kept, and probed
+// again before its first request.
 func TestFullSearcherIsProbedAgain(t *testing.T) {
-	s, p := setup(t, faulty.Options{ID: "i-1", Capacity: 1}, Options{ProbePath: probePath, VouchFor: time.Hour})
+	s, p := setup(t, faulty.Options{ID: "i-1", Capacity: 1}, Options{ProbePath: probePath, ConfirmationTTL: time.Hour})
 	other := NewPool(s.Addr(), Options{})
 	t.Cleanup(other.Close)
 	_, responses, release := startBlocked(t, s, other, 1)
 	response := p.Do(newTargetedExchange("i-1", "a1"))
 	must.Eq(t, NotExecuted, response.Outcome)
-	must.Eq(t, 1, p.Idle())
+	must.Eq(t, 1, p.IdleConns())
 	release()
 	<-responses
 	eventually(t, func() bool { running, _ := s.Load(); return running == 0 })
@@ -143,14 +145,14 @@
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
 }
 
-// TestCancelledProbe checks that a call cancelled while its connection is probed ends at once and sends nothing.
+// TestCancelledProbe checks that an exchange cancelled while its connection is probed ends at once and sends nothing.
 func TestCancelledProbe(t *testing.T) {
 	arrived := make(chan bool, 1)
 	s, p := setup(t, faulty.Options{ID: "i-1", ScriptProbes: true,
 		Script: func(faulty.Call) faulty.Reply { arrived <- true; return faulty.Reply{Way: faulty.Hang} }},
 		Options{ProbePath: probePath, ConnectTimeout: time.Hour})
 	c := newTargetedExchange("i-1", "a1")
-	responses := make(chan Answer, 1)
+	responses := make(chan Response, 1)
 	go func() { responses <- p.Do(c) }()
 	<-arrived
 	c.Cancel()
@@ -158,14 +160,15 @@
 	must.Eq(t, Cancelled, response.Outcome)
 	must.False(t, response.Wrote)
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
-	must.Eq(t, 0, p.Open())
+	must.Eq(t, 0, p.OpenConns())
 }
 
-// TestAbandonedConnectionIsReset checks that the connection of an abandoned call is reset, so that the kernel drops undelivered data.
+// TestAbandonedConnectionIsReset checks that the connection of an abandoned exchange is reset, so that the kernel drops
+// undelivered data.
 func TestAbandonedConnectionIsReset(t *testing.T) {
-	for name, abandon := range map[string]func(c *Call){
-		"called off": func(c *Call) { c.Cancel() },
-		"too late":   func(c *Call) {},
+	for name, abandon := range map[string]func(c *Exchange){
+		"called off": func(c *Exchange) { c.Cancel() },
+		"too late":   func(c *Exchange) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -177,7 +180,7 @@
 			if name == "too late" {
 				c.Deadline = time.Now().Add(50 * time.Millisecond)
 			}
-			responses := make(chan Answer, 1)
+			responses := make(chan Response, 1)
 			go func() { responses <- p.Do(c) }()
 			peer, err := ln.Accept()
 			must.NoError(t, err)
@@ -195,18 +198,18 @@
 
 // TestFollow checks that the maximum number of connections may change after the pool was created.
 func TestFollow(t *testing.T) {
-	s, p := setup(t, faulty.Options{}, Options{ConnMost: 1})
+	s, p := setup(t, faulty.Options{}, Options{MaxConns: 1})
 	_, _, release := startBlocked(t, s, p, 1)
 	defer release()
 	must.ErrorIs(t, p.Do(newExchange("a1")).Err, ErrFull)
-	p.Follow(2, "")
+	p.Reconfigure(2, "")
 	must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
-	p.Follow(1, "")
+	p.Reconfigure(1, "")
 	must.Eq(t, Answered, p.Do(newExchange("a3")).Outcome) // over an idle connection
 }
 
-// TestUnreachable checks that an address is unreachable if it refuses connections or does not respond within the connect timeout,
-// and that a call with a shorter deadline does not report this.
+// TestUnreachable checks that an address is unreachable if it refuses connections or does not respond within the
+// connect timeout, and that an exchange with a shorter deadline does not report this.
 func TestUnreachable(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{})
 	s.Close()
@@ -225,7 +228,7 @@
 			call := newExchange("a1")
 			call.Deadline = time.Now().Add(c.left)
 			response := p.Do(call)
-			must.Eq(t, NoConnect, response.Outcome)
+			must.Eq(t, ConnectFailed, response.Outcome)
 			must.Eq(t, c.want, response.Unreachable, must.Sprint(response.Err))
 		})
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,22 +12,23 @@
 	"peathollow/internal/keepalive"
 )
 
-// Options configures a pool. A zero field is replaced by the default given in its comment, except ProbePath, Probes and VouchFor.
+// Options configures a pool. A zero field is replaced by the default given in its comment, except ProbePath, Probes and
+// ConfirmationTTL.
 type Options struct {
-	ConnMost       int           // open connections, including those being dialed; default 64
+	MaxConns       int           // open connections, including those being dialed; default 64
 	ConnectTimeout time.Duration // default 1 s
-	IdleMost       time.Duration // how long a connection may stay idle before it is closed; default 10 s
-	BodyMost       int           // maximum length of a response body; default 1 MB
-	HeaderMost     int           // maximum length of a response head; default 16 KB
-	// SilenceMost is TCP_USER_TIMEOUT. A machine that lost power sends nothing, neither FIN nor RST, so that only this
+	IdleTimeout    time.Duration // how long a connection may stay idle before it is closed; default 10 s
+	MaxBodyBytes   int           // maximum length of a response body; default 1 MB
+	MaxHeaderBytes int           // maximum length of a response head; default 16 KB
+	// UserTimeout is TCP_USER_TIMEOUT. A machine that lost power sends nothing, neither FIN nor RST, so that only this
 	// timeout ends the connection. Default 3 s.
-	SilenceMost time.Duration
+	UserTimeout time.Duration
 	// ProbePath is the path at which the searcher reports its id; see identity.go. If empty, searchers are not probed.
 	ProbePath string
 	// Probes counts the probes if it is not nil.
 	Probes *ProbeCounts
-	// VouchFor is how long a response from the searcher confirms that it is at its address; with 0 it does not.
-	VouchFor time.Duration
+	// ConfirmationTTL is how long a response from the searcher confirms that it is at its address; with 0 it does not.
+	ConfirmationTTL time.Duration
 	// KeepAlive is how long a connection stays idle before the kernel sends keep-alive probes; default 2 s, negative
 	// disables them.
 	KeepAlive time.Duration
@@ -45,7 +46,7 @@
 // Pool holds the connections to the address of one searcher.
 type Pool struct {
 	addr   string
-	opts   Options // MaxConns and ProbePath may change; guarded by mu
+	opts   Options // Reconfigure changes MaxConns and ProbePath, which mu guards
 	dialer net.Dialer
 
 	mu          sync.Mutex
@@ -60,39 +61,41 @@
 
 // NewPool creates a pool without dialing. The address is an IP address with a port.
 func NewPool(addr string, options Options) *Pool {
-	setDefault(&options.ConnMost, defaultMaxConns)
+	setDefault(&options.MaxConns, defaultMaxConns)
 	setDefault(&options.ConnectTimeout, time.Second)
-	setDefault(&options.IdleMost, 10*time.Second)
-	setDefault(&options.BodyMost, 1<<20)
-	setDefault(&options.HeaderMost, 16<<10)
-	setDefault(&options.SilenceMost, 3*time.Second)
+	setDefault(&options.IdleTimeout, 10*time.Second)
+	setDefault(&options.MaxBodyBytes, 1<<20)
+	setDefault(&options.MaxHeaderBytes, 16<<10)
+	setDefault(&options.UserTimeout, 3*time.Second)
 	setDefault(&options.KeepAlive, 2*time.Second)
 	p := &Pool{addr: addr, opts: options}
 	p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: options.KeepAlive > 0, Idle: options.KeepAlive,
 		Interval: time.Second, Count: 3}
 	p.dialer.KeepAlive = -1
-	p.dialer.Control = func(_, _ string, raw syscall.RawConn) error { return keepalive.SetSilence(raw, options.SilenceMost) }
+	p.dialer.Control = func(_, _ string, raw syscall.RawConn) error {
+		return keepalive.SetUserTimeout(raw, options.UserTimeout)
+	}
 	return p
 }
 
 var (
-	// ErrFull is returned in Answer.Err when the maximum number of connections is in use.
+	// ErrFull is returned in Response.Err when the maximum number of connections is in use.
 	ErrFull = errors.New("maximum number of connections in use")
-	// ErrClosed is returned in Answer.Err when the pool is closed.
+	// ErrClosed is returned in Response.Err when the pool is closed.
 	ErrClosed = errors.New("pool is closed")
 )
 
-// Do sends the request of the call and blocks until its outcome is known. It uses the most recently used idle connection or
-// dials a new one, and moves on to another connection only while no byte of the request has been written.
-func (p *Pool) Do(exchange *Call) Answer {
+// Do sends the request of the exchange and blocks until its outcome is known. It uses the most recently used idle
+// connection or dials a new one, and moves on to another connection only while no byte of the request has been written.
+func (p *Pool) Do(exchange *Exchange) Response {
 	scratch := scratchBuffers.Get().(*scratchBuffer)
 	defer scratch.release()
 	var err error
 	if scratch.buf, err = encodeHead(scratch.buf[:0], &exchange.Request, p.addr); err != nil {
-		return Answer{Outcome: Unsendable, Err: errors.Wrapf(err, "encode, searcher %s", p.addr)}
+		return Response{Outcome: InvalidRequest, Err: errors.Wrapf(err, "encode, searcher %s", p.addr)}
 	}
 	now := time.Now()
-	if !exchange.ToldDeadline.IsZero() && exchange.ToldDeadline.Sub(now) < time.Millisecond {
+	if !exchange.AdvertisedDeadline.IsZero() && exchange.AdvertisedDeadline.Sub(now) < time.Millisecond {
 		return p.notConnected(exchange, errDeadlinePassed) // too late to use up a connection
 	}
 	connectDeadline := p.connectDeadline(exchange, now) // counts from the decision to send, which is based on what was known then
@@ -102,7 +105,8 @@
 			if c, err = p.dial(exchange, connectDeadline); err != nil {
 				p.discard(nil)
 				response := p.notConnected(exchange, err)
-				response.Unreachable = response.Outcome == NoConnect && !(isTimeout(err) && connectDeadline.Equal(exchange.Deadline))
+				response.Unreachable = response.Outcome == ConnectFailed &&
+					!(isTimeout(err) && connectDeadline.Equal(exchange.Deadline))
 				return response
 			}
 			now = time.Now()
@@ -111,7 +115,7 @@
 			return p.notConnected(exchange, err)
 		}
 		if !exchange.setAbort(c.abort) {
-			p.release(c) // new connections are expensive: an unused one serves the next call
+			p.release(c) // new connections are expensive: an unused one serves the next exchange
 			return p.notConnected(exchange, errors.New("cancelled before the request was written"))
 		}
 		if !p.identityConfirmed(c, exchange) {
@@ -145,7 +149,7 @@
 }
 
 // recordIdentity updates, from a response, whether the searcher is known to be at its address.
-func (p *Pool) recordIdentity(c *conn, response *Answer, writtenAt time.Time) {
+func (p *Pool) recordIdentity(c *conn, response *Response, writtenAt time.Time) {
 	switch {
 	case response.Outcome == Answered:
 		p.confirmIdentity(c, writtenAt)
@@ -154,18 +158,19 @@
 	}
 }
 
-// closeFinished closes a connection whose exchange has ended. Without a valid response it resets the connection, so that the kernel
-// discards what it has not delivered yet; a plain close would still send it. Data that has reached the peer may be read all the same.
-func (p *Pool) closeFinished(c *conn, response *Answer) {
+// closeFinished closes a connection whose exchange has ended. Without a valid response it resets the connection, so
+// that the kernel discards what it has not delivered yet; a plain close would still send it. Data that has reached the
+// peer may be read all the same.
+func (p *Pool) closeFinished(c *conn, response *Response) {
 	if response.Outcome != Answered && response.Outcome != NotExecuted {
 		c.nc.SetLinger(0)
 	}
 	p.discard(c)
 }
 
-// notConnected completes a call that got no connection, or whose request was not written for another reason.
-func (p *Pool) notConnected(exchange *Call, err error) Answer {
-	return p.unsentResponse(exchange, Answer{Outcome: NoConnect, Err: errors.Wrapf(err, "connect, searcher %s", p.addr)})
+// notConnected completes an exchange that got no connection, or whose request was not written for another reason.
+func (p *Pool) notConnected(exchange *Exchange, err error) Response {
+	return p.unsentResponse(exchange, Response{Outcome: ConnectFailed, Err: errors.Wrapf(err, "connect, searcher %s", p.addr)})
 }
 
 // acquire returns an idle connection. It returns nil without an error if a connection may be dialed, and counts it as open.
@@ -185,7 +190,7 @@
 		p.openCount--
 		c.nc.Close()
 	}
-	if p.openCount >= p.opts.ConnMost {
+	if p.openCount >= p.opts.MaxConns {
 		return nil, ErrFull
 	}
 	p.openCount++
@@ -199,7 +204,7 @@
 }
 
 // connectDeadline returns when the connection has to be established and its peer identified.
-func (p *Pool) connectDeadline(exchange *Call, now time.Time) time.Time {
+func (p *Pool) connectDeadline(exchange *Exchange, now time.Time) time.Time {
 	deadline := now.Add(p.opts.ConnectTimeout)
 	if !exchange.Deadline.IsZero() && exchange.Deadline.Before(deadline) {
 		return exchange.Deadline
@@ -208,7 +213,7 @@
 }
 
 // dial establishes a connection. If the pool is retired meanwhile, release closes it.
-func (p *Pool) dial(exchange *Call, deadline time.Time) (*conn, error) {
+func (p *Pool) dial(exchange *Exchange, deadline time.Time) (*conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if !exchange.setAbort(cancel) {
@@ -222,7 +227,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newConn(nc.(*net.TCPConn), generation, p.opts.IdleMost)
+	return newConn(nc.(*net.TCPConn), generation, p.opts.IdleTimeout)
 }
 
 // discard closes a connection, or with nil releases the slot of one that was never established.
@@ -308,7 +313,7 @@
 	}
 }
 
-// Close retires the pool and rejects further calls. Requests in flight run to their end.
+// Close retires the pool and rejects further exchanges. Requests in flight run to their end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -316,24 +321,24 @@
 	p.Retire()
 }
 
-// Follow changes the maximum number of connections (0 for the default) and the probe path for further calls. Connections
-// that exceed a lower maximum are not closed early.
-func (p *Pool) Follow(maxConns int, probePath string) {
+// Reconfigure changes the maximum number of connections (0 for the default) and the probe path for further exchanges.
+// Connections that exceed a lower maximum are not closed early.
+func (p *Pool) Reconfigure(maxConns int, probePath string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opts.ConnMost, p.opts.ProbePath = maxConns, probePath
-	setDefault(&p.opts.ConnMost, defaultMaxConns)
+	p.opts.MaxConns, p.opts.ProbePath = maxConns, probePath
+	setDefault(&p.opts.MaxConns, defaultMaxConns)
 }
 
-// Idle returns the number of idle connections.
-func (p *Pool) Idle() int {
+// IdleConns returns the number of idle connections.
+func (p *Pool) IdleConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle)
 }
 
-// Open returns the number of connections, including those in use or being dialed.
-func (p *Pool) Open() int {
+// OpenConns returns the number of connections, including those in use or being dialed.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openCount
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -30,9 +30,9 @@
 	return server, pool
 }
 
-// newExchange returns a call with a deadline of 20 s.
-func newExchange(id string) *Call {
-	return &Call{Request: Request{Method: "GET", Path: "/p/" + id, Host: "h.example", AttemptID: id},
+// newExchange returns an exchange with a deadline of 20 s.
+func newExchange(id string) *Exchange {
+	return &Exchange{Request: Request{Method: "GET", Path: "/p/" + id, Host: "h.example", AttemptID: id},
 		Deadline: time.Now().Add(20 * time.Second)}
 }
 
@@ -55,7 +55,8 @@
 	}
 }
 
-// TestStale checks that an idle connection that was closed or has received data is detected before a request is written to it.
+// TestStale checks that an idle connection that was closed or has received data is detected before a request is written
+// to it.
 func TestStale(t *testing.T) {
 	for name, disturb := range map[string]func(*faulty.Server) int{
 		"closed": func(s *faulty.Server) int { return s.CloseIdle(false) },
@@ -68,18 +69,18 @@
 		waitReadable(t, p)
 		response := p.Do(newExchange("a2"))
 		must.Eq(t, Answered, response.Outcome, must.Sprint(name, response.Err))
-		must.True(t, response.Fresh)
+		must.True(t, response.NewConnection)
 		must.Eq(t, 1, s.Ledger().Arrived("a2"))
-		must.Eq(t, 1, p.Open())
+		must.Eq(t, 1, p.OpenConns())
 	}
 }
 
 // startBlocked sends n requests that block at the searcher until release is called. Their responses go to the channel.
-func startBlocked(t *testing.T, server *faulty.Server, pool *Pool, n int) (exchanges []*Call,
-	responses chan Answer, release func()) {
+func startBlocked(t *testing.T, server *faulty.Server, pool *Pool, n int) (exchanges []*Exchange,
+	responses chan Response, release func()) {
 	unblock, arrived := make(chan struct{}), make(chan struct{})
 	server.SetScript(func(faulty.Call) faulty.Reply { arrived <- struct{}{}; return faulty.Reply{Hold: unblock} })
-	responses = make(chan Answer, n)
+	responses = make(chan Response, n)
 	for i := range n {
 		c := newExchange(fmt.Sprint("busy", i))
 		exchanges = append(exchanges, c)
@@ -92,20 +93,21 @@
 	return exchanges, responses, sync.OnceFunc(func() { close(unblock) })
 }
 
-// TestConnectionLimit checks the maximum number of connections, the reuse of the most recently used one, and the idle timeout.
+// TestConnectionLimit checks the maximum number of connections, the reuse of the most recently used one, and the idle
+// timeout.
 func TestConnectionLimit(t *testing.T) {
-	s, p := setup(t, faulty.Options{}, Options{ConnMost: 3})
+	s, p := setup(t, faulty.Options{}, Options{MaxConns: 3})
 	_, responses, release := startBlocked(t, s, p, 3)
 	response := p.Do(newExchange("a1"))
-	must.Eq(t, NoConnect, response.Outcome)
+	must.Eq(t, ConnectFailed, response.Outcome)
 	must.ErrorIs(t, response.Err, ErrFull)
-	must.True(t, response.NeverRan())
-	must.Eq(t, 3, p.Open())
+	must.True(t, response.NeverExecuted())
+	must.Eq(t, 3, p.OpenConns())
 	release()
 	for range 3 {
 		must.Eq(t, Answered, (<-responses).Outcome)
 	}
-	must.Eq(t, 3, p.Idle())
+	must.Eq(t, 3, p.IdleConns())
 	oldest, last := p.idle[0], p.idle[2]
 	for range 5 {
 		must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
@@ -116,48 +118,48 @@
 	oldest.idleSince = oldest.idleSince.Add(-time.Hour)
 	p.mu.Unlock()
 	p.sweep()
-	must.Eq(t, 2, p.Open())
+	must.Eq(t, 2, p.OpenConns())
 	p.mu.Lock()
 	for _, c := range p.idle {
 		c.idleSince = c.idleSince.Add(-time.Hour)
 	}
 	p.mu.Unlock()
 	response = p.Do(newExchange("a3")) // expired, whether or not a sweep has run
-	must.True(t, response.Outcome == Answered && response.Fresh)
-	must.Eq(t, 1, p.Open())
+	must.True(t, response.Outcome == Answered && response.NewConnection)
+	must.Eq(t, 1, p.OpenConns())
 }
 
 func TestIdleTimeout(t *testing.T) {
-	s, p := setup(t, faulty.Options{KeepAliveS: 1}, Options{IdleMost: time.Hour})
+	s, p := setup(t, faulty.Options{KeepAliveS: 1}, Options{IdleTimeout: time.Hour})
 	must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
-	eventually(t, func() bool { return p.Open() == 0 }) // closed by the sweep alone
-	_, p = setup(t, faulty.Options{}, Options{IdleMost: 20 * time.Millisecond})
+	eventually(t, func() bool { return p.OpenConns() == 0 }) // closed by the sweep alone
+	_, p = setup(t, faulty.Options{}, Options{IdleTimeout: 20 * time.Millisecond})
 	must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
-	eventually(t, func() bool { return p.Open() == 0 })
+	eventually(t, func() bool { return p.OpenConns() == 0 })
 	s.SetScript(func(faulty.Call) faulty.Reply { return faulty.Reply{Header: []string{"Keep-Alive: timeout=0"}} })
 	p = NewPool(s.Addr(), Options{})
 	must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
-	must.Eq(t, 0, p.Open())
+	must.Eq(t, 0, p.OpenConns())
 }
 
 func TestRetireAndClose(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{})
 	must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
 	p.Retire()
-	must.Eq(t, 0, p.Open())
+	must.Eq(t, 0, p.OpenConns())
 	_, responses, release := startBlocked(t, s, p, 2)
 	p.Retire()
 	release()
 	for range 2 {
 		must.Eq(t, Answered, (<-responses).Outcome)
 	}
-	must.Eq(t, 0, p.Open())
+	must.Eq(t, 0, p.OpenConns())
 	must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
-	must.Eq(t, 1, p.Idle())
+	must.Eq(t, 1, p.IdleConns())
 	p.Close()
-	must.Eq(t, 0, p.Open())
+	must.Eq(t, 0, p.OpenConns())
 	response := p.Do(newExchange("a3"))
-	must.True(t, response.Outcome == NoConnect && response.NeverRan())
+	must.True(t, response.Outcome == ConnectFailed && response.NeverExecuted())
 	must.ErrorIs(t, response.Err, ErrClosed)
 }
 
@@ -167,7 +169,7 @@
 	c := newExchange("a0")
 	c.Cancel()
 	response := p.Do(c)
-	must.True(t, response.Outcome == Cancelled && response.NeverRan())
+	must.True(t, response.Outcome == Cancelled && response.NeverExecuted())
 	must.Eq(t, 0, s.Ledger().Arrived("a0"))
 
 	exchanges, responses, release := startBlocked(t, s, p, 1)
@@ -175,18 +177,18 @@
 	exchanges[0].Cancel()
 	exchanges[0].Cancel()
 	response = <-responses
-	must.True(t, response.Outcome == Cancelled && response.Wrote && !response.NeverRan(), must.Sprint(response))
-	must.Eq(t, 0, p.Open())
+	must.True(t, response.Outcome == Cancelled && response.Wrote && !response.NeverExecuted(), must.Sprint(response))
+	must.Eq(t, 0, p.OpenConns())
 	eventually(t, func() bool { return s.Ledger().Dropped("busy0") == 1 })
 
 	c = newExchange("a1")
 	must.Eq(t, Answered, p.Do(c).Outcome)
-	c.Cancel() // too late: the connection may already serve another call
+	c.Cancel() // too late: the connection may already serve another exchange
 	c = newExchange("a2")
 	c.Cancel()
-	must.Eq(t, Cancelled, p.Do(c).Outcome) // a call cancelled before it began leaves the idle connection alone
+	must.Eq(t, Cancelled, p.Do(c).Outcome) // an exchange cancelled before it began leaves the idle connection alone
 	response = p.Do(newExchange("a3"))
-	must.True(t, response.Outcome == Answered && !response.Fresh)
+	must.True(t, response.Outcome == Answered && !response.NewConnection)
 }
 
 func TestDeadlines(t *testing.T) {
@@ -199,22 +201,22 @@
 	c := newExchange("a1")
 	c.Deadline = time.Now().Add(500 * time.Millisecond)
 	response := p.Do(c)
-	must.True(t, response.Outcome == TimedOut && response.Wrote && !response.NeverRan(), must.Sprint(response))
-	must.Eq(t, 0, p.Open())
+	must.True(t, response.Outcome == TimedOut && response.Wrote && !response.NeverExecuted(), must.Sprint(response))
+	must.Eq(t, 0, p.OpenConns())
 	<-dropped
 
 	s.SetScript(nil)
 	must.Eq(t, Answered, p.Do(newExchange("a2")).Outcome)
-	for _, change := range []func(c *Call){
-		func(c *Call) { c.Deadline = time.Now().Add(-time.Second) },
-		func(c *Call) { c.ToldDeadline = time.Now() },
+	for _, change := range []func(c *Exchange){
+		func(c *Exchange) { c.Deadline = time.Now().Add(-time.Second) },
+		func(c *Exchange) { c.AdvertisedDeadline = time.Now() },
 	} {
 		c := newExchange("a3")
 		change(c)
 		response := p.Do(c)
-		must.True(t, response.Outcome == NoConnect && response.NeverRan(), must.Sprint(response))
+		must.True(t, response.Outcome == ConnectFailed && response.NeverExecuted(), must.Sprint(response))
 		must.Eq(t, 0, s.Ledger().Arrived("a3"))
-		must.Eq(t, 1, p.Idle()) // the connection was not used
+		must.Eq(t, 1, p.IdleConns()) // the connection was not used
 	}
 	must.Eq(t, Answered, p.Do(newExchange("a4")).Outcome)
 	must.Eq(t, 2, s.Accepted())
@@ -245,30 +247,31 @@
 	s, p := setup(t, faulty.Options{}, Options{})
 	s.Close()
 	response := p.Do(newExchange("a1"))
-	must.True(t, response.Outcome == NoConnect && response.NeverRan())
+	must.True(t, response.Outcome == ConnectFailed && response.NeverExecuted())
 	must.ErrorIs(t, response.Err, syscall.ECONNREFUSED)
 	must.StrContains(t, response.Err.Error(), s.Addr())
 
 	p = NewPool(unansweredAddress(t), Options{ConnectTimeout: 30 * time.Millisecond})
 	response = p.Do(newExchange("a2"))
-	must.True(t, response.Outcome == NoConnect && response.NeverRan())
+	must.True(t, response.Outcome == ConnectFailed && response.NeverExecuted())
 	p.opts.ConnectTimeout = time.Hour
 	c := newExchange("a3")
 	c.Deadline = time.Now().Add(30 * time.Millisecond)
-	must.Eq(t, NoConnect, p.Do(c).Outcome)
+	must.Eq(t, ConnectFailed, p.Do(c).Outcome)
 	c = newExchange("a4")
-	done := make(chan Answer)
+	done := make(chan Response)
 	go func() { done <- p.Do(c) }()
-	eventually(t, func() bool { return p.Open() == 1 })
+	eventually(t, func() bool { return p.OpenConns() == 1 })
 	c.Cancel()
 	response = <-done
-	must.True(t, response.Outcome == Cancelled && response.NeverRan())
-	must.Eq(t, 0, p.Open())
+	must.True(t, response.Outcome == Cancelled && response.NeverExecuted())
+	must.Eq(t, 0, p.OpenConns())
 
 	s, p = setup(t, faulty.Options{ConnLimit: 1}, Options{})
 	_, responses, release := startBlocked(t, s, p, 1)
 	response = p.Do(newExchange("a5")) // reset by the searcher, seen before or after the write depending on the kernel
-	must.True(t, response.Outcome == NoConnect && !response.Wrote || response.Outcome == Broken && response.Wrote, must.Sprint(response))
+	must.True(t, response.Outcome == ConnectFailed && !response.Wrote ||
+		response.Outcome == ConnectionLost && response.Wrote, must.Sprint(response))
 	must.Eq(t, 0, s.Ledger().Arrived("a5"))
 	release()
 	must.Eq(t, Answered, (<-responses).Outcome)
@@ -289,10 +292,10 @@
 	}))
 }
 
-// TestConcurrentFaults checks under random faults and cancellations that a response belongs to its request, no request is sent twice,
-// and the count of open connections stays correct.
+// TestConcurrentFaults checks under random faults and cancellations that a response belongs to its request, no request
+// is sent twice, and the count of open connections stays correct.
 func TestConcurrentFaults(t *testing.T) {
-	s, p := setup(t, faulty.Options{Capacity: 4, Queue: 2, KeepAliveS: 5}, Options{ConnMost: 12})
+	s, p := setup(t, faulty.Options{Capacity: 4, Queue: 2, KeepAliveS: 5}, Options{MaxConns: 12})
 	s.SetScript(func(c faulty.Call) faulty.Reply {
 		var way faulty.Way
 		if n := rand.IntN(60); n <= int(faulty.CloseUnsaid) {
@@ -311,14 +314,14 @@
 					defer stop.Stop()
 				}
 				response := p.Do(c)
-				if response.NeverRan() && s.Ledger().Ran(c.AttemptID) > 0 {
+				if response.NeverExecuted() && s.Ledger().Ran(c.AttemptID) > 0 {
 					t.Error("reported as not run, but ran", c.AttemptID, response)
 				}
 				whole := faulty.Records(s.ID(), c.Path, 4)
 				if response.Outcome == Answered && response.Status == 200 && !bytes.HasPrefix(whole, response.Body) {
 					t.Error("response to another request", c.AttemptID, response)
 				}
-				if p.Open() > 12 {
+				if p.OpenConns() > 12 {
 					t.Error("too many connections")
 				}
 			}
@@ -326,14 +329,14 @@
 	}
 	workers.Wait()
 	must.SliceEmpty(t, s.Ledger().Twice(nil))
-	must.Eq(t, p.Idle(), p.Open())
+	must.Eq(t, p.IdleConns(), p.OpenConns())
 }
 
 // TestShortWrite checks that a request that was written only partly is reported as one that may have run.
 func TestShortWrite(t *testing.T) {
 	for want, endConn := range map[Outcome]func(*net.TCPConn){
-		Broken:   func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		TimedOut: func(c *net.TCPConn) {}, // stops reading
+		ConnectionLost: func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		TimedOut:       func(c *net.TCPConn) {}, // stops reading
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
@@ -353,7 +356,7 @@
 			c.Deadline = time.Now().Add(time.Second)
 		}
 		response := p.Do(c)
-		must.True(t, response.Outcome == want && response.Wrote && !response.NeverRan(), must.Sprint(response.Outcome, response.Err))
-		must.Eq(t, 0, p.Open())
+		must.True(t, response.Outcome == want && response.Wrote && !response.NeverExecuted(), must.Sprint(response.Outcome, response.Err))
+		must.Eq(t, 0, p.OpenConns())
 	}
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -158,7 +158,8 @@
 	return true
 }
 
-// isFieldValue reports whether s is valid as a field value: it contains no control character but tab, and so cannot end a line.
+// isFieldValue reports whether s is valid as a field value: it contains no control character but tab, and so cannot end
+// a line.
 func isFieldValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -2,9 +2,9 @@
 
 // readResponse reads the response to an exchange. firstUse means that the connection has carried no request before;
 // connEnded, that nothing may follow on the connection; step names the operation that failed.
-func (r *responseReader) readResponse(response *Answer, exchange *Call, firstUse bool, options *Options) (responseHead head,
+func (r *responseReader) readResponse(response *Response, exchange *Exchange, firstUse bool, options *Options) (responseHead head,
 	connEnded bool, step string, err error) {
-	if responseHead, err = r.readHead(options.HeaderMost); err != nil {
+	if responseHead, err = r.readHead(options.MaxHeaderBytes); err != nil {
 		return responseHead, false, "read head", err
 	}
 	response.Status, response.Load, response.HasLoad, response.RetryAfter = responseHead.status, responseHead.load,
@@ -19,7 +19,7 @@
 	case outcome == NotExecuted && responseHead.length < 0 && !responseHead.chunked:
 		connEnded = true // the head is sufficient, and the body may never end
 	default:
-		if response.Body, connEnded, err = r.readBody(&responseHead, options.BodyMost, options.HeaderMost); err != nil {
+		if response.Body, connEnded, err = r.readBody(&responseHead, options.MaxBodyBytes, options.MaxHeaderBytes); err != nil {
 			response.Body = nil
 			return responseHead, connEnded, "read body", err
 		}
@@ -34,7 +34,7 @@
 }
 
 // classify checks that a head belongs to this request and returns its outcome. In doubt the request may have run.
-func classify(h *head, exchange *Call, firstUse bool) (Outcome, error) {
+func classify(h *head, exchange *Exchange, firstUse bool) (Outcome, error) {
 	notExecuted := false // the head states that the request has not run
 	switch h.status {
 	case statusMisdirected:
@@ -47,8 +47,8 @@
 	case h.hasAttemptID && h.attemptID != exchange.AttemptID:
 		return 0, invalidResponse("response to another request")
 	case !h.hasAttemptID && exchange.AttemptID != "" && !(notExecuted && firstUse && h.searcherID == ""):
-		// A refusal may lack the id. But on a used connection it may be a surplus response to an earlier request, and one that
-		// names its searcher may be the response to a probe.
+		// A refusal may lack the id. But on a used connection it may be a surplus response to an earlier request, and
+		// one that names its searcher may be the response to a probe.
 		return 0, invalidResponse("response without attempt id")
 	case success && h.notExecuted:
 		return 0, invalidResponse("successful response with Not-Executed")
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -13,16 +13,16 @@
 	"github.com/shoenig/test/must"
 )
 
-var testLimits = Options{BodyMost: 1000, HeaderMost: 16 << 10}
+var testLimits = Options{MaxBodyBytes: 1000, MaxHeaderBytes: 16 << 10}
 
 // parseResponse reads a response to the attempt attemptID. The first bytes of raw, up to the number buffered, are in the
 // buffer from the start.
-func parseResponse(raw, method, attemptID string, firstUse bool, buffered int) (response Answer,
+func parseResponse(raw, method, attemptID string, firstUse bool, buffered int) (response Response,
 	responseHead head, reusable bool, err error) {
 	buffered = min(buffered, len(raw), scratchSize)
 	reader := responseReader{conn: iotest.OneByteReader(strings.NewReader(raw[buffered:])), buf: make([]byte, scratchSize)}
 	reader.end = copy(reader.buf, raw[:buffered])
-	exchange := &Call{Request: Request{Method: method, AttemptID: attemptID}}
+	exchange := &Exchange{Request: Request{Method: method, AttemptID: attemptID}}
 	responseHead, connEnded, _, err := reader.readResponse(&response, exchange, firstUse, &testLimits)
 	return response, responseHead, err == nil && !connEnded && reader.start == reader.end, err
 }
@@ -186,8 +186,8 @@
 	must.True(t, isInvalidResponse(err)) // a late response where that of a probe is due
 }
 
-// FuzzAnswer checks that buffering does not change the result, that limits hold, and that a successful response means the same to
-// net/http.
+// FuzzAnswer checks that buffering does not change the result, that limits hold, and that a successful response means
+// the same to net/http.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(ok200+length3), true, 5)
 	f.Add([]byte("HTTP/1.1 100 C\r\n\r\n"+ok200+chunkedEncoding+"1;x\r\na\r\n02\r\nbc\r\n0\r\nT: 1\r\n\r\nmore"), false, 99)
@@ -206,7 +206,7 @@
 		must.Eq(t, err, err2)
 		must.Eq(t, response.Outcome, unbuffered.Outcome)
 		must.Eq(t, response.Body, unbuffered.Body)
-		must.LessEq(t, testLimits.BodyMost, len(response.Body))
+		must.LessEq(t, testLimits.MaxBodyBytes, len(response.Body))
 		if err != nil || response.Status > 299 {
 			return
 		}
--- a/internal/upstream/types.go
+++ b/internal/upstream/types.go
@@ -28,14 +28,14 @@
 type Outcome uint8
 
 const (
-	Answered    Outcome = iota + 1 // a complete response to this request, with any status
-	NotExecuted                    // the searcher states that it has not run the request
-	NoConnect                      // no byte was written: connection refused or reset, no free connection, or timed out
-	Broken                         // the connection failed after at least part of the request was written; it may have run
-	TimedOut                       // the deadline passed after at least part of the request was written; it may have run
-	Garbled                        // the response is invalid; the request may have run
-	Cancelled                      // cancelled by the caller; the request may have run if Wrote is set
-	Unsendable                     // the request cannot be encoded as HTTP; nothing was written
+	Answered        Outcome = iota + 1 // a complete response to this request, with any status
+	NotExecuted                        // the searcher states that it has not run the request
+	ConnectFailed                      // no byte was written: connection refused or reset, no free connection, or timed out
+	ConnectionLost                     // the connection failed after at least part of the request was written; it may have run
+	TimedOut                           // the deadline passed after at least part of the request was written; it may have run
+	InvalidResponse                    // the response is invalid; the request may have run
+	Cancelled                          // cancelled by the caller; the request may have run if Wrote is set
+	InvalidRequest                     // the request cannot be encoded as HTTP; nothing was written
 )
 
 var outcomeNames = [...]string{"none", "answered", "not executed", "no connect", "broken", "timed out", "garbled",
@@ -51,78 +51,81 @@
 // Load is the load that a searcher reports in Searcher-Load.
 type Load struct{ Running, Waiting, Slots int }
 
-// Answer is a searcher's response, or the reason why there is none. The caller owns its strings and its body.
-type Answer struct {
-	Outcome     Outcome
-	Status      int    // also set if the response was cut off after its head; 0 if there was no head
-	Seal        string // value of Answer-Seal
-	SearcherID  string
-	Headers     []Header // end-to-end fields as received; set for Answered and NotExecuted
-	Body        []byte
-	Load        Load
-	HasLoad     bool
-	NotExecuted bool // the Not-Executed header was present, whether or not it was accepted
-	RetryAfter  time.Duration
-	Wrote       bool          // at least one byte of the request was passed to the kernel
-	Unreachable bool          // connecting failed although the full connect timeout was available
-	Fresh       bool          // used, or would have used, a new connection
-	Idle        time.Duration // how long the connection was idle before this request
-	Err         error         // nil for Answered and NotExecuted
+// Response is a searcher's response, or the reason why there is none. The caller owns its strings and its body.
+type Response struct {
+	Outcome       Outcome
+	Status        int    // also set if the response was cut off after its head; 0 if there was no head
+	Seal          string // value of Answer-Seal
+	SearcherID    string
+	Headers       []Header // end-to-end fields as received; set for Answered and NotExecuted
+	Body          []byte
+	Load          Load
+	HasLoad       bool
+	NotExecuted   bool // the Not-Executed header was present, whether or not it was accepted
+	RetryAfter    time.Duration
+	Wrote         bool          // at least one byte of the request was passed to the kernel
+	Unreachable   bool          // connecting failed although the full connect timeout was available
+	NewConnection bool          // used, or would have used, a new connection
+	IdleTime      time.Duration // how long the connection was idle before this request
+	Err           error         // nil for Answered and NotExecuted
 }
 
-// NeverRan reports whether the searcher has certainly not run the request and never will.
-func (a *Answer) NeverRan() bool { return a.Outcome == NotExecuted || !a.Wrote }
+// NeverExecuted reports whether the searcher has certainly not run the request and never will.
+func (r *Response) NeverExecuted() bool { return r.Outcome == NotExecuted || !r.Wrote }
 
 // statusMisdirected is the status with which a searcher rejects a request intended for another one.
 const statusMisdirected = 421
 
 // Misdirected reports whether the address turned out to belong to another searcher.
-func (a *Answer) Misdirected() bool { return a.Outcome == NotExecuted && a.Status == statusMisdirected }
+func (r *Response) Misdirected() bool {
+	return r.Outcome == NotExecuted && r.Status == statusMisdirected
+}
 
-// Call is one request in flight. It may be passed to Do only once.
-type Call struct {
+// Exchange is one request in flight. It may be passed to Do only once.
+type Exchange struct {
 	Request
 	// Deadline is when Do gives up; zero means no deadline.
 	Deadline time.Time
-	// ToldDeadline is sent in Deadline-Ms as the time remaining when the request is written; zero means none. Once it
+	// AdvertisedDeadline is sent in Deadline-Ms as the time remaining when the request is written; zero means none. Once it
 	// has passed, nothing is written.
-	ToldDeadline time.Time
-	// VouchedUntil is the time before which a new connection to the address is assumed to reach the searcher; see identity.go.
-	VouchedUntil time.Time
+	AdvertisedDeadline time.Time
+	// AddressConfirmedUntil is the time before which a new connection to the address is assumed to reach the searcher;
+	// see identity.go.
+	AddressConfirmedUntil time.Time
 
 	mu        sync.Mutex
 	cancelled bool
-	abort     func() // interrupts the operation that the call is blocked on
+	abort     func() // interrupts the operation that the exchange is blocked on
 }
 
-// Cancel ends the call: Do returns promptly and closes the connection, because searchers drop work whose connection
+// Cancel ends the exchange: Do returns promptly and closes the connection, because searchers drop work whose connection
 // closes. Cancel may be called from any goroutine, before, during or after Do, any number of times.
-func (c *Call) Cancel() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cancelled = true
-	if c.abort != nil {
-		c.abort()
-		c.abort = nil
+func (e *Exchange) Cancel() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.cancelled = true
+	if e.abort != nil {
+		e.abort()
+		e.abort = nil
 	}
 }
 
-// setAbort sets how Cancel interrupts the next operation. It returns false if the call was already cancelled.
-func (c *Call) setAbort(abort func()) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cancelled {
+// setAbort sets how Cancel interrupts the next operation. It returns false if the exchange was already cancelled.
+func (e *Exchange) setAbort(abort func()) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.cancelled {
 		return false
 	}
-	c.abort = abort
+	e.abort = abort
 	return true
 }
 
-// clearAbort removes the abort function, so that Cancel no longer affects the connection. It returns false if the call was
-// cancelled before.
-func (c *Call) clearAbort() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.abort = nil
-	return !c.cancelled
+// clearAbort removes the abort function, so that Cancel no longer affects the connection. It returns false if the
+// exchange was cancelled before.
+func (e *Exchange) clearAbort() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.abort = nil
+	return !e.cancelled
 }
--- a/internal/upstream/wire_test.go
+++ b/internal/upstream/wire_test.go
@@ -22,10 +22,10 @@
 	must.Eq(t, string(faulty.Records("i-9", "/p/a1", 4)), string(response.Body))
 	must.Eq(t, faulty.Seal("i-9", "a1"), response.Seal)
 	must.Eq(t, "GET /p/a1 HTTP/1.1\nHost: h.example\nAttempt-Id: a1\n", got.Head)
-	must.True(t, response.Fresh && response.Wrote && response.Idle == 0)
+	must.True(t, response.NewConnection && response.Wrote && response.IdleTime == 0)
 
 	c := newExchange("a2")
-	c.Method, c.Target, c.ToldDeadline = "POST", "i-9", time.Now().Add(5*time.Second)
+	c.Method, c.Target, c.AdvertisedDeadline = "POST", "i-9", time.Now().Add(5*time.Second)
 	c.Headers = []Header{{"X-A", "1"}, {"content-length", "7"}, {"Transfer-Encoding", "chunked"}, {"HOST", "x"}, {"Connection", "x"},
 		{"attempt-id", "z"}, {"Deadline-MS", "9"}, {"Target-Searcher", "q"}, {"Expect", "100-continue"}, {"TE", "x"}, {"X-B", ""}}
 	response = p.Do(c)
@@ -34,7 +34,7 @@
 	must.Eq(t, fmt.Sprintf("POST /p/a2 HTTP/1.1\nHost: h.example\nX-A: 1\nX-B: \nAttempt-Id: a2\nTarget-Searcher: i-9\n"+
 		"Content-Length: 0\nDeadline-Ms: %d\n", got.DeadlineMs), got.Head)
 	must.Between(t, 1, got.DeadlineMs, 5000)
-	must.True(t, !response.Fresh && response.Idle > 0)
+	must.True(t, !response.NewConnection && response.IdleTime > 0)
 
 	for _, size := range []int{5, 300_000} { // written together with the head, and separately
 		c = newExchange("a3")
@@ -43,7 +43,7 @@
 		got = <-calls
 		must.True(t, bytes.Equal(c.Body, got.Body))
 	}
-	response = p.Do(&Call{Request: Request{Method: "GET", Path: "/health"}}) // a probe
+	response = p.Do(&Exchange{Request: Request{Method: "GET", Path: "/health"}}) // a probe
 	got = <-calls
 	must.Eq(t, Answered, response.Outcome)
 	must.Eq(t, "i-9", response.SearcherID)
@@ -53,24 +53,24 @@
 
 func TestInvalidRequest(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{})
-	for _, change := range []func(c *Call){
-		func(c *Call) { c.Path = "/a\r\nX: y" },
-		func(c *Call) { c.Path = "/a HTTP/1.1" },
-		func(c *Call) { c.Path = "" },
-		func(c *Call) { c.Method = "GET /" },
-		func(c *Call) { c.Method = "" },
-		func(c *Call) { c.Host = "h\nX: y" },
-		func(c *Call) { c.AttemptID = "a\r\n\r\nGET /" },
-		func(c *Call) { c.Target = "\x00" },
-		func(c *Call) { c.Headers = []Header{{"X", "y\rz"}} },
-		func(c *Call) { c.Headers = []Header{{"X: y", "z"}} },
-		func(c *Call) { c.Headers = []Header{{"", "z"}} },
+	for _, change := range []func(c *Exchange){
+		func(c *Exchange) { c.Path = "/a\r\nX: y" },
+		func(c *Exchange) { c.Path = "/a HTTP/1.1" },
+		func(c *Exchange) { c.Path = "" },
+		func(c *Exchange) { c.Method = "GET /" },
+		func(c *Exchange) { c.Method = "" },
+		func(c *Exchange) { c.Host = "h\nX: y" },
+		func(c *Exchange) { c.AttemptID = "a\r\n\r\nGET /" },
+		func(c *Exchange) { c.Target = "\x00" },
+		func(c *Exchange) { c.Headers = []Header{{"X", "y\rz"}} },
+		func(c *Exchange) { c.Headers = []Header{{"X: y", "z"}} },
+		func(c *Exchange) { c.Headers = []Header{{"", "z"}} },
 	} {
 		c := newExchange("a1")
 		change(c)
 		response := p.Do(c)
-		must.Eq(t, Unsendable, response.Outcome)
-		must.True(t, response.NeverRan())
+		must.Eq(t, InvalidRequest, response.Outcome)
+		must.True(t, response.NeverExecuted())
 		must.StrContains(t, response.Err.Error(), s.Addr())
 	}
 	must.Eq(t, 0, s.Accepted())
@@ -86,26 +86,26 @@
 		faulty.Good:        {Answered, 1, true},
 		faulty.Chunked:     {Answered, 1, true},
 		faulty.Trickle:     {Answered, 1, true},
-		faulty.CloseUnsaid: {Answered, 1, true}, // detected by the next call
+		faulty.CloseUnsaid: {Answered, 1, true}, // detected by the next exchange
 		faulty.CloseAfter:  {Answered, 1, false},
 		faulty.Surplus:     {Answered, 1, false},
 		faulty.ExtraNow:    {Answered, 1, false},
 		faulty.ShortLength: {Answered, 1, false},
 		faulty.Refuse:      {NotExecuted, 0, true},
 		faulty.Wrong421:    {NotExecuted, 0, true},
-		faulty.ResetUnrun:  {Broken, 0, false},
-		faulty.ResetRun:    {Broken, 1, false},
-		faulty.CloseRun:    {Broken, 1, false},
-		faulty.CutHead:     {Broken, 1, false},
-		faulty.CutBody:     {Broken, 1, false},
-		faulty.Spoil:       {Garbled, 1, false},
-		faulty.WrongID:     {Garbled, 1, false},
-		faulty.NoID:        {Garbled, 1, false},
-		faulty.NoSeal:      {Garbled, 1, false},
-		faulty.BadChunks:   {Garbled, 1, false},
-		faulty.BothLengths: {Garbled, 1, false},
-		faulty.NoLength:    {Garbled, 1, false},
-		faulty.UntilClose:  {Garbled, 1, false},
+		faulty.ResetUnrun:  {ConnectionLost, 0, false},
+		faulty.ResetRun:    {ConnectionLost, 1, false},
+		faulty.CloseRun:    {ConnectionLost, 1, false},
+		faulty.CutHead:     {ConnectionLost, 1, false},
+		faulty.CutBody:     {ConnectionLost, 1, false},
+		faulty.Spoil:       {InvalidResponse, 1, false},
+		faulty.WrongID:     {InvalidResponse, 1, false},
+		faulty.NoID:        {InvalidResponse, 1, false},
+		faulty.NoSeal:      {InvalidResponse, 1, false},
+		faulty.BadChunks:   {InvalidResponse, 1, false},
+		faulty.BothLengths: {InvalidResponse, 1, false},
+		faulty.NoLength:    {InvalidResponse, 1, false},
+		faulty.UntilClose:  {InvalidResponse, 1, false},
 	} {
 		for _, used := range []bool{false, true} {
 			s, p := setup(t, faulty.Options{TellLoad: true}, Options{})
@@ -116,19 +116,19 @@
 			response := p.Do(newExchange("a1"))
 			must.Eq(t, c.want, response.Outcome, must.Sprint(way, used, response.Err))
 			must.Eq(t, c.want == Answered || c.want == NotExecuted, response.Err == nil)
-			must.Eq(t, c.want == NotExecuted, response.NeverRan())
+			must.Eq(t, c.want == NotExecuted, response.NeverExecuted())
 			must.Eq(t, c.ran, s.Ledger().Ran("a1"), must.Sprint(way))
 			must.Eq(t, 1, s.Ledger().Arrived("a1")) // the pool never repeats it
-			must.Eq(t, c.keep, p.Idle() == 1, must.Sprint(way, used))
-			must.Eq(t, p.Idle(), p.Open())
-			must.Eq(t, !used, response.Fresh)
+			must.Eq(t, c.keep, p.IdleConns() == 1, must.Sprint(way, used))
+			must.Eq(t, p.IdleConns(), p.OpenConns())
+			must.Eq(t, !used, response.NewConnection)
 			must.True(t, response.Outcome != Answered || response.HasLoad)
 		}
 	}
 	s, p := setup(t, faulty.Options{}, Options{})
 	s.SetScript(func(faulty.Call) faulty.Reply { return faulty.Reply{Way: faulty.RefuseNoID} })
 	must.Eq(t, NotExecuted, p.Do(newExchange("a1")).Outcome) // first request on its connection
-	must.Eq(t, Garbled, p.Do(newExchange("a2")).Outcome)
+	must.Eq(t, InvalidResponse, p.Do(newExchange("a2")).Outcome)
 	c := newExchange("a3")
 	c.Target = "i-other"
 	must.Eq(t, NotExecuted, p.Do(c).Outcome)
@@ -145,8 +145,8 @@
 		return faulty.Reply{Way: map[bool]faulty.Way{true: faulty.ExtraLate}[c.AttemptID == "a1"]}
 	})
 	must.Eq(t, Answered, p.Do(newExchange("a1")).Outcome)
-	must.Eq(t, Garbled, p.Do(newExchange("a2")).Outcome)
-	must.Eq(t, 0, p.Open())
+	must.Eq(t, InvalidResponse, p.Do(newExchange("a2")).Outcome)
+	must.Eq(t, 0, p.OpenConns())
 	must.Eq(t, Answered, p.Do(newExchange("a3")).Outcome)
 	must.Eq(t, 2, s.Accepted())
 	must.SliceEmpty(t, s.Ledger().Twice(nil))
--- a/proxy/figures.go
+++ b/proxy/figures.go
@@ -15,8 +15,8 @@
 	c, inHand, pools, listed, mixers, hosts := p.life.Counts, p.life.InHand(), len(p.pools), p.listed, p.mixers, len(p.hosts)
 	open, idle := 0, 0
 	for _, pool := range p.pools {
-		open += pool.Open()
-		idle += pool.Idle()
+		open += pool.OpenConns()
+		idle += pool.IdleConns()
 	}
 	budgets, mixersCounted, slackSpent := p.life.Book().Figures(now), p.life.Book().KnownMixers(), p.life.Book().SlackIsSpent()
 	p.mu.Unlock()
@@ -49,7 +49,7 @@
 	emit("pools", float64(pools))
 	emit("identity_probes_total", float64(p.probes.First.Load()), figures.Label{Name: "reason", Value: "first"})
 	emit("identity_probes_total", float64(p.probes.Old.Load()), figures.Label{Name: "reason", Value: "old"})
-	emit("identity_probe_seconds_total", time.Duration(p.probes.Took.Load()).Seconds())
+	emit("identity_probe_seconds_total", time.Duration(p.probes.TotalNanoseconds.Load()).Seconds())
 	emit("connections_open", float64(open))
 	emit("connections_idle", float64(idle))
 	emit("searchers_listed", float64(hosts))
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -42,13 +42,13 @@
 	q.merged()
 	var pool *upstream.Pool
 	q.do(func() { pool = q.pool(&host) })
-	answers := make(chan upstream.Answer)
+	answers := make(chan upstream.Response)
 	out := 0
 	// opens asks until one request more than may be finds no connection, and tells how many there are.
 	opens := func() int {
 		for {
 			go func() {
-				answers <- pool.Do(&upstream.Call{Request: upstream.Request{Method: "GET", Path: "/", AttemptID: "id"}})
+				answers <- pool.Do(&upstream.Exchange{Request: upstream.Request{Method: "GET", Path: "/", AttemptID: "id"}})
 			}()
 			select {
 			case <-at:
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -319,5 +319,5 @@
 	p.log.Info().Str("event", "tally").Int("taken", c.Taken).Int("relayed", c.Relayed).Int("gathered", c.Gathered).
 		Int("partial", c.Partial).Int("refused", c.Refused).Int("failed", c.Failed).Int("left", c.Left).
 		Int("sent", c.Sent).Int("further", c.Further).Int("in-hand", n).Ints("outcomes", c.Outcomes[:]).Ints("far", c.Far[:]).
-		Uint64("probes-first", p.probes.First.Load()).Uint64("probes-old", p.probes.Old.Load()).Int64("probes-took-ms", p.probes.Took.Load()/int64(time.Millisecond)).Msg("")
+		Uint64("probes-first", p.probes.First.Load()).Uint64("probes-old", p.probes.Old.Load()).Int64("probes-took-ms", p.probes.TotalNanoseconds.Load()/int64(time.Millisecond)).Msg("")
 }
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -14,7 +14,7 @@
 
 // sending is a dispatch under way.
 type sending struct {
-	call upstream.Call
+	call upstream.Exchange
 	pool *upstream.Pool
 }
 
@@ -35,10 +35,10 @@
 	s.call.Request = t.Request
 	s.call.Target = d.Host.ID
 	if d.Vouched {
-		s.call.VouchedUntil = time.Now().Add(vouchedFor)
+		s.call.AddressConfirmedUntil = time.Now().Add(vouchedFor)
 	}
 	s.call.Deadline = p.start.Add(d.Until)
-	s.call.ToldDeadline = t.until
+	s.call.AdvertisedDeadline = t.until
 	if over := s.call.Deadline.Sub(t.until); over > deadlineSlack {
 		invariant.Violated(invariant.DeadlineWithinClients, "searcher %s: %v past the client's", d.Host.ID, over)
 	}
@@ -48,8 +48,8 @@
 func (p *Proxy) pool(h *request.Host) *upstream.Pool {
 	pool := p.pools[h.ID]
 	if pool == nil {
-		o := upstream.Options{VouchFor: p.set.ReuseDelay * vouchShare / 4, Probes: &p.probes}
-		o.ConnMost, o.ProbePath = p.poolBounds(h.Service)
+		o := upstream.Options{ConfirmationTTL: p.set.ReuseDelay * vouchShare / 4, Probes: &p.probes}
+		o.MaxConns, o.ProbePath = p.poolBounds(h.Service)
 		pool = upstream.NewPool(h.Address, o)
 		p.pools[h.ID] = pool
 	}
@@ -74,7 +74,7 @@
 func (p *Proxy) followPools() {
 	for i := range p.hosts {
 		if pool := p.pools[p.hosts[i].ID]; pool != nil {
-			pool.Follow(p.poolBounds(p.hosts[i].Service))
+			pool.Reconfigure(p.poolBounds(p.hosts[i].Service))
 		}
 	}
 }
@@ -124,7 +124,7 @@
 }
 
 // reading says whether a searcher has read a dispatch.
-func reading(a *upstream.Answer) request.Reading {
+func reading(a *upstream.Response) request.Reading {
 	switch {
 	case !a.Wrote:
 		return request.NotRead
@@ -135,7 +135,7 @@
 }
 
 // outcome says in the module's words what became of a dispatch.
-func outcome(a *upstream.Answer, d *request.Dispatch) brain.Outcome {
+func outcome(a *upstream.Response, d *request.Dispatch) brain.Outcome {
 	switch a.Outcome {
 	case upstream.Answered:
 		if promises(a.Status) {
@@ -150,12 +150,12 @@
 			return brain.NoRoute
 		}
 		return brain.NoRoom
-	case upstream.NoConnect, upstream.Unsendable:
+	case upstream.ConnectFailed, upstream.InvalidRequest:
 		if errors.Is(a.Err, upstream.ErrFull) {
 			return brain.NoRoom // our own share of its connections is in use: it is there, and busy
 		}
 		return brain.NoRoute
-	case upstream.Broken:
+	case upstream.ConnectionLost:
 		return brain.Cut
 	case upstream.TimedOut:
 		return brain.TooSlow
@@ -179,7 +179,7 @@
 }
 
 // reply keeps what may reach a client.
-func reply(a *upstream.Answer) *request.Reply {
+func reply(a *upstream.Response) *request.Reply {
 	if a.Outcome != upstream.Answered || promises(a.Status) {
 		return nil
 	}
