--- a/internal/keepalive/network.go
+++ b/internal/keepalive/network.go
@@ -18,8 +18,8 @@
 }
 
 // TCP is the network of the machine. If Relay is set, connections go through a relay that tests put between processes
-// to cut or slow their connections. The relay is sent the names of caller and callee, and replies with one byte once it
-// is connected.
+// to cut or slow their connections. The relay is sent the name of the caller, From, and the address of the
+// callee, and replies with one byte once it is connected.
 type TCP struct{ Relay, From string }
 
 // relayConnected is the reply of a relay once it is connected to the callee.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -138,7 +138,8 @@
 		}
 		// Bytes after a complete response belong to no request, and more of them may follow, so the connection is not
 		// reused.
-		return response, notCancelled && responseHead.reusable && !connEnded && reader.start == reader.end && c.idleTimeout > 0, false
+		return response, notCancelled && responseHead.reusable && !connEnded && reader.start == reader.end &&
+			c.idleTimeout > 0, false
 	}
 	deadlinePassed := err == errDeadlinePassed || errors.Is(err, os.ErrDeadlineExceeded)
 	if !response.NewConnection && !c.wrote && notCancelled && !deadlinePassed {
@@ -149,6 +150,7 @@
 	return response, notCancelled && deadlinePassed && !c.wrote, false // the connection was not used and stays valid
 }
 
+// outcome returns the outcome of an exchange that failed with err.
 func (c *conn) outcome(err error, notCancelled bool) Outcome {
 	if _, ok := err.(invalidResponse); ok {
 		return InvalidResponse
--- a/internal/upstream/head.go
+++ b/internal/upstream/head.go
@@ -10,7 +10,7 @@
 // invalidResponse is the reason why a response is rejected. All values are constants, so that none is allocated.
 type invalidResponse string
 
-func (g invalidResponse) Error() string { return string(g) }
+func (r invalidResponse) Error() string { return string(r) }
 
 // head is the status line and header fields of a response.
 type head struct {
--- a/internal/upstream/identity.go
+++ b/internal/upstream/identity.go
@@ -85,7 +85,7 @@
 	counts.TotalNanoseconds.Add(int64(duration))
 }
 
-// identify probes a connection that the exchange may abort, until the deadline. Unless the exchange may use the
+// identify probes a connection; the deadline and Exchange.Cancel end the probe. Unless the exchange may use the
 // connection, it is closed or released.
 func (p *Pool) identify(c *conn, exchange *Exchange, now, deadline time.Time) (probeResult, Response) {
 	p.mu.Lock()
--- a/internal/upstream/identity_test.go
+++ b/internal/upstream/identity_test.go
@@ -27,9 +27,9 @@
 func TestIdentity(t *testing.T) {
 	s, p := setup(t, faulty.Options{ID: "i-1"}, Options{ProbePath: probePath, ConfirmationTTL: time.Hour})
 	probes := 0
-	do := func(call *Exchange, probed bool) {
+	do := func(exchange *Exchange, probed bool) {
 		t.Helper()
-		response := p.Do(call)
+		response := p.Do(exchange)
 		must.Eq(t, Answered, response.Outcome, must.Sprint(response.Err))
 		if probed {
 			probes++
@@ -66,7 +66,8 @@
 	must.Eq(t, 0, s.Ledger().Arrived("a1"))
 }
 
-// TestAddressOfAnotherSearcher checks that a request is not sent to an address that belongs to another searcher.
+// TestAddressOfAnotherSearcher checks that a request is not sent to an address that belongs to another searcher, and
+// that the response reports this.
 func TestAddressOfAnotherSearcher(t *testing.T) {
 	s, p := setup(t, faulty.Options{ID: "i-2"}, Options{ProbePath: probePath, ConfirmationTTL: time.Hour})
 	for range 2 {
@@ -96,7 +97,7 @@
 func TestProbeWithoutIdentity(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply faulty.Reply
-		out   Outcome
+		want  Outcome
 	}{
 		"silence":        {faulty.Reply{Way: faulty.Hang}, ConnectFailed},
 		"reset":          {faulty.Reply{Way: faulty.ResetRun}, ConnectFailed},
@@ -118,8 +119,8 @@
 			s, p := setup(t, faulty.Options{ID: "i-1", Script: script, ScriptProbes: true},
 				Options{ProbePath: probePath, ConfirmationTTL: time.Hour, ConnectTimeout: 200 * time.Millisecond})
 			response := p.Do(newTargetedExchange("i-1", "a1"))
-			must.Eq(t, c.out, response.Outcome, must.Sprint(response.Err))
-			must.Eq(t, response.Wrote, c.out == Answered)
+			must.Eq(t, c.want, response.Outcome, must.Sprint(response.Err))
+			must.Eq(t, response.Wrote, c.want == Answered)
 			must.Eq(t, response.Wrote, s.Ledger().Arrived("a1") == 1)
 			must.False(t, response.Misdirected())
 		})
@@ -197,7 +198,7 @@
 }
 
 // TestFollow checks that the maximum number of connections may change after the pool was created.
-func TestFollow(t *testing.T) {
+func TestReconfigure(t *testing.T) {
 	s, p := setup(t, faulty.Options{}, Options{MaxConns: 1})
 	_, _, release := startBlocked(t, s, p, 1)
 	defer release()
@@ -216,18 +217,18 @@
 	must.True(t, p.Do(newExchange("a1")).Unreachable)
 
 	for name, c := range map[string]struct {
-		left, most time.Duration
-		want       bool
+		remaining, connectTimeout time.Duration
+		want                      bool
 	}{
 		"the call's own time is over": {20 * time.Millisecond, 10 * time.Second, false},
 		"nobody answers":              {10 * time.Second, 20 * time.Millisecond, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			full := unanswered(t)
-			p := NewPool(full, Options{ConnectTimeout: c.most})
-			call := newExchange("a1")
-			call.Deadline = time.Now().Add(c.left)
-			response := p.Do(call)
+			full := addressWithFullQueue(t)
+			p := NewPool(full, Options{ConnectTimeout: c.connectTimeout})
+			exchange := newExchange("a1")
+			exchange.Deadline = time.Now().Add(c.remaining)
+			response := p.Do(exchange)
 			must.Eq(t, ConnectFailed, response.Outcome)
 			must.Eq(t, c.want, response.Unreachable, must.Sprint(response.Err))
 		})
@@ -235,7 +236,7 @@
 }
 
 // unanswered returns an address at which connection attempts get no response, because its accept queue is full.
-func unanswered(t *testing.T) string {
+func addressWithFullQueue(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	must.NoError(t, err)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -98,7 +98,8 @@
 	if !exchange.AdvertisedDeadline.IsZero() && exchange.AdvertisedDeadline.Sub(now) < time.Millisecond {
 		return p.notConnected(exchange, errDeadlinePassed) // too late to use up a connection
 	}
-	connectDeadline := p.connectDeadline(exchange, now) // counts from the decision to send, which is based on what was known then
+	// It counts from the decision to send, which is based on what was known then.
+	connectDeadline := p.connectDeadline(exchange, now)
 	for probes := 0; ; {
 		c, err := p.acquire(now)
 		if c == nil && err == nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -356,7 +356,8 @@
 			c.Deadline = time.Now().Add(time.Second)
 		}
 		response := p.Do(c)
-		must.True(t, response.Outcome == want && response.Wrote && !response.NeverExecuted(), must.Sprint(response.Outcome, response.Err))
+		must.True(t, response.Outcome == want && response.Wrote && !response.NeverExecuted(),
+			must.Sprint(response.Outcome, response.Err))
 		must.Eq(t, 0, p.OpenConns())
 	}
 }
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -113,9 +113,9 @@
 func TestNotExecuted(t *testing.T) {
 	const id, notExecuted, noBody = "Attempt-Id: a1\r\n", "Not-Executed: 1\r\n", "Content-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
-		raw   string
-		first bool
-		want  Outcome // 0: invalid response
+		raw      string
+		firstUse bool
+		want     Outcome // 0: invalid response
 	}{
 		"503":                {"HTTP/1.1 503 F\r\n" + id + notExecuted + noBody, false, NotExecuted},
 		"429":                {"HTTP/1.1 429 F\r\n" + id + notExecuted + noBody, false, NotExecuted},
@@ -131,7 +131,7 @@
 		"no length, no end":  {"HTTP/1.1 503 F\r\n" + id + notExecuted + "\r\nab", false, NotExecuted},
 		"encoded, no answer": {"HTTP/1.1 503 F\r\n" + id + notExecuted + "Content-Encoding: br\r\n" + noBody, true, 0},
 	} {
-		response, _, _, err := parseResponse(c.raw, "GET", "a1", c.first, 30)
+		response, _, _, err := parseResponse(c.raw, "GET", "a1", c.firstUse, 30)
 		must.Eq(t, c.want, response.Outcome, must.Sprint(name, err))
 		must.Eq(t, c.want == 0, isInvalidResponse(err), must.Sprint(name))
 	}
@@ -140,7 +140,8 @@
 }
 
 func TestResponseFields(t *testing.T) {
-	response, responseHead, reusable, err := parseResponse("HTTP/1.1 200 OK\r\n"+idAndSeal+"Searcher-Id: i-1\r\nSearcher-Load: 3, 0,8\r\nRetry-After: 0.25\r\n"+
+	response, responseHead, reusable, err := parseResponse("HTTP/1.1 200 OK\r\n"+idAndSeal+
+		"Searcher-Id: i-1\r\nSearcher-Load: 3, 0,8\r\nRetry-After: 0.25\r\n"+
 		"Keep-Alive: timeout=4, max=9\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nX-End: 2\r\n"+length3+"surplus",
 		"GET", "a1", false, 4096)
 	must.NoError(t, err)
@@ -154,7 +155,8 @@
 	must.Eq(t, "s", response.Seal)
 	must.Eq(t, []Header{{"Attempt-Id", "a1"}, {"Answer-Seal", "s"}, {"Searcher-Id", "i-1"}, {"Searcher-Load", "3, 0,8"},
 		{"Retry-After", "0.25"}, {"X-End", "2"}}, response.Headers)
-	for s, want := range map[string]time.Duration{"timeout=1": 500 * time.Millisecond, "timeout=0": 0, "timeout=60": 45 * time.Second} {
+	for s, want := range map[string]time.Duration{"timeout=1": 500 * time.Millisecond, "timeout=0": 0,
+		"timeout=60": 45 * time.Second} {
 		n, ok := parseKeepAlive(s)
 		must.True(t, ok)
 		must.Eq(t, want, n)
--- a/internal/upstream/wire_test.go
+++ b/internal/upstream/wire_test.go
@@ -17,11 +17,11 @@
 	s, p := setup(t, faulty.Options{ID: "i-9", ScriptProbes: true,
 		Script: func(c faulty.Call) faulty.Reply { calls <- c; return faulty.Reply{} }}, Options{})
 	response := p.Do(newExchange("a1"))
-	got := <-calls
+	received := <-calls
 	must.Eq(t, Answered, response.Outcome)
 	must.Eq(t, string(faulty.Records("i-9", "/p/a1", 4)), string(response.Body))
 	must.Eq(t, faulty.Seal("i-9", "a1"), response.Seal)
-	must.Eq(t, "GET /p/a1 HTTP/1.1\nHost: h.example\nAttempt-Id: a1\n", got.Head)
+	must.Eq(t, "GET /p/a1 HTTP/1.1\nHost: h.example\nAttempt-Id: a1\n", received.Head)
 	must.True(t, response.NewConnection && response.Wrote && response.IdleTime == 0)
 
 	c := newExchange("a2")
@@ -29,25 +29,25 @@
 	c.Headers = []Header{{"X-A", "1"}, {"content-length", "7"}, {"Transfer-Encoding", "chunked"}, {"HOST", "x"}, {"Connection", "x"},
 		{"attempt-id", "z"}, {"Deadline-MS", "9"}, {"Target-Searcher", "q"}, {"Expect", "100-continue"}, {"TE", "x"}, {"X-B", ""}}
 	response = p.Do(c)
-	got = <-calls
+	received = <-calls
 	must.Eq(t, Answered, response.Outcome)
 	must.Eq(t, fmt.Sprintf("POST /p/a2 HTTP/1.1\nHost: h.example\nX-A: 1\nX-B: \nAttempt-Id: a2\nTarget-Searcher: i-9\n"+
-		"Content-Length: 0\nDeadline-Ms: %d\n", got.DeadlineMs), got.Head)
-	must.Between(t, 1, got.DeadlineMs, 5000)
+		"Content-Length: 0\nDeadline-Ms: %d\n", received.DeadlineMs), received.Head)
+	must.Between(t, 1, received.DeadlineMs, 5000)
 	must.True(t, !response.NewConnection && response.IdleTime > 0)
 
 	for _, size := range []int{5, 300_000} { // written together with the head, and separately
 		c = newExchange("a3")
 		c.Method, c.Body = "PUT", bytes.Repeat([]byte("0123\r\n\r\n9"), size)[:size]
 		must.Eq(t, Answered, p.Do(c).Outcome)
-		got = <-calls
-		must.True(t, bytes.Equal(c.Body, got.Body))
+		received = <-calls
+		must.True(t, bytes.Equal(c.Body, received.Body))
 	}
 	response = p.Do(&Exchange{Request: Request{Method: "GET", Path: "/health"}}) // a probe
-	got = <-calls
+	received = <-calls
 	must.Eq(t, Answered, response.Outcome)
 	must.Eq(t, "i-9", response.SearcherID)
-	must.Eq(t, "GET /health HTTP/1.1\nHost: "+s.Addr()+"\n", got.Head)
+	must.Eq(t, "GET /health HTTP/1.1\nHost: "+s.Addr()+"\n", received.Head)
 	must.Eq(t, 1, s.Accepted())
 }
 
