--- a/distribution/pull.go
+++ b/distribution/pull.go
@@ -38,7 +38,7 @@
 	Life    string // and life
 	IP      string // a controller's
 	Kind    string // "agent", "proxy" or "controller"
-	Want    registry.Want
+	Want    registry.PullQuery
 	Version uint64 // of the configuration held
 	Whole   bool   // a difference did not fit: the whole is wanted
 	Core    uint64 // digest of the list of core machines held
@@ -48,9 +48,9 @@
 	Alone      bool
 	Peer       bool // the asker is a controller: it knows of core machines itself
 	Mend       *Mend
-	Kept       uint64                // a controller's: what it knows of the answerer's disk, by the number told last on this link
-	Mixer      *Pulse                // an agent's
-	Word       *failuredetector.Word // a controller's, of the mixers that pull from it
+	Kept       uint64                       // a controller's: what it knows of the answerer's disk, by the number told last on this link
+	Mixer      *Pulse                       // an agent's
+	Word       *failuredetector.WatchReport // a controller's, of the mixers that pull from it
 }
 
 // Pulse is what an agent tells of itself, and of the mixers that it watches.
@@ -321,7 +321,7 @@
 	}
 	p.Board.mu.Lock()
 	defer p.Board.mu.Unlock()
-	a.Want, a.Core, a.Mixers = p.Board.registry.Want(by), p.Board.coreSum, p.Board.mixers
+	a.Want, a.Core, a.Mixers = p.Board.registry.PullQuery(by), p.Board.coreSum, p.Board.mixers
 	a.SlackSpent = p.Kind == "proxy" && p.Board.slackSpent
 	if p.Board.doc != nil {
 		a.Version = p.Board.doc.Version
--- a/fleet/fleetsim/mixer.go
+++ b/fleet/fleetsim/mixer.go
@@ -4,16 +4,16 @@
 	"math"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/fleet/overload"
 	"peathollow/lab/reader"
+	"peathollow/policy"
 )
 
 // mixer is the real module of one life of a node, with what it has in hand.
 type mixer struct {
 	n     *Node
 	life  int
-	m     *brain.Mixer
+	m     *policy.Engine
 	ids   uint64
 	scans map[uint64]*scan
 	parts map[uint64]*part
@@ -46,44 +46,44 @@
 func newMixer(n *Node) *mixer {
 	l := n.w.load
 	m := &mixer{n: n, life: n.life, scans: map[uint64]*scan{}, parts: map[uint64]*part{}, room: math.Inf(1), meter: overload.NewMeter(l.kinds)}
-	set := brain.Settings{Seed: n.w.set.Seed*1000 + n.Inc, Me: n.i, Mixers: n.w.set.Mixers, Cells: l.set.Readers, Reach: 2,
-		PartsPerCall: 1, MaxTries: 3, SecondCopies: true, RetryAdvice: true, MaxRetryIn: 5 * time.Second, MayCancel: true,
-		Round: 5 * time.Millisecond, AskEvery: 10 * time.Second, ColdFor: l.set.Cold.For, FallSpan: l.set.Cold.Span,
-		ColdShare: l.set.Cold.Share, FallMultiple: l.set.Cold.Multiple}
+	set := policy.Settings{Seed: n.w.set.Seed*1000 + n.Inc, Instance: n.i, Mixers: n.w.set.Mixers, Shards: l.set.Readers, ShardSpan: 2,
+		PartsPerCall: 1, MaxAttempts: 3, MayHedge: true, RetryAdvice: true, MaxRetryAfter: 5 * time.Second, MayCancel: true,
+		Granularity: 5 * time.Millisecond, ListInterval: 10 * time.Second, WarmUp: l.set.Cold.For, OverloadSpan: l.set.Cold.Span,
+		ColdShare: l.set.Cold.Share, OverloadMultiple: l.set.Cold.Multiple}
 	if l.set.Cold.Unknown {
-		set.ColdFor, set.FallSpan = 0, 0
+		set.WarmUp, set.OverloadSpan = 0, 0
 	}
 	for _, b := range worth {
-		set.Types = append(set.Types, brain.TableType{Target: target, Timeout: timeout, Benefit: b, Need: 1, Floor: 1})
+		set.Types = append(set.Types, policy.TableType{Target: target, Timeout: timeout, Benefit: b, Need: 1, Floor: 1})
 	}
 	for _, t := range l.set.Tenants {
 		set.Quotas = append(set.Quotas, t.Share)
 	}
-	m.m = brain.New(set, m, 0)
-	m.m.ListBegin(brain.Whole)
+	m.m = policy.New(set, m, 0)
+	m.m.ListBegin(policy.Full)
 	for i := range l.readers {
 		from := l.colds[i].from
-		if from != brain.LongAgo {
+		if from != policy.LongAgo {
 			from -= n.born
 		}
-		m.m.ListEntry(i, brain.Ready, 1, from, i)
+		m.m.ListEntry(i, policy.Ready, 1, from, i)
 	}
-	m.m.ListEnd(brain.Whole)
+	m.m.ListEnd(policy.Full)
 	return m
 }
 
 // told is the list's word that a searcher has started anew.
 func (m *mixer) told(i int, from time.Duration) {
-	m.m.ListBegin(brain.Changes)
-	m.m.ListEntry(i, brain.Ready, 1, from-m.n.born, i)
-	m.m.ListEnd(brain.Changes)
+	m.m.ListBegin(policy.Changes)
+	m.m.ListEntry(i, policy.Ready, 1, from-m.n.born, i)
+	m.m.ListEnd(policy.Changes)
 }
 
 // in has the module take an event, now or when its process wakes; never after its life.
 func (m *mixer) in(f func()) {
 	if m.n.up && m.n.life == m.life {
 		m.n.do(func() {
-			m.m.At(m.now())
+			m.m.Advance(m.now())
 			f()
 		})
 	}
@@ -92,11 +92,11 @@
 func (m *mixer) now() time.Duration { return m.n.w.now - m.n.born }
 
 func (m *mixer) scan(c *client, again bool, done func(bool, time.Duration)) {
-	m.m.At(m.now())
+	m.m.Advance(m.now())
 	m.ids++
 	s := &scan{id: m.ids, class: c.class, at: m.n.w.now, done: done}
 	m.scans[s.id] = s
-	m.meter.Came(c.class, c.tenant, partsOf, again)
+	m.meter.ScanArrived(c.class, c.tenant, partsOf, again)
 	m.m.Scan(s.id, s.id, c.class, c.tenant, timeout, 0, partsOf, again)
 	for range partsOf {
 		if m.scans[s.id] == nil {
@@ -115,7 +115,7 @@
 }
 
 // end is a final answer: the one there is.
-func (m *mixer) end(id uint64, how overload.End, in time.Duration) {
+func (m *mixer) end(id uint64, how overload.ScanOutcome, in time.Duration) {
 	s := m.scans[id]
 	if s == nil {
 		m.n.w.broke("scans: %s answers a scan twice", m.n.Name)
@@ -123,8 +123,8 @@
 	}
 	delete(m.scans, id)
 	took := m.n.w.now - s.at
-	m.meter.Ended(how, took, target)
-	m.n.w.after(0, func() { s.done(how == overload.Done && took <= target, in) })
+	m.meter.ScanEnded(how, took, target)
+	m.n.w.after(0, func() { s.done(how == overload.Completed && took <= target, in) })
 }
 
 // Dispatch and the others below are the module's actions.
@@ -140,18 +140,18 @@
 	m.n.w.after(trip/2, func() {
 		var ok bool
 		t.id, ok = l.arrive(srv, t.until, func(how reader.End) {
-			m.back(id, no, map[reader.End]brain.Outcome{reader.Done: brain.Pass, reader.Refused: brain.NoRoom, reader.Late: brain.TooSlow,
-				reader.Lost: brain.Cut}[how])
+			m.back(id, no, map[reader.End]policy.Outcome{reader.Done: policy.Succeeded, reader.Refused: policy.Overloaded, reader.Late: policy.TimedOut,
+				reader.Lost: policy.ConnectionLost}[how])
 		})
 		if !ok {
-			m.n.w.after(trip/2, func() { m.back(id, no, brain.NoRoute) })
+			m.n.w.after(trip/2, func() { m.back(id, no, policy.Unreachable) })
 		}
 	})
-	m.n.w.after(max(0, t.until-m.n.w.now), func() { m.back(id, no, brain.TooSlow) })
+	m.n.w.after(max(0, t.until-m.n.w.now), func() { m.back(id, no, policy.TimedOut) })
 }
 
 // back is the end of a dispatch; the first that is told counts.
-func (m *mixer) back(id uint64, no int, out brain.Outcome) {
+func (m *mixer) back(id uint64, no int, out policy.Outcome) {
 	m.in(func() {
 		p := m.parts[id]
 		if p == nil || !p.tries[no].out {
@@ -159,8 +159,8 @@
 		}
 		t := p.tries[no]
 		t.out = false
-		if out == brain.Pass {
-			m.meter.Carried()
+		if out == policy.Succeeded {
+			m.meter.PartServed()
 		}
 		m.m.Returned(id, no, out, m.n.w.now-t.at)
 	})
@@ -172,20 +172,20 @@
 		if l := m.n.w.load; l.out[t.id] != nil && l.readers[t.srv].Drop(m.n.w.now, t.id) {
 			delete(l.out, t.id)
 			l.look(t.srv)
-			m.n.w.after(trip/2, func() { m.back(id, no, brain.Undone) })
+			m.n.w.after(trip/2, func() { m.back(id, no, policy.Cancelled) })
 		}
 	})
 }
 
-func (m *mixer) Complete(id uint64, _ bool) { m.end(id, overload.Done, 0) }
+func (m *mixer) Complete(id uint64, _ bool) { m.end(id, overload.Completed, 0) }
 
 func (m *mixer) Throttle(id uint64, in time.Duration) {
 	if m.n.planted(plantSilence) && id%10 == 0 {
 		return
 	}
-	m.end(id, overload.Turned, in)
+	m.end(id, overload.Throttled, in)
 	if m.n.planted(plantAnswer) {
-		m.end(id, overload.Turned, in)
+		m.end(id, overload.Throttled, in)
 	}
 	if m.n.planted(plantAfter) {
 		for p, x := range m.parts {
@@ -200,7 +200,7 @@
 func (m *mixer) Abandon(id uint64) { m.end(id, overload.Failed, 0) }
 func (m *mixer) Renew(int)         {}
 func (m *mixer) Subscribe()        {}
-func (m *mixer) Tell([]byte)       {}
+func (m *mixer) Gossip([]byte)     {}
 func (m *mixer) Wake(at time.Duration, token uint64) {
 	m.n.w.after(max(0, at+m.n.born-m.n.w.now), func() { m.in(func() { m.m.Woke(token) }) })
 }
@@ -214,7 +214,7 @@
 	if !ok {
 		return
 	}
-	if err := n.Report(n.mix.meter.Take(due)); err != nil {
+	if err := n.Report(n.mix.meter.TakeReport(due)); err != nil {
 		n.w.broke("%s can't tell its load: %v", n.Name, err)
 	}
 }
@@ -224,6 +224,6 @@
 	if m.n.w.set.Shared {
 		var let []float64
 		let, m.n.Mood, m.room = m.n.Advice()
-		m.m.Let(let)
+		m.m.SetAdmission(let)
 	}
 }
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -12,6 +12,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -29,7 +30,7 @@
 
 var write = flag.Bool("write", false, "write the files under testdata with this build")
 
-// fill sets every exported field of a value to something other than zero that follows from the path of field names alone.
+// fill sets every exported field of a value to something other than zero that follows from the path of its encoded field names alone.
 func fill(path string, v reflect.Value) {
 	h := fnv.New64a()
 	h.Write([]byte(path))
@@ -65,9 +66,15 @@
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if f := v.Type().Field(i); f.IsExported() {
-				fill(path+"."+f.Name, v.Field(i))
+			f := v.Type().Field(i)
+			if !f.IsExported() {
+				continue
 			}
+			name := f.Name
+			if tag, _, _ := strings.Cut(f.Tag.Get("json"), ","); tag != "" {
+				name = tag // the name in the encoding; the field's own may change
+			}
+			fill(path+"."+name, v.Field(i))
 		}
 	default:
 		panic("no value for " + path + " of kind " + v.Kind().String())
@@ -126,7 +133,7 @@
 	t.Run("stored-id", checkGob[consensus.ID]("stored-id"))
 	t.Run("stored-vote", checkGob[consensus.Vote]("stored-vote"))
 	t.Run("stored-copy", checkGob[consensus.Copy]("stored-copy"))
-	t.Run("stored-doc", checkGob[consensus.Doc]("stored-doc"))
+	t.Run("stored-doc", checkGob[consensus.Document]("stored-doc"))
 	t.Run("stored-entry", checkGob[registry.Entry]("stored-entry"))
 	t.Run("call", checkGob[controlplane.Call]("call"))
 	t.Run("answer", checkGob[consensus.Answer]("answer"))
@@ -138,7 +145,7 @@
 // TestJSON covers what instances tell each other as JSON.
 func TestJSON(t *testing.T) {
 	t.Run("load-report", checkJSON[overload.Report]("load-report"))
-	t.Run("loan-request", checkJSON[overload.Ask]("loan-request"))
+	t.Run("loan-request", checkJSON[overload.LoanRequest]("loan-request"))
 	t.Run("loan", checkJSON[overload.Loan]("loan"))
 	t.Run("fleet-message", func(t *testing.T) {
 		m := filled[fleet.Message]()
@@ -163,7 +170,7 @@
 		b := m.Append(nil)
 		old := golden(t, "duty-message.bin", b)
 		must.Eq(t, old, b)
-		got, err := duty.Read(old)
+		got, err := duty.DecodeMessage(old)
 		must.NoError(t, err)
 		must.Eq(t, m.Append(nil), got.Append(nil))
 	})
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/config"
+	"peathollow/policy"
 )
 
 type entry struct {
@@ -21,7 +21,7 @@
 	weight, started float64
 	cell            int
 	dated           bool
-	state           brain.Standing
+	state           policy.SearcherState
 }
 
 type host struct {
@@ -44,7 +44,7 @@
 	h       *host
 	name    string
 	base    time.Duration
-	m       *brain.Mixer
+	m       *policy.Engine
 	srv     map[string]int
 	addr    []string
 	types   map[string]int
@@ -178,7 +178,7 @@
 			err = nil
 		}
 	}()
-	in.m.At(h.now - in.base)
+	in.m.Advance(h.now - in.base)
 	return in.event(f)
 }
 
@@ -186,11 +186,11 @@
 	e := entry{addr: string(f[5])}
 	switch string(f[1]) {
 	case "ready":
-		e.state = brain.Ready
+		e.state = policy.Ready
 	case "draining":
-		e.state = brain.Draining
+		e.state = policy.Draining
 	case "gone":
-		e.state = brain.Gone
+		e.state = policy.Gone
 	default:
 		return errWord
 	}
@@ -228,16 +228,16 @@
 	}
 	in := &inst{h: h, name: string(f[1]), base: h.now, srv: map[string]int{}, types: set.Types, tenants: set.Tenants}
 	h.insts[in.name] = in
-	in.m = brain.New(set.Brain, in, 0)
+	in.m = policy.New(set.Brain, in, 0)
 	return nil
 }
 
-var modes = map[string]brain.ListMode{"diff": brain.Changes, "snapshot": brain.Whole, "disk": brain.Remembered,
-	"error": brain.Failed}
+var modes = map[string]policy.ListMode{"diff": policy.Changes, "snapshot": policy.Full, "disk": policy.Cached,
+	"error": policy.Unavailable}
 
-var outcomes = map[string]brain.Outcome{"pass": brain.Pass, "fault": brain.Fault, "no_room": brain.NoRoom,
-	"too_slow": brain.TooSlow, "no_route": brain.NoRoute, "cut": brain.Cut, "undone": brain.Undone,
-	"stale_send": brain.Stale}
+var outcomes = map[string]policy.Outcome{"pass": policy.Succeeded, "fault": policy.Failed, "no_room": policy.Overloaded,
+	"too_slow": policy.TimedOut, "no_route": policy.Unreachable, "cut": policy.ConnectionLost, "undone": policy.Cancelled,
+	"stale_send": policy.Expired}
 
 func (in *inst) event(f [][]byte) error {
 	switch string(f[0]) {
@@ -260,7 +260,7 @@
 		if err != nil {
 			return errNumber
 		}
-		in.m.Left(id)
+		in.m.ClientLeft(id)
 	case "TIMEOUT_FIRED":
 		ctx, err := strconv.ParseUint(string(f[2]), 10, 64)
 		if err != nil {
@@ -279,14 +279,14 @@
 		if err != nil {
 			return errNumber
 		}
-		in.m.Heard(from, news)
+		in.m.ReceiveGossip(from, news)
 	case "ENDPOINTS":
 		mode, ok := modes[string(f[2])]
 		if !ok {
 			return errWord
 		}
 		in.m.ListBegin(mode)
-		if mode == brain.Failed {
+		if mode == policy.Unavailable {
 			return nil
 		}
 		id, err := strconv.Atoi(string(f[4]))
@@ -303,7 +303,7 @@
 				in.srv[e.addr] = i
 				in.addr = append(in.addr, e.addr)
 			}
-			started := brain.LongAgo
+			started := policy.LongAgo
 			if e.dated {
 				started = config.Span(e.started) - in.base
 			}
--- a/proxy/sight.go
+++ b/proxy/sight.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"peathollow/brain"
 	"peathollow/internal/logbound"
+	"peathollow/policy"
 	"peathollow/request"
 )
 
@@ -138,10 +138,10 @@
 	return b.String()
 }
 
-var outcomeNames = [brain.Stale + 1]string{brain.Pass: "answered", brain.Fault: "bad-answer", brain.NoRoom: "turned-away",
-	brain.TooSlow: "too-slow", brain.NoRoute: "unreachable", brain.Cut: "cut-off", brain.Undone: "called-off", brain.Stale: "not-sent"}
+var outcomeNames = [policy.Expired + 1]string{policy.Succeeded: "answered", policy.Failed: "bad-answer", policy.Overloaded: "turned-away",
+	policy.TimedOut: "too-slow", policy.Unreachable: "unreachable", policy.ConnectionLost: "cut-off", policy.Cancelled: "called-off", policy.Expired: "not-sent"}
 
-func outcomeName(o brain.Outcome) string {
+func outcomeName(o policy.Outcome) string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
 	}
--- a/request/freeze_test.go
+++ b/request/freeze_test.go
@@ -6,18 +6,18 @@
 
 	"github.com/shoenig/test/must"
 
-	"peathollow/brain"
 	"peathollow/internal/invariant"
 	"peathollow/manifest"
+	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
 // TestFreezeIsNoOverdueDispatch: a process that did not run could end no dispatch; the first look after it is no proof that nothing
 // will. One that runs and still has it out is caught (soak seed 5031: a proxy ended by this invariant on being thawed).
 func TestFreezeIsNoOverdueDispatch(t *testing.T) {
-	l := New(Terms{Budget: retrybudget.Terms{Window: 10 * time.Second}}, 0)
+	l := New(Terms{Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
 	l.Mixers(1)
-	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: brain.Ready}})
+	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: policy.Ready}})
 	var final *Final
 	l.Begin(&Request{Route: &manifest.Route{Plant: "s", Idempotent: true, Horizon: time.Second, Setpoint: time.Second, Retries: 1}, Until: time.Second,
 		Done: func(f Final) { final = &f }})
@@ -48,9 +48,9 @@
 // TestFreezeIsNoSilence: what came while the process did not run is looked at before anybody is held to be silent: no further try
 // goes out for an answer that is there already.
 func TestFreezeIsNoSilence(t *testing.T) {
-	l := New(Terms{Budget: retrybudget.Terms{Window: 10 * time.Second, Slack: 1000, Ratio: 1}}, 0)
+	l := New(Terms{Budget: retrybudget.Config{Window: 10 * time.Second, Slack: 1000, Ratio: 1}}, 0)
 	l.Mixers(1)
-	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: brain.Ready}, {ID: "i2", Address: "b", Service: "s", State: brain.Ready}})
+	l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: policy.Ready}, {ID: "i2", Address: "b", Service: "s", State: policy.Ready}})
 	route := &manifest.Route{Plant: "s", Idempotent: true, Horizon: 8 * time.Second, Setpoint: time.Second, Retries: 3}
 	now := time.Duration(0)
 	begin := func() (d *Dispatch, final *Final) {
@@ -60,7 +60,7 @@
 		must.Len(t, 1, out)
 		return out[0].Dispatch, final
 	}
-	answer := func(d *Dispatch) { l.Returned(d, brain.Pass, WasRead, &Reply{Status: 200, Seal: d.Host.ID}) }
+	answer := func(d *Dispatch) { l.Returned(d, policy.Succeeded, WasRead, &Reply{Status: 200, Seal: d.Host.ID}) }
 	for range 50 { // it knows the pace of both
 		d, _ := begin()
 		now += 10 * ms
