--- a/request/answer.go
+++ b/request/answer.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// recordSize is the length of a record in a part's body, in bytes.
+// recordSize is the length in bytes of a record in a part's body.
 const recordSize = 16
 
-// answer makes a completed request's answer from the parts that are in.
+// answer returns the final answer to a completed request, from the parts that were answered.
 func answer(r *Request) Final {
 	if len(r.Route.FanOut) == 0 {
 		return Final{Kind: Relayed, Reply: r.parts[0].reply}
@@ -21,13 +21,14 @@
 			bodies = append(bodies, p.reply.Body)
 		}
 	}
-	f.Missing = len(r.shards) - len(f.Seals)
+	f.Missing = len(r.services) - len(f.Seals)
 	f.Body = merge(bodies, r.Route.TopK)
 	return f
 }
 
-// merge gives the greatest records of all bodies, greatest first; equal ones all count, a shorter rest is none.
-func merge(bodies [][]byte, most int) []byte {
+// merge returns the greatest records of all bodies, greatest first, at most limit of them if limit is positive.
+// Duplicates are kept; a trailing piece shorter than a record is dropped.
+func merge(bodies [][]byte, limit int) []byte {
 	var all [][]byte
 	for _, b := range bodies {
 		for len(b) >= recordSize {
@@ -36,8 +37,8 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b []byte) int { return bytes.Compare(b, a) })
-	if most > 0 && len(all) > most {
-		all = all[:most]
+	if limit > 0 && len(all) > limit {
+		all = all[:limit]
 	}
 	return bytes.Join(all, nil)
 }
--- a/request/check.go
+++ b/request/check.go
@@ -6,39 +6,40 @@
 	"peathollow/policy"
 )
 
-// Check returns what is wrong with the book, or nil. It costs a walk over everything.
-func (l *Life) Check() error {
-	busy := map[*group]int{}
-	for id, r := range l.reqs {
+// Check verifies the consistency of the whole state and returns the first violation found, or nil. Its cost is
+// proportional to the size of the state.
+func (c *Life) Check() error {
+	inFlight := map[*group]int{}
+	for id, r := range c.requests {
 		if r.id != id || r.ended {
-			return fmt.Errorf("request %d is in hand as %d, ended: %v", r.id, id, r.ended)
+			return fmt.Errorf("request %d is recorded as %d, ended: %v", r.id, id, r.ended)
 		}
-		if len(r.parts) != len(r.shards) || len(r.shards) == 0 {
-			return fmt.Errorf("request %d has %d parts of %d services", id, len(r.parts), len(r.shards))
+		if len(r.parts) != len(r.services) || len(r.services) == 0 {
+			return fmt.Errorf("request %d has %d parts of %d services", id, len(r.parts), len(r.services))
 		}
 		for i, p := range r.parts {
-			if l.parts[p.id] != p || p.service != r.shards[i] {
-				return fmt.Errorf("request %d: part %d of %s is not in the book", id, p.id, p.service)
+			if c.parts[p.id] != p || p.service != r.services[i] {
+				return fmt.Errorf("request %d: part %d of %s is not recorded", id, p.id, p.service)
 			}
 		}
-		busy[r.group]++
+		inFlight[r.group]++
 	}
-	out := map[*host]int{}
-	for id, p := range l.parts {
+	outstanding := map[*member]int{}
+	for id, p := range c.parts {
 		if err := p.check(id); err != nil {
 			return err
 		}
-		for _, d := range p.tries {
-			if d.out {
-				out[d.host]++
+		for _, d := range p.dispatches {
+			if d.inFlight {
+				outstanding[d.member]++
 			}
 		}
 	}
-	for key, g := range l.groups {
-		if g.busy != busy[g] {
-			return fmt.Errorf("group %s counts %d in hand, there are %d", key, g.busy, busy[g])
+	for key, g := range c.groups {
+		if g.inFlight != inFlight[g] {
+			return fmt.Errorf("group %s counts %d requests in flight, there are %d", key, g.inFlight, inFlight[g])
 		}
-		if err := l.checkHosts(g, out); err != nil {
+		if err := c.checkMembers(g, outstanding); err != nil {
 			return fmt.Errorf("group %s: %w", key, err)
 		}
 	}
@@ -46,53 +47,53 @@
 }
 
 func (p *part) check(id uint64) error {
-	open := 0
-	for i, d := range p.tries {
-		if d.part != p || d.no != i || d.Request != p.req || d.Host.Service != p.service {
-			return fmt.Errorf("part %d: dispatch %d belongs elsewhere", id, i)
+	inFlight := 0
+	for i, d := range p.dispatches {
+		if d.part != p || d.attempt != i || d.Request != p.request || d.Host.Service != p.service {
+			return fmt.Errorf("part %d: dispatch %d belongs to another part", id, i)
 		}
-		if d.out {
-			open++
+		if d.inFlight {
+			inFlight++
 		}
 	}
 	switch {
 	case p.id != id:
-		return fmt.Errorf("part %d is kept as %d", p.id, id)
-	case p.req.ended && open == 0:
-		return fmt.Errorf("part %d is kept though nothing comes for it", id)
-	case !p.req.Route.Idempotent && open > 1:
-		return fmt.Errorf("part %d may run once and is out %d times", id, open)
-	case len(p.tries) > max(1, p.req.Route.Retries):
-		return fmt.Errorf("part %d went out %d times of %d", id, len(p.tries), p.req.Route.Retries)
+		return fmt.Errorf("part %d is recorded as %d", p.id, id)
+	case p.request.ended && inFlight == 0:
+		return fmt.Errorf("part %d is kept but has ended and has no dispatch in flight", id)
+	case !p.request.Route.Idempotent && inFlight > 1:
+		return fmt.Errorf("part %d may run only once and has %d dispatches in flight", id, inFlight)
+	case len(p.dispatches) > max(1, p.request.Route.Retries):
+		return fmt.Errorf("part %d was dispatched %d times, allowed are %d", id, len(p.dispatches), p.request.Route.Retries)
 	}
 	return nil
 }
 
-// checkHosts looks at a group's places, and whether it knows every searcher of its services as the list does.
-func (l *Life) checkHosts(g *group, out map[*host]int) error {
-	placed := 0
-	for i, h := range g.byIndex {
-		if h == nil {
+// checkMembers verifies a group's indexes, and that the group contains every listed searcher of its services.
+func (c *Life) checkMembers(g *group, outstanding map[*member]int) error {
+	occupied := 0
+	for i, m := range g.byIndex {
+		if m == nil {
 			continue
 		}
-		placed++
-		if h.index != i || g.hosts[h.ID] != h || h.gone {
-			return fmt.Errorf("searcher %s at place %d", h.ID, i)
+		occupied++
+		if m.index != i || g.members[m.ID] != m || m.released {
+			return fmt.Errorf("searcher %s has the wrong index or is not recorded at %d", m.ID, i)
 		}
-		if h.out != out[h] {
-			return fmt.Errorf("searcher %s counts %d out, there are %d", h.ID, h.out, out[h])
+		if m.inFlight != outstanding[m] {
+			return fmt.Errorf("searcher %s counts %d dispatches in flight, there are %d", m.ID, m.inFlight, outstanding[m])
 		}
-		if h.State == policy.Gone && h.out == 0 {
-			return fmt.Errorf("searcher %s is gone and keeps its place", h.ID)
+		if m.State == policy.Gone && m.inFlight == 0 {
+			return fmt.Errorf("searcher %s is removed but keeps its index", m.ID)
 		}
 	}
-	if placed != len(g.hosts) || placed+len(g.free) != len(g.byIndex) {
-		return fmt.Errorf("%d places, %d taken by %d searchers, %d free", len(g.byIndex), placed, len(g.hosts), len(g.free))
+	if occupied != len(g.members) || occupied+len(g.freeIndexes) != len(g.byIndex) {
+		return fmt.Errorf("%d indexes, %d used by %d searchers, %d free", len(g.byIndex), occupied, len(g.members), len(g.freeIndexes))
 	}
-	for id, h := range l.hosts {
-		for _, s := range g.cells {
-			if k := g.hosts[id]; s == h.Service && h.State != policy.Gone && (k == nil || k.Host != h) {
-				return fmt.Errorf("searcher %s is listed as %v and not known so", id, h.State)
+	for id, searcher := range c.searchers {
+		for _, service := range g.services {
+			if m := g.members[id]; service == searcher.Service && searcher.State != policy.Gone && (m == nil || m.Host != searcher) {
+				return fmt.Errorf("searcher %s is listed as %v but the group does not have it", id, searcher.State)
 			}
 		}
 	}
--- a/request/contain.go
+++ b/request/contain.go
@@ -6,67 +6,68 @@
 	"peathollow/policy"
 )
 
-// Contain ends what a fault has struck, after a panic out of this life: the requests on the set of services whose module was
-// deciding, as if they may have run. Their dispatches are called off by what it gives, and the set's next request starts with
-// a new module. It is false if the fault is none of one set's alone: then nothing here is to be relied on; see Abandon.
-func (l *Life) Contain() (acts []Act, contained bool) {
-	g := l.inside
-	if g == nil || l.over {
+// Contain limits the effect of a panic in this Life to the group whose engine was running. The group's requests fail as
+// if they may have run, the returned actions cancel its dispatches, and the next request for its services creates a new
+// group. Contain returns false if no engine was running: then no state can be relied on, and the caller has to use
+// Abandon.
+func (c *Life) Contain() (actions []Act, contained bool) {
+	g := c.deciding
+	if g == nil || c.abandoned {
 		return nil, false
 	}
-	l.inside = nil
-	g.over = true
-	if l.groups[g.key] == g {
-		delete(l.groups, g.key)
+	c.deciding = nil
+	g.failed = true
+	if c.groups[g.key] == g {
+		delete(c.groups, g.key)
 	}
-	acts = l.abandonParts(func(p *part) bool { return p.req.group == g })
-	l.acts = slices.DeleteFunc(l.acts, func(a Act) bool { return a.Dispatch.Request.group == g && !a.Cancel })
-	l.abandonRequests(func(r *Request) bool { return r.group == g })
-	return acts, true
+	actions = c.abandonParts(func(p *part) bool { return p.request.group == g })
+	c.actions = slices.DeleteFunc(c.actions, func(a Act) bool { return a.Dispatch.Request.group == g && !a.Cancel })
+	c.abandonRequests(func(r *Request) bool { return r.group == g })
+	return actions, true
 }
 
-// Abandon ends all that is in hand as if it may have run, calls off what is out, and takes nothing more: after a fault in
-// here nothing that this life believes is to be relied on. It gives what is to be done.
-func (l *Life) Abandon() (acts []Act) {
-	l.over = true
-	acts = l.abandonParts(func(*part) bool { return true })
-	l.abandonRequests(func(*Request) bool { return true })
-	l.reqs, l.parts, l.timers = nil, nil, timers{}
-	return acts
+// Abandon fails all requests as if they may have run and returns the actions that cancel their dispatches. The Life
+// accepts no events afterwards: after a fault outside the engines its state cannot be relied on.
+func (c *Life) Abandon() (actions []Act) {
+	c.abandoned = true
+	actions = c.abandonParts(func(*part) bool { return true })
+	c.abandonRequests(func(*Request) bool { return true })
+	c.requests, c.parts, c.timers = nil, nil, timers{}
+	return actions
 }
 
-// abandonParts forgets parts, and calls off what is out for them.
-func (l *Life) abandonParts(struck func(*part) bool) (acts []Act) {
-	for id, p := range l.parts {
-		if !struck(p) {
+// abandonParts deletes the affected parts and returns the actions that cancel their dispatches in flight.
+func (c *Life) abandonParts(affected func(*part) bool) (actions []Act) {
+	for id, p := range c.parts {
+		if !affected(p) {
 			continue
 		}
-		for _, d := range p.tries {
-			if !d.out {
+		for _, d := range p.dispatches {
+			if !d.inFlight {
 				continue
 			}
-			d.out, d.outcome, d.took = false, policy.Cancelled, l.now-d.at
-			l.noteReading(d, MayRead)
+			d.inFlight, d.outcome, d.elapsed = false, policy.Cancelled, c.now-d.sentAt
+			c.recordReadStatus(d, MayRead)
 			if d.Call != nil {
-				acts = append(acts, Act{Dispatch: d, Cancel: true})
+				actions = append(actions, Act{Dispatch: d, Cancel: true})
 			}
 		}
-		delete(l.parts, id)
+		delete(c.parts, id)
 	}
-	return acts
+	return actions
 }
 
-// abandonRequests gives requests their last answer.
-func (l *Life) abandonRequests(struck func(*Request) bool) {
-	for id, r := range l.reqs {
-		if !struck(r) {
+// abandonRequests fails the affected requests.
+func (c *Life) abandonRequests(affected func(*Request) bool) {
+	for id, r := range c.requests {
+		if !affected(r) {
 			continue
 		}
-		delete(l.reqs, id)
+		delete(c.requests, id)
 		if !r.ended {
 			r.ended = true
-			l.Counts.Failed++
-			r.Done(Final{Kind: Failed, Reason: ProcessFailed, Tries: l.tries(r)})
+			c.Counts.Failed++
+			r.Done(Final{Kind: Failed, Reason: ProcessFailed, Tries: c.attempts(r)})
 		}
 	}
 }
--- /dev/null
+++ b/request/coordinator.go
@@ -0,0 +1,284 @@
+package request
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"peathollow/manifest"
+	"peathollow/policy"
+	"peathollow/retrybudget"
+)
+
+// Terms holds the parameters of New.
+type Terms struct {
+	Seed   uint64
+	Budget retrybudget.Config
+	// Before is the Life that this one replaces after a fault, or nil. The spent retry budget, the misdirected searchers
+	// and the suspects are taken over from it.
+	Before *Life
+	// Plant, if set, is called at each Step with the services of the group. Tests use it to inject panics.
+	Plant func(step Step, services []string)
+}
+
+// pauseThreshold is the interval between two calls of At above which the process is taken to have been paused. The
+// caller calls At at least once per Pulse, even without events.
+const pauseThreshold = time.Second
+
+// Pulse is the longest interval between two calls of At.
+const Pulse = 400 * time.Millisecond
+
+// catchUpPeriod is the time allowed after a pause of the process to read what arrived during the pause.
+const catchUpPeriod = 20 * time.Millisecond
+
+// Life coordinates all requests in flight. It is not safe for concurrent use.
+type Life struct {
+	config      Terms
+	now         time.Duration
+	rng         *rand.Rand
+	budget      *retrybudget.Budget
+	groups      map[string]*group
+	searchers   map[string]*Host // by id
+	misdirected map[string]misdirection
+	suspects    suspects
+	// addressCounts holds the number of listed searchers per address.
+	addressCounts map[string]int
+	parts         map[uint64]*part
+	requests      map[uint64]*Request
+	lastID        uint64
+	timers        timers
+	resumedAt     time.Duration // end of the last pause of the process; 0 if there was none
+	totalPaused   time.Duration // total time of all pauses
+	// budgetUntil is the deadline of the retry for which the policy last queried the retry budget.
+	budgetUntil time.Duration
+	abandoned   bool   // after Abandon
+	deciding    *group // the group whose engine is running; see Contain
+	actions     []Act
+	Counts      Counts
+}
+
+// New returns a Life without requests.
+func New(config Terms, now time.Duration) *Life {
+	c := &Life{config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 0)), groups: map[string]*group{}, searchers: map[string]*Host{},
+		parts: map[uint64]*part{}, requests: map[uint64]*Request{}}
+	if previous := config.Before; previous != nil {
+		c.budget, c.misdirected, c.suspects = previous.budget, previous.misdirected, previous.suspects
+		c.config.Before = nil
+		return c
+	}
+	c.budget, c.misdirected = retrybudget.New(config.Budget), map[string]misdirection{}
+	c.suspects = suspects{since: map[string]time.Duration{}}
+	return c
+}
+
+// Book returns the retry budget.
+func (c *Life) Book() *retrybudget.Budget { return c.budget }
+
+// Mixers sets the number of running mixers; see retrybudget.Budget.
+func (c *Life) Mixers(n int) { c.budget.SetMixerCount(n) }
+
+// At advances the clock, which never goes back, and fires the timers that are due. After a pause of the process, timers
+// wait for catchUpPeriod so that the caller can first pass in the events that arrived during the pause.
+func (c *Life) At(now time.Duration) {
+	if now-c.now > pauseThreshold {
+		c.resumedAt = now
+		c.totalPaused += now - c.now
+	}
+	c.now = max(c.now, now)
+	if c.now < c.timersDueFrom() {
+		return
+	}
+	for {
+		due, ok := c.timers.pop(c.now)
+		if !ok {
+			return
+		}
+		if !due.group.failed {
+			due.group.timerDue(due.token)
+		}
+	}
+}
+
+// Next returns the time of the next timer, and false if there is none.
+func (c *Life) Next() (time.Duration, bool) {
+	at, ok := c.timers.next()
+	return max(at, c.timersDueFrom()), ok
+}
+
+// isCatchingUp reports whether the process may still be reading what arrived during a pause.
+func (c *Life) isCatchingUp() bool { return c.now < c.timersDueFrom() }
+
+// timersDueFrom returns the time from which timers may fire; 0 if the process never paused.
+func (c *Life) timersDueFrom() time.Duration {
+	if c.resumedAt == 0 {
+		return 0
+	}
+	return c.resumedAt + catchUpPeriod
+}
+
+// Take appends the queued actions to into and clears the queue.
+func (c *Life) Take(into []Act) []Act {
+	for i := 0; i < len(c.actions); i++ {
+		action := c.actions[i]
+		switch d := action.Dispatch; {
+		case !d.inFlight: // it ended before its cancellation was carried out
+		case d.Request.ended && !action.Cancel:
+			c.Returned(d, policy.Expired, NotRead, nil) // its request ended in the event that queued it
+		default:
+			into = append(into, action)
+		}
+	}
+	clear(c.actions)
+	c.actions = c.actions[:0]
+	return into
+}
+
+// InHand returns the number of requests without a final answer.
+func (c *Life) InHand() int { return len(c.requests) }
+
+// Begin starts a request. Its Done may be called before Begin returns.
+func (c *Life) Begin(r *Request) {
+	c.Counts.Taken++
+	r.id = c.nextID()
+	c.requests[r.id] = r // first, so that the request is answered if anything below panics
+	services := r.Route.FanOut
+	if len(services) == 0 {
+		services = []string{c.chooseService(r.Route)}
+	}
+	g := c.groupFor(services)
+	r.group, r.services = g, services
+	if r.Until <= c.now {
+		c.finish(r, Final{Kind: Refused, Reason: TimeOver, In: minRetryAfter})
+		return
+	}
+	g.begin(r, r.Until-c.now)
+}
+
+// chooseService returns the service of a request that is not fanned out, by the weights of the route's split if it has
+// one.
+func (c *Life) chooseService(r *manifest.Route) string {
+	if len(r.Split) == 0 {
+		return r.Plant
+	}
+	sum := 0.0
+	for _, s := range r.Split {
+		sum += s.Gain
+	}
+	point := c.rng.Float64() * sum
+	for _, s := range r.Split {
+		if point -= s.Gain; point < 0 && s.Gain > 0 {
+			return s.Service
+		}
+	}
+	for _, s := range r.Split {
+		if s.Gain > 0 {
+			return s.Service
+		}
+	}
+	return r.Split[0].Service
+}
+
+// Leave handles the departure of a client: its dispatches in flight are cancelled.
+func (c *Life) Leave(r *Request) {
+	if r.ended || r.group == nil || r.group.coordinator != c {
+		return
+	}
+	c.Counts.Left++
+	r.group.clientLeft(r)
+	for _, p := range r.parts {
+		for _, d := range p.dispatches {
+			if d.inFlight {
+				c.actions = append(c.actions, Act{Dispatch: d, Cancel: true})
+			}
+		}
+	}
+}
+
+// Returned handles the end of a dispatch. The reply is nil if no complete response was received.
+func (c *Life) Returned(d *Dispatch, outcome policy.Outcome, reading Reading, reply *Reply) {
+	if !d.inFlight || d.Request.group.coordinator != c || c.abandoned {
+		return
+	}
+	d.inFlight, d.outcome, d.elapsed = false, outcome, c.now-d.sentAt-(c.totalPaused-d.pausedBefore)
+	c.Counts.Outcomes[outcome]++
+	if d.attempt > 0 {
+		c.budget.RetryEnded(c.now, d.part.service, c.now-d.sentAt)
+	}
+	if r := d.Request; !r.ended && reply != nil {
+		switch {
+		case outcome == policy.Succeeded && d.part.reply == nil:
+			d.part.reply = reply
+		case outcome != policy.Succeeded:
+			r.errorReply = reply
+		}
+	}
+	c.recordReadStatus(d, reading)
+	d.Request.group.returned(d, outcome, d.elapsed)
+	c.releasePart(d.part)
+}
+
+// recordReadStatus passes the end of a dispatch to the retry budget.
+func (c *Life) recordReadStatus(d *Dispatch, reading Reading) {
+	p := d.part
+	switch reading {
+	case WasRead:
+		c.budget.AttemptRead(c.now, p.service, &p.history)
+	case NotRead:
+		c.budget.AttemptUnsent(c.now, p.service, &p.history)
+	default:
+		c.budget.AttemptAbandoned(c.now, p.service, &p.history)
+	}
+}
+
+// releasePart deletes a part of an ended request once none of its dispatches is in flight.
+func (c *Life) releasePart(p *part) {
+	if !p.request.ended {
+		return
+	}
+	for _, d := range p.dispatches {
+		if d.inFlight {
+			return
+		}
+	}
+	delete(c.parts, p.id)
+}
+
+// finish gives a request its final answer, unless it has ended already.
+func (c *Life) finish(r *Request, final Final) {
+	if r.ended {
+		return
+	}
+	r.ended = true
+	delete(c.requests, r.id)
+	for _, p := range r.parts {
+		if p.isDenied(c) {
+			c.budget.PartDenied(c.now, p.service)
+		}
+	}
+	switch final.Kind {
+	case Relayed:
+		c.Counts.Relayed++
+	case Gathered:
+		c.Counts.Gathered++
+		if final.Missing > 0 {
+			c.Counts.Partial++
+		}
+	case Refused:
+		c.Counts.Refused++
+		final.Tries = c.attempts(r)
+		if final.Reason == "" {
+			final.Reason = c.refusalReason(r)
+		}
+	case Failed:
+		c.Counts.Failed++
+		final.Reason, final.Tries = c.failureReason(r, final.Late), c.attempts(r)
+	}
+	for _, p := range r.parts {
+		c.releasePart(p)
+	}
+	r.Done(final)
+}
+
+func (c *Life) nextID() uint64 {
+	c.lastID++
+	return c.lastID
+}
--- a/request/doc.go
+++ b/request/doc.go
@@ -1,10 +1,10 @@
-// Package request is the life of a client's request through a mixer of the system: from the moment it has been read,
-// by the route that was in force then, till its one final answer, and of every dispatch made for it. The module in
-// policy chooses shards and searchers, retrybudget bounds further dispatches; this package keeps the book: which services a
-// request was split over, what is out where, which parts are in, and what the client may be told.
+// Package request handles a client's request in a routing process (mixer) from the moment it was read, with the route that
+// was in force then, to its one final answer, together with every dispatch made for it. Package policy admits requests and
+// chooses searchers, and package retrybudget limits retries. This package records the services that a request is split over,
+// the dispatches in flight and the parts that were answered, and determines which answer the client may get.
 //
-// proxy drives it with sockets, tests with a stand-in port. It reads no clock, does no I/O and starts no goroutine:
-// time and events are handed in, what is to be done is queued and taken by the caller. The same events give the same
-// actions. It never sends a request twice that may run only once, and never tells a client that a request has not run
-// which may have.
+// Package proxy connects it to sockets; tests use simulated searchers. The package reads no clock, does no I/O and starts no
+// goroutine: the caller passes in times and events, and takes the queued actions and carries them out. The same events give
+// the same actions. A request that may run only once is never dispatched again after it may have run, and a client is never
+// told that its request has not run when it may have.
 package request
--- a/request/group.go
+++ b/request/group.go
@@ -12,45 +12,46 @@
 	"peathollow/policy"
 )
 
-// granularity is what the module takes a round of its own to cost at most.
+// granularity is the interval between events that the policy assumes (policy.Settings.Granularity).
 const granularity = 4 * time.Millisecond
 
-// retryLeast is the shortest time that a refused client is told to stay away.
-const retryLeast = 50 * time.Millisecond
+// minRetryAfter is the shortest retry delay given to a refused client.
+const minRetryAfter = 50 * time.Millisecond
 
-// retryMost is the longest time that a refused client is told to stay away.
-const retryMost = time.Second
+// maxRetryAfter is the longest retry delay given to a refused client.
+const maxRetryAfter = time.Second
 
-// groupsMost is how many sets of services are held before those with nothing in hand are forgotten: each version may name
-// new ones.
-const groupsMost = 128
+// maxGroups is the number of groups from which idle ones are deleted when another is created: each configuration
+// version may name new sets of services.
+const maxGroups = 128
 
-// group is a set of services that requests are split over, with a module of its own: what is learned of the pace of one
-// set says nothing of another, whose work may take ten times as long.
+// group is a set of services that requests are split over. Each set has a policy engine of its own, since the latency
+// learned for one set does not apply to another, whose work may take ten times as long.
 type group struct {
-	l       *Life
-	m       *policy.Engine
-	cells   []string // services, by the module's cells
-	classes map[class]int
-	hosts   map[string]*host // by id
-	byIndex []*host
-	free    []int
-	key     string // in l.groups
-	busy    int    // requests in hand
-	over    bool   // after a fault in it
-	asleep  bool   // its beat is held until there is something in hand
-}
-
-// host is what a group knows of a searcher.
-type host struct {
+	coordinator *Life
+	engine      *policy.Engine
+	services    []string // by the engine's shard index
+	classes     map[routeClass]int
+	members     map[string]*member // by id
+	byIndex     []*member          // by the engine's searcher index; nil where free
+	freeIndexes []int
+	key         string // in Life.groups
+	inFlight    int    // number of requests
+	failed      bool   // after a panic in it; see Contain
+	idle        bool   // its periodic tick is suspended until the next request
+}
+
+// member is the state of a searcher within a group.
+type member struct {
 	*Host
-	index int
-	out   int
-	gone  bool
+	index    int
+	inFlight int  // number of dispatches
+	released bool // its index was given back
 }
 
-// class is what makes two routes alike to the module.
-type class struct {
+// routeClass holds the properties of a route that the policy distinguishes. Routes with equal properties share a table
+// type.
+type routeClass struct {
 	idempotent        bool
 	horizon, setpoint time.Duration
 	retries, rank     int
@@ -58,45 +59,46 @@
 	gathered          bool
 }
 
-// group finds the set's module, or makes it.
-func (l *Life) group(services []string) *group {
+// groupFor returns the group of a set of services, and creates it if necessary.
+func (c *Life) groupFor(services []string) *group {
 	key := strings.Join(services, ",")
-	if g := l.groups[key]; g != nil {
+	if g := c.groups[key]; g != nil {
 		return g
 	}
-	if len(l.groups) >= groupsMost {
-		maps.DeleteFunc(l.groups, func(_ string, g *group) bool { return g.asleep }) // what is out there still comes back to it
+	if len(c.groups) >= maxGroups {
+		maps.DeleteFunc(c.groups, func(_ string, g *group) bool { return g.idle }) // dispatches in flight keep their group and still return to it
 	}
-	g := &group{l: l, key: key, cells: services, classes: map[class]int{}, hosts: map[string]*host{}}
-	g.m = policy.New(policy.Settings{Seed: l.terms.Seed, Mixers: 1, Shards: len(services), ShardSpan: 1, PartsPerCall: 1, MaxAttempts: 1,
-		MayHedge: true, RetryAdvice: true, MaxRetryAfter: retryMost, Granularity: granularity, ListInterval: time.Second,
-		InFlightAllowance: 3, WaitToDeadline: true, RankByExpectedAnswer: true, BudgetAllows: g.mayGoAgain}, port{g}, l.now)
-	l.groups[key] = g
-	for _, id := range slices.Sorted(maps.Keys(l.hosts)) {
-		g.note(l.hosts[id])
+	g := &group{coordinator: c, key: key, services: services, classes: map[routeClass]int{}, members: map[string]*member{}}
+	g.engine = policy.New(policy.Settings{Seed: c.config.Seed, Mixers: 1, Shards: len(services), ShardSpan: 1, PartsPerCall: 1, MaxAttempts: 1,
+		MayHedge: true, RetryAdvice: true, MaxRetryAfter: maxRetryAfter, Granularity: granularity, ListInterval: time.Second,
+		InFlightAllowance: 3, WaitToDeadline: true, RankByExpectedAnswer: true, BudgetAllows: g.budgetAllows}, actionPort{g}, c.now)
+	c.groups[key] = g
+	for _, id := range slices.Sorted(maps.Keys(c.searchers)) {
+		g.addMember(c.searchers[id])
 	}
-	g.m.Advance(l.now)
-	g.m.ListBegin(policy.Changes)
-	for _, h := range g.byIndex {
-		g.entry(h)
+	g.engine.Advance(c.now)
+	g.engine.ListBegin(policy.Changes)
+	for _, m := range g.byIndex {
+		g.sendListEntry(m)
 	}
-	g.m.ListEnd(policy.Changes)
+	g.engine.ListEnd(policy.Changes)
 	return g
 }
 
-// mayGoAgain tells the module whether the retry budget has room for a further dispatch that ends at some time.
-func (g *group) mayGoAgain(cell int, until time.Duration) bool {
-	g.l.roomUntil = until
-	return g.l.book.Allows(g.l.now, g.cells[cell], until)
+// budgetAllows reports whether the retry budget allows a retry that ends at until, and records until for checkDispatch.
+func (g *group) budgetAllows(shard int, until time.Duration) bool {
+	g.coordinator.budgetUntil = until
+	return g.coordinator.budget.Allows(g.coordinator.now, g.services[shard], until)
 }
 
-// class finds the module's index of a route's kind.
-func (g *group) class(r *manifest.Route) int {
+// classIndex returns the engine's table type for a route, and adds it if necessary.
+func (g *group) classIndex(r *manifest.Route) int {
 	gathered := len(r.FanOut) > 0
-	c := class{idempotent: r.Idempotent, horizon: r.Horizon, setpoint: r.Setpoint, retries: r.Retries, rank: r.Rank,
+	c := routeClass{idempotent: r.Idempotent, horizon: r.Horizon, setpoint: r.Setpoint, retries: r.Retries, rank: r.Rank,
 		floor: 1, gathered: gathered}
 	if gathered {
-		// An answer names a part at least. The share is put in whole parts: the module takes one that is just missed as met.
+		// An answer contains at least one part. The floor is rounded up to whole parts, since the policy treats a coverage just
+		// below the floor as sufficient.
 		n := float64(len(r.FanOut))
 		c.floor = max(1, math.Ceil(r.MinCoverage*n-1e-9)) / n
 	}
@@ -107,131 +109,138 @@
 		if c.idempotent {
 			t.Effect = policy.Idempotent
 		}
-		i = g.m.AddTypes([]policy.TableType{t}, 0)
+		i = g.engine.AddTypes([]policy.TableType{t}, 0)
 		g.classes[c] = i
 	}
 	return i
 }
 
+// begin passes a request and its parts to the engine.
 func (g *group) begin(r *Request, left time.Duration) {
-	g.enter(StepBegin)
-	g.m.Advance(g.l.now)
-	g.busy++
-	if g.asleep {
-		g.asleep = false
-		g.m.Woke(0)
-	}
-	if !g.l.isCatchingUp() { // else it was sent at some time in the pause, and counts there
-		for _, s := range r.shards {
-			g.l.book.RequestArrived(g.l.now, s)
+	g.enterEngine(StepBegin)
+	g.engine.Advance(g.coordinator.now)
+	g.inFlight++
+	if g.idle {
+		g.idle = false
+		g.engine.Woke(0)
+	}
+	if !g.coordinator.isCatchingUp() { // otherwise it was sent at an unknown time during the pause and adds no budget now
+		for _, s := range r.services {
+			g.coordinator.budget.RequestArrived(g.coordinator.now, s)
 		}
 	}
-	n := len(r.shards)
-	g.m.Scan(r.id, r.id, g.class(r.Route), -1, left, 0, n, false)
-	for i, s := range r.shards {
+	n := len(r.services)
+	g.engine.Scan(r.id, r.id, g.classIndex(r.Route), -1, left, 0, n, false)
+	for i, s := range r.services {
 		if r.ended {
 			break
 		}
-		p := &part{id: g.l.id(), req: r, service: s}
-		g.l.parts[p.id] = p
+		p := &part{id: g.coordinator.nextID(), request: r, service: s}
+		g.coordinator.parts[p.id] = p
 		r.parts = append(r.parts, p)
-		g.m.Part(p.id, r.id, i, 1/float64(n))
+		g.engine.Part(p.id, r.id, i, 1/float64(n))
 	}
-	g.done()
+	g.leaveEngine()
 }
 
-func (g *group) woke(token uint64) {
-	if token == 0 && g.busy == 0 {
-		g.asleep = true
+// timerDue passes a timer to the engine. The periodic tick (token 0) is suspended while there are no requests.
+func (g *group) timerDue(token uint64) {
+	if token == 0 && g.inFlight == 0 {
+		g.idle = true
 		return
 	}
-	g.enter(StepWoke)
-	g.m.Advance(g.l.now)
-	g.m.Woke(token)
-	g.done()
+	g.enterEngine(StepWoke)
+	g.engine.Advance(g.coordinator.now)
+	g.engine.Woke(token)
+	g.leaveEngine()
 }
 
-func (g *group) left(r *Request) {
-	g.m.Advance(g.l.now)
-	g.m.ClientLeft(r.id)
-	g.busy--
+// clientLeft ends a request without an answer.
+func (g *group) clientLeft(r *Request) {
+	g.engine.Advance(g.coordinator.now)
+	g.engine.ClientLeft(r.id)
+	g.inFlight--
 	r.ended = true
-	delete(g.l.reqs, r.id)
+	delete(g.coordinator.requests, r.id)
 	for _, p := range r.parts {
-		g.l.settle(p)
+		g.coordinator.releasePart(p)
 	}
 }
 
-func (g *group) returned(d *Dispatch, out policy.Outcome, took time.Duration) {
-	g.enter(StepReturned)
-	g.m.Advance(g.l.now)
-	d.host.out--
-	g.m.Returned(d.part.id, d.no, out, took)
-	g.release(d.host)
-	g.done()
+// returned passes the outcome of a dispatch to the engine.
+func (g *group) returned(d *Dispatch, outcome policy.Outcome, elapsed time.Duration) {
+	g.enterEngine(StepReturned)
+	g.engine.Advance(g.coordinator.now)
+	d.member.inFlight--
+	g.engine.Returned(d.part.id, d.attempt, outcome, elapsed)
+	g.releaseMember(d.member)
+	g.leaveEngine()
 }
 
-// port is what the module can have done.
-type port struct{ g *group }
+// actionPort implements policy.Actions for a group's engine.
+type actionPort struct{ group *group }
 
-func (p port) Dispatch(id uint64, index int, until time.Duration) {
-	l, h := p.g.l, p.g.byIndex[index]
-	pt := l.parts[id]
-	l.checkDispatch(pt, h)
-	d := &Dispatch{Request: pt.req, Host: h.Host, Until: until, Vouched: l.vouches(h.Host), part: pt, no: len(pt.tries), at: l.now, paused: l.paused, out: true, host: h}
-	pt.tries = append(pt.tries, d)
-	h.out++
-	l.Counts.Sent++
-	l.Counts.Far[min(h.Far, 2)]++
-	if d.no > 0 {
-		l.Counts.Further++
+func (p actionPort) Dispatch(partID uint64, index int, until time.Duration) {
+	c, m := p.group.coordinator, p.group.byIndex[index]
+	target := c.parts[partID]
+	c.checkDispatch(target, m)
+	d := &Dispatch{Request: target.request, Host: m.Host, Until: until, Vouched: c.trustsAddress(m.Host), part: target,
+		attempt: len(target.dispatches), sentAt: c.now, pausedBefore: c.totalPaused, inFlight: true, member: m}
+	target.dispatches = append(target.dispatches, d)
+	m.inFlight++
+	c.Counts.Sent++
+	c.Counts.Far[min(m.Far, 2)]++
+	if d.attempt > 0 {
+		c.Counts.Further++
 	}
-	l.book.AttemptSent(l.now, pt.service, &pt.trail)
-	l.acts = append(l.acts, Act{Dispatch: d})
+	c.budget.AttemptSent(c.now, target.service, &target.history)
+	c.actions = append(c.actions, Act{Dispatch: d})
 }
 
-func (p port) Cancel(id uint64, try int) {
-	if pt := p.g.l.parts[id]; pt != nil && try < len(pt.tries) && pt.tries[try].out {
-		p.g.l.acts = append(p.g.l.acts, Act{Dispatch: pt.tries[try], Cancel: true})
+func (p actionPort) Cancel(partID uint64, attempt int) {
+	if target := p.group.coordinator.parts[partID]; target != nil && attempt < len(target.dispatches) && target.dispatches[attempt].inFlight {
+		p.group.coordinator.actions = append(p.group.coordinator.actions, Act{Dispatch: target.dispatches[attempt], Cancel: true})
 	}
 }
 
-func (p port) Complete(id uint64, whole bool) {
-	if r := p.take(id); r != nil {
-		p.g.l.finish(r, answer(r))
+func (p actionPort) Complete(scan uint64, whole bool) {
+	if r := p.takeEnded(scan); r != nil {
+		p.group.coordinator.finish(r, answer(r))
 	}
 }
 
-func (p port) Throttle(id uint64, in time.Duration) {
-	if r := p.take(id); r != nil {
-		p.g.l.finish(r, Final{Kind: Refused, In: in})
+func (p actionPort) Throttle(scan uint64, retryAfter time.Duration) {
+	if r := p.takeEnded(scan); r != nil {
+		p.group.coordinator.finish(r, Final{Kind: Refused, In: retryAfter})
 	}
 }
 
-func (p port) Abandon(id uint64) {
-	r := p.take(id)
+func (p actionPort) Abandon(scan uint64) {
+	r := p.takeEnded(scan)
 	if r == nil {
 		return
 	}
-	if r.refuse != nil && len(r.Route.FanOut) == 0 {
-		p.g.l.finish(r, Final{Kind: Relayed, Reply: r.refuse})
+	if r.errorReply != nil && len(r.Route.FanOut) == 0 {
+		p.group.coordinator.finish(r, Final{Kind: Relayed, Reply: r.errorReply})
 		return
 	}
-	p.g.l.finish(r, Final{Kind: Failed, Late: p.g.l.isOver(r)})
+	p.group.coordinator.finish(r, Final{Kind: Failed, Late: p.group.coordinator.deadlineReached(r)})
 }
 
-// take finds a request that the module has ended.
-func (p port) take(id uint64) *Request {
-	r := p.g.l.reqs[id]
+// takeEnded returns a request that the engine has ended, and no longer counts it as in flight.
+func (p actionPort) takeEnded(scan uint64) *Request {
+	r := p.group.coordinator.requests[scan]
 	if r == nil {
-		invariant.Violated(invariant.OneFinalAnswer, "request %d was ended and is not in hand", id)
+		invariant.Violated(invariant.OneFinalAnswer, "request %d was ended but is not in flight", scan)
 		return nil
 	}
-	p.g.busy--
+	p.group.inFlight--
 	return r
 }
 
-func (p port) Wake(at time.Duration, token uint64) { p.g.l.timers.add(at, p.g, token) }
-func (p port) Renew(int)                           {}
-func (p port) Subscribe()                          {}
-func (p port) Gossip([]byte)                       {}
+func (p actionPort) Wake(at time.Duration, token uint64) {
+	p.group.coordinator.timers.add(at, p.group, token)
+}
+func (p actionPort) Renew(int)     {}
+func (p actionPort) Subscribe()    {}
+func (p actionPort) Gossip([]byte) {}
--- a/request/invariants_test.go
+++ b/request/invariants_test.go
@@ -14,55 +14,55 @@
 
 func init() { invariant.SetFatal(true) }
 
-// TestPlantedViolations: each invariant of the book catches the fault that it is there for.
-func TestPlantedViolations(t *testing.T) {
-	for name, plant := range map[invariant.Name]func(l *Life, p *part, h *host){
-		invariant.NoRepeatAfterRun: func(l *Life, p *part, h *host) {
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: policy.ConnectionLost}}
-			l.checkDispatch(p, h)
+// TestInvariantsDetectInjectedFaults checks that each invariant detects the fault that it guards against.
+func TestInvariantsDetectInjectedFaults(t *testing.T) {
+	for name, inject := range map[invariant.Name]func(c *Life, p *part, m *member){
+		invariant.NoRepeatAfterRun: func(c *Life, p *part, m *member) {
+			p.dispatches = []*Dispatch{{Request: p.request, Host: m.Host, part: p, member: m, outcome: policy.ConnectionLost}}
+			c.checkDispatch(p, m)
 		},
-		invariant.TriesWithinRetries: func(l *Life, p *part, h *host) {
-			p.req.Route.Idempotent, p.req.Route.Retries = true, 1
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: policy.Overloaded}}
-			l.checkDispatch(p, h)
+		invariant.TriesWithinRetries: func(c *Life, p *part, m *member) {
+			p.request.Route.Idempotent, p.request.Route.Retries = true, 1
+			p.dispatches = []*Dispatch{{Request: p.request, Host: m.Host, part: p, member: m, outcome: policy.Overloaded}}
+			c.checkDispatch(p, m)
 		},
-		invariant.TriesWithinBudget: func(l *Life, p *part, h *host) {
-			p.req.Route.Idempotent = true
-			p.tries = []*Dispatch{{Request: p.req, Host: h.Host, part: p, host: h, outcome: policy.Overloaded}}
-			l.checkDispatch(p, h)
+		invariant.TriesWithinBudget: func(c *Life, p *part, m *member) {
+			p.request.Route.Idempotent = true
+			p.dispatches = []*Dispatch{{Request: p.request, Host: m.Host, part: p, member: m, outcome: policy.Overloaded}}
+			c.checkDispatch(p, m)
 		},
-		invariant.ReadySearcherChosen: func(l *Life, p *part, h *host) {
-			p.tries, h.State = nil, policy.Draining
-			l.checkDispatch(p, h)
+		invariant.ReadySearcherChosen: func(c *Life, p *part, m *member) {
+			p.dispatches, m.State = nil, policy.Draining
+			c.checkDispatch(p, m)
 		},
-		invariant.InHandBalance: func(l *Life, _ *part, _ *host) {
-			l.Counts.Taken++
-			l.CheckBalance()
+		invariant.InHandBalance: func(c *Life, _ *part, _ *member) {
+			c.Counts.Taken++
+			c.CheckBalance()
 		},
-		invariant.DispatchEnds: func(l *Life, p *part, _ *host) {
-			l.now = p.tries[0].Until + overdueAfter + 1
-			l.CheckBalance()
+		invariant.DispatchEnds: func(c *Life, p *part, _ *member) {
+			c.now = p.dispatches[0].Until + overdueAfter + 1
+			c.CheckBalance()
 		},
-		invariant.OneFinalAnswer: func(l *Life, p *part, _ *host) {
-			port{p.req.group}.Complete(p.req.id, true)
-			port{p.req.group}.Complete(p.req.id, true)
+		invariant.OneFinalAnswer: func(c *Life, p *part, _ *member) {
+			actionPort{p.request.group}.Complete(p.request.id, true)
+			actionPort{p.request.group}.Complete(p.request.id, true)
 		},
 	} {
 		t.Run(string(name), func(t *testing.T) {
-			l := New(Terms{Budget: retrybudget.Config{Ratio: 0.1, Slack: 0, Window: 10 * time.Second}}, 0)
-			l.Mixers(1)
-			l.List([]Host{{ID: "i1", Address: "a", Service: "s", State: policy.Ready}})
+			c := New(Terms{Budget: retrybudget.Config{Ratio: 0.1, Slack: 0, Window: 10 * time.Second}}, 0)
+			c.Mixers(1)
+			c.List([]Host{{ID: "i1", Address: "a", Service: "s", State: policy.Ready}})
 			r := &Request{Route: &manifest.Route{Name: "r", Plant: "s", Horizon: time.Second, Setpoint: time.Second, Retries: 3},
 				Until: time.Second, Done: func(Final) {}}
-			l.Begin(r)
-			must.Len(t, 1, l.Take(nil))
+			c.Begin(r)
+			must.Len(t, 1, c.Take(nil))
 			p := r.parts[0]
 			defer func() {
 				caught, ok := recover().(invariant.Panic)
-				must.True(t, ok, must.Sprint("nothing was violated"))
+				must.True(t, ok, must.Sprint("no violation was reported"))
 				must.Eq(t, name, caught.Name)
 			}()
-			plant(l, p, p.tries[0].host)
+			inject(c, p, p.dispatches[0].member)
 		})
 	}
 }
--- a/request/list.go
+++ b/request/list.go
@@ -8,140 +8,144 @@
 	"peathollow/policy"
 )
 
-// List tells of all searchers that are known; those told before and not now are gone.
-func (l *Life) List(hosts []Host) {
-	seen := make(map[string]bool, len(hosts))
+// List replaces the list of known searchers. Searchers that are missing from it are removed.
+func (c *Life) List(searchers []Host) {
+	seen := make(map[string]bool, len(searchers))
 	var changed []*Host
-	for i := range hosts {
-		h := hosts[i]
-		seen[h.ID] = true
-		if l.isAstray(&h) {
-			h.State = policy.Gone
+	for i := range searchers {
+		searcher := searchers[i]
+		seen[searcher.ID] = true
+		if c.isMisdirected(&searcher) {
+			searcher.State = policy.Gone
 		}
-		if was := l.hosts[h.ID]; was == nil {
-			l.hosts[h.ID] = &h
-			changed = append(changed, &h)
-		} else if *was != h {
-			if h.Silent && !was.Silent {
-				l.doubts.note(l.now, h.ID)
+		if previous := c.searchers[searcher.ID]; previous == nil {
+			c.searchers[searcher.ID] = &searcher
+			changed = append(changed, &searcher)
+		} else if *previous != searcher {
+			if searcher.Silent && !previous.Silent {
+				c.suspects.add(c.now, searcher.ID)
 			}
-			*was = h
-			changed = append(changed, was)
+			*previous = searcher
+			changed = append(changed, previous)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(l.hosts)) {
-		if h := l.hosts[id]; !seen[id] {
-			h.State = policy.Gone
-			changed = append(changed, h)
-			delete(l.hosts, id)
+	for _, id := range slices.Sorted(maps.Keys(c.searchers)) {
+		if searcher := c.searchers[id]; !seen[id] {
+			searcher.State = policy.Gone
+			changed = append(changed, searcher)
+			delete(c.searchers, id)
 		}
 	}
-	l.countAddresses()
-	maps.DeleteFunc(l.astray, func(id string, _ misdirection) bool { return !seen[id] })
+	c.countAddresses()
+	maps.DeleteFunc(c.misdirected, func(id string, _ misdirection) bool { return !seen[id] })
 	if len(changed) > 0 {
-		l.tell(changed)
+		c.updateGroups(changed)
 	}
 }
 
-// misdirection is what is remembered of a searcher whose address turned out to be another's.
+// misdirection records that a searcher's address turned out to belong to another searcher.
 type misdirection struct {
-	calls uint64        // of the searcher's reports, as known then
-	until time.Duration // when that is forgotten: a wrong word of somebody at its address is not to take a searcher out for good
+	calls uint64        // call count of the searcher's last report at that time
+	until time.Duration // expiry, so that a wrong response from its address does not remove a searcher for good
 }
 
-// astrayFor is how long a searcher is held to be gone whose address is another's, if no newer report of it is heard.
-const astrayFor = 30 * time.Second
+// misdirectedFor is how long a misdirected searcher is treated as removed if no newer report of it arrives.
+const misdirectedFor = 30 * time.Second
 
-// isAstray tells whether a searcher's address is another's, as far as is known.
-func (l *Life) isAstray(h *Host) bool {
-	m, known := l.astray[h.ID]
-	if known && h.Calls <= m.calls && l.now < m.until {
+// isMisdirected reports whether a searcher is still treated as misdirected, and deletes an outdated record.
+func (c *Life) isMisdirected(searcher *Host) bool {
+	m, known := c.misdirected[searcher.ID]
+	if known && searcher.Calls <= m.calls && c.now < m.until {
 		return true
 	}
-	delete(l.astray, h.ID)
+	delete(c.misdirected, searcher.ID)
 	return false
 }
 
-// Misdirected tells that a searcher's address is another's, by its own word, and whether that one has read a dispatch. The searcher gets
-// nothing more until it is heard of again.
-func (l *Life) Misdirected(h *Host, read bool) {
-	l.book.AttemptMisdirected(l.now, h.Service)
+// Misdirected handles a response that states that the searcher's address belongs to another searcher; read reports
+// whether that one has read a dispatch. No more dispatches are sent to the searcher until a newer report of it arrives
+// or misdirectedFor has passed.
+func (c *Life) Misdirected(searcher *Host, read bool) {
+	c.budget.AttemptMisdirected(c.now, searcher.Service)
 	if read {
-		l.book.Misrouted(l.now)
+		c.budget.Misrouted(c.now)
 	}
-	l.doubts.note(l.now, h.ID)
-	listed := l.hosts[h.ID]
+	c.suspects.add(c.now, searcher.ID)
+	listed := c.searchers[searcher.ID]
 	if listed == nil {
 		return
 	}
-	l.astray[h.ID] = misdirection{calls: listed.Calls, until: l.now + astrayFor}
+	c.misdirected[searcher.ID] = misdirection{calls: listed.Calls, until: c.now + misdirectedFor}
 	if listed.State != policy.Gone {
 		listed.State = policy.Gone
-		l.tell([]*Host{listed})
+		c.updateGroups([]*Host{listed})
 	}
 }
 
-func (l *Life) tell(changed []*Host) {
-	for _, key := range slices.Sorted(maps.Keys(l.groups)) {
-		g := l.groups[key]
-		var of []*host
-		for _, h := range changed {
-			if k := g.note(h); k != nil {
-				of = append(of, k)
+// updateGroups passes changed searchers to the engines of the groups that contain them.
+func (c *Life) updateGroups(changed []*Host) {
+	for _, key := range slices.Sorted(maps.Keys(c.groups)) {
+		g := c.groups[key]
+		var updated []*member
+		for _, searcher := range changed {
+			if m := g.addMember(searcher); m != nil {
+				updated = append(updated, m)
 			}
 		}
-		if len(of) == 0 {
+		if len(updated) == 0 {
 			continue
 		}
-		g.m.Advance(l.now)
-		g.m.ListBegin(policy.Changes)
-		for _, k := range of {
-			g.entry(k)
+		g.engine.Advance(c.now)
+		g.engine.ListBegin(policy.Changes)
+		for _, m := range updated {
+			g.sendListEntry(m)
 		}
-		g.m.ListEnd(policy.Changes)
-		for _, k := range of {
-			g.release(k)
+		g.engine.ListEnd(policy.Changes)
+		for _, m := range updated {
+			g.releaseMember(m)
 		}
 	}
 }
 
-// note gives a searcher of one of the group's services its place; nil if it is none of them.
-func (g *group) note(h *Host) *host {
-	if k := g.hosts[h.ID]; k != nil {
-		k.Host = h // one that vanished and is back while something was out there
-		return k
+// addMember assigns an index to a searcher of one of the group's services. It returns nil for other and removed
+// searchers.
+func (g *group) addMember(searcher *Host) *member {
+	if m := g.members[searcher.ID]; m != nil {
+		m.Host = searcher // it was removed and listed again while a dispatch was in flight to it
+		return m
 	}
-	if h.State == policy.Gone || !slices.Contains(g.cells, h.Service) {
+	if searcher.State == policy.Gone || !slices.Contains(g.services, searcher.Service) {
 		return nil
 	}
-	k := &host{Host: h}
-	if n := len(g.free); n > 0 {
-		k.index = g.free[n-1]
-		g.free = g.free[:n-1]
-		g.byIndex[k.index] = k
+	m := &member{Host: searcher}
+	if n := len(g.freeIndexes); n > 0 {
+		m.index = g.freeIndexes[n-1]
+		g.freeIndexes = g.freeIndexes[:n-1]
+		g.byIndex[m.index] = m
 	} else {
-		k.index = len(g.byIndex)
-		g.byIndex = append(g.byIndex, k)
+		m.index = len(g.byIndex)
+		g.byIndex = append(g.byIndex, m)
 	}
-	g.hosts[h.ID] = k
-	return k
+	g.members[searcher.ID] = m
+	return m
 }
 
-func (g *group) entry(k *host) {
-	if k != nil {
-		g.m.ListEntry(k.index, k.State, 1, policy.LongAgo, slices.Index(g.cells, k.Service))
-		g.m.SetDistance(k.index, k.Far)
+// sendListEntry passes the state and distance of a searcher to the engine. It ignores nil.
+func (g *group) sendListEntry(m *member) {
+	if m != nil {
+		g.engine.ListEntry(m.index, m.State, 1, policy.LongAgo, slices.Index(g.services, m.Service))
+		g.engine.SetDistance(m.index, m.Far)
 	}
 }
 
-// release gives back the place of a searcher that is gone once nothing is out there.
-func (g *group) release(k *host) {
-	if k.State != policy.Gone || k.out > 0 || k.gone {
+// releaseMember frees the index of a removed searcher once no dispatch is in flight to it.
+func (g *group) releaseMember(m *member) {
+	if m.State != policy.Gone || m.inFlight > 0 || m.released {
 		return
 	}
-	k.gone = true
-	delete(g.hosts, k.ID)
-	g.byIndex[k.index] = nil
-	g.m.Forget(k.index)
-	g.free = append(g.free, k.index)
+	m.released = true
+	delete(g.members, m.ID)
+	g.byIndex[m.index] = nil
+	g.engine.Forget(m.index)
+	g.freeIndexes = append(g.freeIndexes, m.index)
 }
--- a/request/misdirected_test.go
+++ b/request/misdirected_test.go
@@ -11,45 +11,46 @@
 	"peathollow/retrybudget"
 )
 
-// TestMisdirectedStaysGone: a searcher whose address is another's (421) gets nothing more, however often the list that still names it is
-// told again, with whatever change in it; the code before took it back with the next change of any searcher or mixer.
-func TestMisdirectedStaysGone(t *testing.T) {
-	l := New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
-	l.Mixers(1)
+// TestMisdirectedSearcherStaysRemoved guards against dispatches to a searcher whose address belongs to another (421)
+// while lists without a newer report of it arrive. Earlier code used it again after the next change of any searcher or
+// mixer.
+func TestMisdirectedSearcherStaysRemoved(t *testing.T) {
+	c := New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
+	c.Mixers(1)
 	route := &manifest.Route{Plant: "s", Idempotent: true, Horizon: time.Second, Setpoint: 200 * ms, Retries: 1}
-	gone, other := Host{ID: "i1", Address: "a", Service: "s", State: policy.Ready}, Host{ID: "i2", Address: "b", Service: "s", State: policy.Ready}
-	l.List([]Host{gone, other})
-	l.Misdirected(&gone, false)
+	misdirected, other := Host{ID: "i1", Address: "a", Service: "s", State: policy.Ready}, Host{ID: "i2", Address: "b", Service: "s", State: policy.Ready}
+	c.List([]Host{misdirected, other})
+	c.Misdirected(&misdirected, false)
 	now := time.Duration(0)
 	sent := func() (ids []string) {
 		for range 20 {
 			now += 10 * ms
-			l.At(now)
-			l.Begin(&Request{Route: route, Until: now + route.Horizon, Done: func(Final) {}})
-			for _, a := range l.Take(nil) {
+			c.At(now)
+			c.Begin(&Request{Route: route, Until: now + route.Horizon, Done: func(Final) {}})
+			for _, a := range c.Take(nil) {
 				ids = append(ids, a.Dispatch.Host.ID)
 				now += ms
-				l.At(now)
-				l.Returned(a.Dispatch, policy.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
+				c.At(now)
+				c.Returned(a.Dispatch, policy.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
 			}
 		}
-		must.NoError(t, l.Check())
+		must.NoError(t, c.Check())
 		return ids
 	}
-	silent := gone
+	silent := misdirected
 	silent.Silent = true
 	newcomer := Host{ID: "i3", Address: "c", Service: "t", State: policy.Ready}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		what string
 		list []Host
 	}{
-		{"the same", []Host{gone, other}},
+		{"the same", []Host{misdirected, other}},
 		{"it is silent", []Host{silent, other}},
 		{"another came", []Host{silent, other, newcomer}},
-		{"it is heard of no more than before", []Host{gone, other, newcomer}},
-		{"another has left", []Host{gone, other}},
+		{"it is heard of no more than before", []Host{misdirected, other, newcomer}},
+		{"another has left", []Host{misdirected, other}},
 	} {
-		l.List(c.list)
-		must.SliceNotContains(t, sent(), gone.ID, must.Sprint(c.what))
+		c.List(tc.list)
+		must.SliceNotContains(t, sent(), misdirected.ID, must.Sprint(tc.what))
 	}
 }
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -14,226 +14,228 @@
 	"peathollow/policy"
 )
 
-// configure puts the next version in force: shards come and go, routes change their time-outs and what they want.
-func (w *world) configure() {
-	w.version++
-	w.services = nil
+// configure puts the next configuration version into force: services are added and removed, and routes change their
+// timeouts and required coverage.
+func (sim *simulation) configure() {
+	sim.version++
+	sim.services = nil
 	for i := range 6 {
-		w.services = append(w.services, fmt.Sprint("s", w.version/3+i))
+		sim.services = append(sim.services, fmt.Sprint("s", sim.version/3+i))
 	}
-	s, r := w.services, w.r
+	services, rng := sim.services, sim.rng
 	times := func() (time.Duration, time.Duration) {
-		return time.Duration(300+r.IntN(500)) * ms, time.Duration(80+r.IntN(100)) * ms
+		return time.Duration(300+rng.IntN(500)) * ms, time.Duration(80+rng.IntN(100)) * ms
 	}
-	w.routes = nil
+	sim.routes = nil
 	for i := range 5 {
-		route := &manifest.Route{Name: fmt.Sprint(i), Idempotent: i != 1, Retries: 1 + r.IntN(3), TopK: 1 + r.IntN(8), MinCoverage: 1, Rank: i % 3}
+		route := &manifest.Route{Name: fmt.Sprint(i), Idempotent: i != 1, Retries: 1 + rng.IntN(3), TopK: 1 + rng.IntN(8), MinCoverage: 1, Rank: i % 3}
 		route.Horizon, route.Setpoint = times()
 		switch i {
 		case 0, 1:
-			route.Plant = s[i]
+			route.Plant = services[i]
 		case 2:
-			route.Split = []manifest.WeightedService{{Service: s[0], Gain: 0}, {Service: s[2], Gain: 1}, {Service: s[3], Gain: 2}}
+			route.Split = []manifest.WeightedService{{Service: services[0], Gain: 0}, {Service: services[2], Gain: 1}, {Service: services[3], Gain: 2}}
 		case 3:
-			route.FanOut, route.MinCoverage = s[3:6], 0.6667 // two of three are less
+			route.FanOut, route.MinCoverage = services[3:6], 0.6667 // more than two of three
 		case 4:
-			route.FanOut, route.MinCoverage = s[r.IntN(2):5], []float64{0, 0.5, 0.6, 1}[r.IntN(4)]
+			route.FanOut, route.MinCoverage = services[rng.IntN(2):5], []float64{0, 0.5, 0.6, 1}[rng.IntN(4)]
 		}
-		w.routes = append(w.routes, route)
+		sim.routes = append(sim.routes, route)
 	}
 }
 
-func (w *world) birth(service, address string) {
-	w.births++
-	h := &Host{ID: fmt.Sprint("i", w.births), Address: address, Service: service, Far: w.births % 3}
-	w.listed[h.ID] = h
-	if w.r.IntN(3) == 0 {
-		w.moods[h.ID] = policy.Outcome(w.r.IntN(int(policy.Expired) + 1))
+func (sim *simulation) startSearcher(service, address string) {
+	sim.startedSearchers++
+	searcher := &Host{ID: fmt.Sprint("i", sim.startedSearchers), Address: address, Service: service, Far: sim.startedSearchers % 3}
+	sim.listed[searcher.ID] = searcher
+	if sim.rng.IntN(3) == 0 {
+		sim.behaviors[searcher.ID] = policy.Outcome(sim.rng.IntN(int(policy.Expired) + 1))
 	}
 }
 
-// tell hands the list over.
-func (w *world) tell() {
-	var hosts []Host
-	for _, id := range w.ids() {
-		if h := *w.listed[id]; w.fault != "list untold" || h.State == policy.Ready {
-			hosts = append(hosts, h)
+// publishList passes in the list.
+func (sim *simulation) publishList() {
+	var searchers []Host
+	for _, id := range sim.listedIDs() {
+		if searcher := *sim.listed[id]; sim.fault != "outdated states" || searcher.State == policy.Ready {
+			searchers = append(searchers, searcher)
 		} else {
-			h.State = policy.Ready
-			hosts = append(hosts, h)
+			searcher.State = policy.Ready
+			searchers = append(searchers, searcher)
 		}
 	}
-	maps.DeleteFunc(w.gone, func(id string, until time.Duration) bool { return w.listed[id] == nil || w.now >= until })
-	w.l.List(hosts)
+	maps.DeleteFunc(sim.misdirected, func(id string, until time.Duration) bool { return sim.listed[id] == nil || sim.now >= until })
+	sim.coordinator.List(searchers)
 }
 
-func (w *world) ids() (ids []string) {
-	for id := range w.listed {
+func (sim *simulation) listedIDs() (ids []string) {
+	for id := range sim.listed {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// churn has searchers start, drain, end, vanish from the list and come back, and addresses go to others.
-func (w *world) churn() {
-	for _, id := range w.ids() {
-		switch h := w.listed[id]; w.r.IntN(40) {
+// churn lets searchers start, drain, end, disappear from the list and return, and reassigns addresses.
+func (sim *simulation) churn() {
+	for _, id := range sim.listedIDs() {
+		switch searcher := sim.listed[id]; sim.rng.IntN(40) {
 		case 0:
-			h.State = policy.Draining
+			searcher.State = policy.Draining
 		case 1:
-			delete(w.listed, id)
-			w.birth(w.services[w.r.IntN(6)], h.Address)
-		case 2: // a list that lost it for a moment
-			delete(w.listed, id)
-			if h.State == policy.Ready {
-				w.after(30*ms, func() { w.listed[id] = h; w.tell() })
+			delete(sim.listed, id)
+			sim.startSearcher(sim.services[sim.rng.IntN(6)], searcher.Address)
+		case 2: // missing from the list for a moment
+			delete(sim.listed, id)
+			if searcher.State == policy.Ready {
+				sim.schedule(30*ms, func() { sim.listed[id] = searcher; sim.publishList() })
 			}
 		case 3:
-			w.moods[id] = policy.Outcome(w.r.IntN(int(policy.Expired) + 1))
+			sim.behaviors[id] = policy.Outcome(sim.rng.IntN(int(policy.Expired) + 1))
 		case 4, 5:
-			w.moods[id] = policy.Succeeded
-			h.Calls++ // it has reported again
-			delete(w.gone, id)
+			sim.behaviors[id] = policy.Succeeded
+			searcher.Calls++ // it has reported again
+			delete(sim.misdirected, id)
 		}
 	}
-	for _, s := range w.services {
+	for _, s := range sim.services {
 		n := 0
-		for _, h := range w.listed {
-			if h.Service == s && h.State == policy.Ready {
+		for _, searcher := range sim.listed {
+			if searcher.Service == s && searcher.State == policy.Ready {
 				n++
 			}
 		}
-		for ; n < 3 && w.r.IntN(5) > 0; n++ {
-			w.birth(s, fmt.Sprint("a", w.births))
+		for ; n < 3 && sim.rng.IntN(5) > 0; n++ {
+			sim.startSearcher(s, fmt.Sprint("a", sim.startedSearchers))
 		}
 	}
-	w.tell()
+	sim.publishList()
 }
 
-func (w *world) every(d time.Duration, until time.Duration, do func()) {
+func (sim *simulation) every(d time.Duration, until time.Duration, do func()) {
 	var again func()
 	again = func() {
 		do()
-		if w.now < until {
-			w.after(time.Duration(float64(d)*(0.5+w.r.Float64())), again)
+		if sim.now < until {
+			sim.schedule(time.Duration(float64(d)*(0.5+sim.rng.Float64())), again)
 		}
 	}
-	w.after(0, again)
+	sim.schedule(0, again)
 }
 
-// play has seconds of load and trouble, then waits until nothing is left to come.
-func play(seed uint64, fault string, span time.Duration) *world {
-	w := newWorld(seed, fault)
-	w.configure()
-	w.every(1500*ms, span, w.configure)
-	w.every(100*ms, span, w.churn)
-	w.every(8*ms, span, w.begin)
-	w.run(span + 5*time.Second)
-	for _, q := range w.reqs {
-		if q.finals != 1 && !q.left && w.broken == nil {
-			w.fail("request %d got %d answers", q.no, q.finals)
+// simulate runs load and faults for span, then waits until all requests have ended.
+func simulate(seed uint64, fault string, span time.Duration) *simulation {
+	sim := newSimulation(seed, fault)
+	sim.configure()
+	sim.every(1500*ms, span, sim.configure)
+	sim.every(100*ms, span, sim.churn)
+	sim.every(8*ms, span, sim.beginRequest)
+	sim.run(span + 5*time.Second)
+	for _, req := range sim.requests {
+		if req.answers != 1 && !req.clientLeft && sim.violations == nil {
+			sim.recordViolation("request %d got %d answers", req.no, req.answers)
 		}
 	}
-	return w
+	return sim
 }
 
-// TestLife: whatever searchers, the list and the operator do, each request gets its one right answer.
-func TestLife(t *testing.T) {
+// TestEachRequestGetsOneAnswer checks that each request gets exactly one correct answer under changes of searchers,
+// list and configuration.
+func TestEachRequestGetsOneAnswer(t *testing.T) {
 	var kinds [Failed + 1]int
 	for seed := range uint64(8) {
-		w := play(seed, "", 5*time.Second)
-		must.Eq(t, "", strings.Join(w.broken, "; "), must.Sprint("seed ", seed))
-		must.Eq(t, 0, w.l.InHand())
-		must.Eq(t, 0, len(w.l.parts), must.Sprint("parts kept, seed ", seed))
-		for k, n := range w.kinds {
+		sim := simulate(seed, "", 5*time.Second)
+		must.Eq(t, "", strings.Join(sim.violations, "; "), must.Sprint("seed ", seed))
+		must.Eq(t, 0, sim.coordinator.InHand())
+		must.Eq(t, 0, len(sim.coordinator.parts), must.Sprint("parts kept, seed ", seed))
+		for k, n := range sim.finalKinds {
 			kinds[k] += n
 		}
-		c := w.l.Counts
-		must.Positive(t, c.Further)
-		must.Positive(t, c.Left)
-		must.Positive(t, c.Partial)
+		counts := sim.coordinator.Counts
+		must.Positive(t, counts.Further)
+		must.Positive(t, counts.Left)
+		must.Positive(t, counts.Partial)
 	}
-	for k, n := range kinds { // else the load shows nothing
+	for k, n := range kinds { // otherwise the load does not exercise this kind
 		must.Greater(t, 30, n, must.Sprint("kind ", k, " of ", kinds))
 	}
 }
 
-// TestPlanted: each fault is seen.
-func TestPlanted(t *testing.T) {
-	for fault, shows := range map[string]string{
-		"send twice":      "out twice",
+// TestSimulationDetectsInjectedFaults checks that the simulation reports each injected fault.
+func TestSimulationDetectsInjectedFaults(t *testing.T) {
+	for fault, message := range map[string]string{
+		"send twice":      "in flight twice",
 		"false proof":     "sent again",
 		"no answer":       "got 0 answers",
 		"two answers":     "answer 2",
 		"refuse what ran": "refused and may have run",
 		"miscount":        "missing of",
 		"one record less": "body",
-		"list untold":     "listed",
+		"outdated states": "listed",
 	} {
 		seen := ""
 		for seed := range uint64(8) {
-			seen += strings.Join(play(seed, fault, 3*time.Second).broken, "; ")
+			seen += strings.Join(simulate(seed, fault, 3*time.Second).violations, "; ")
 		}
-		must.StrContains(t, seen, shows, must.Sprint(fault))
+		must.StrContains(t, seen, message, must.Sprint(fault))
 	}
 }
 
-// TestCheckSees: damage to the book itself shows in Check.
-func TestCheckSees(t *testing.T) {
-	for name, spoil := range map[string]func(l *Life, p *part){
-		"a request more":       func(l *Life, p *part) { p.req.group.busy++ },
-		"a dispatch forgotten": func(l *Life, p *part) { p.tries[0].out = false },
-		"a part lost":          func(l *Life, p *part) { delete(l.parts, p.id) },
-		"sent too often":       func(l *Life, p *part) { p.tries = slices.Repeat(p.tries, 5) },
-		"a host not told":      func(l *Life, p *part) { l.hosts["new"] = &Host{ID: "new", Service: p.service} },
-		"ended in the book":    func(l *Life, p *part) { p.req.ended = true },
+// TestCheckDetectsCorruptState checks that Check reports inconsistent state.
+func TestCheckDetectsCorruptState(t *testing.T) {
+	for name, corrupt := range map[string]func(c *Life, p *part){
+		"request count too high":    func(c *Life, p *part) { p.request.group.inFlight++ },
+		"dispatch marked as ended":  func(c *Life, p *part) { p.dispatches[0].inFlight = false },
+		"part deleted":              func(c *Life, p *part) { delete(c.parts, p.id) },
+		"too many dispatches":       func(c *Life, p *part) { p.dispatches = slices.Repeat(p.dispatches, 5) },
+		"searcher missing in group": func(c *Life, p *part) { c.searchers["new"] = &Host{ID: "new", Service: p.service} },
+		"request marked as ended":   func(c *Life, p *part) { p.request.ended = true },
 	} {
-		w := newWorld(1, "")
-		w.configure()
-		w.birth("s1", "a")
-		w.tell()
-		w.l.Begin(&Request{Route: w.routes[1], Until: w.now + time.Second, Done: func(Final) {}})
-		must.NoError(t, w.l.Check())
-		must.MapLen(t, 1, w.l.parts)
-		for _, p := range w.l.parts {
-			must.Len(t, 1, p.tries)
-			spoil(w.l, p)
+		sim := newSimulation(1, "")
+		sim.configure()
+		sim.startSearcher("s1", "a")
+		sim.publishList()
+		sim.coordinator.Begin(&Request{Route: sim.routes[1], Until: sim.now + time.Second, Done: func(Final) {}})
+		must.NoError(t, sim.coordinator.Check())
+		must.MapLen(t, 1, sim.coordinator.parts)
+		for _, p := range sim.coordinator.parts {
+			must.Len(t, 1, p.dispatches)
+			corrupt(sim.coordinator, p)
 		}
-		must.Error(t, w.l.Check(), must.Sprint(name))
+		must.Error(t, sim.coordinator.Check(), must.Sprint(name))
 	}
 }
 
-// TestSameActions: the same events give the same actions, whatever the order of Go's maps.
-func TestSameActions(t *testing.T) {
+// TestSameEventsGiveSameActions guards against actions that depend on Go's map order.
+func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(3) {
-		a, b := play(seed, "", 2*time.Second), play(seed, "", 2*time.Second)
+		a, b := simulate(seed, "", 2*time.Second), simulate(seed, "", 2*time.Second)
 		must.Eq(t, a.log.Sum64(), b.log.Sum64(), must.Sprint("seed ", seed))
-		must.NotEq(t, a.log.Sum64(), play(seed+100, "", 2*time.Second).log.Sum64())
+		must.NotEq(t, a.log.Sum64(), simulate(seed+100, "", 2*time.Second).log.Sum64())
 	}
 }
 
-// TestForgets: what has been is not kept: parts, searchers, wakes and sets of services, over a day of versions.
-func TestForgets(t *testing.T) {
-	w := newWorld(5, "")
-	w.configure()
+// TestReleasesState checks that parts, searchers, timers and groups are released over many configuration versions.
+func TestReleasesState(t *testing.T) {
+	sim := newSimulation(5, "")
+	sim.configure()
 	for day := range 30 {
-		w.version += 30 // other services than ever before
-		w.every(300*ms, w.now+time.Second, func() { w.configure(); w.churn() })
-		w.every(20*ms, w.now+time.Second, w.begin)
-		w.run(w.now + 10*time.Second)
-		must.Eq(t, "", strings.Join(w.broken, "; "), must.Sprint("day ", day))
-		must.Eq(t, 0, len(w.l.parts))
-		_, busy := w.l.Next()
-		must.False(t, busy, must.Sprint("wakes with nothing in hand"))
-		clear(w.listed)
-		w.tell()
-		places := 0
-		for _, g := range w.l.groups {
-			places += len(g.hosts)
+		sim.version += 30 // services not used before
+		sim.every(300*ms, sim.now+time.Second, func() { sim.configure(); sim.churn() })
+		sim.every(20*ms, sim.now+time.Second, sim.beginRequest)
+		sim.run(sim.now + 10*time.Second)
+		must.Eq(t, "", strings.Join(sim.violations, "; "), must.Sprint("day ", day))
+		must.Eq(t, 0, len(sim.coordinator.parts))
+		_, pending := sim.coordinator.Next()
+		must.False(t, pending, must.Sprint("timers without requests"))
+		clear(sim.listed)
+		sim.publishList()
+		members := 0
+		for _, g := range sim.coordinator.groups {
+			members += len(g.members)
 		}
-		must.Eq(t, 0, places)
-		must.Eq(t, 0, len(w.l.hosts))
+		must.Eq(t, 0, members)
+		must.Eq(t, 0, len(sim.coordinator.searchers))
 	}
-	must.LessEq(t, groupsMost, len(w.l.groups), must.Sprint("sets of services kept"))
+	must.LessEq(t, maxGroups, len(sim.coordinator.groups), must.Sprint("groups kept"))
 }
--- a/request/timers.go
+++ b/request/timers.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// timer is a wake that a group's module asked for.
+// timer is a wake-up that a group's engine has requested.
 type timer struct {
 	at    time.Duration
-	no    uint64 // those of one moment keep their order
+	seq   uint64 // keeps the order of timers with the same time
 	group *group
 	token uint64
 }
 
+// timers is a heap of timers, ordered by time.
 type timers struct {
 	heap []timer
-	no   uint64
+	seq  uint64
 }
 
 func (t *timers) Len() int { return len(t.heap) }
 func (t *timers) Less(i, j int) bool {
 	a, b := &t.heap[i], &t.heap[j]
-	return a.at < b.at || a.at == b.at && a.no < b.no
+	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 func (t *timers) Swap(i, j int) { t.heap[i], t.heap[j] = t.heap[j], t.heap[i] }
 func (t *timers) Push(x any)    { t.heap = append(t.heap, x.(timer)) }
@@ -34,8 +35,8 @@
 }
 
 func (t *timers) add(at time.Duration, g *group, token uint64) {
-	t.no++
-	heap.Push(t, timer{at: at, no: t.no, group: g, token: token})
+	t.seq++
+	heap.Push(t, timer{at: at, seq: t.seq, group: g, token: token})
 }
 
 func (t *timers) next() (time.Duration, bool) {
--- a/request/types.go
+++ b/request/types.go
@@ -8,10 +8,10 @@
 	"peathollow/retrybudget"
 )
 
-// Header is one field of a message.
+// Header is one header field of a message.
 type Header struct{ Name, Value string }
 
-// Reply is what a searcher answered, whole and checked.
+// Reply is a complete and validated response of a searcher.
 type Reply struct {
 	Status  int
 	Seal    string
@@ -19,26 +19,26 @@
 	Body    []byte
 }
 
-// Host is one life of a searcher.
+// Host is one incarnation of a searcher.
 type Host struct {
 	ID, Address, Service string
 	State                policy.SearcherState
-	Calls                uint64 // of its reports, as last told: it rises
-	Silent               bool   // it has not been heard of lately
-	Far                  int    // 0 in this zone, 1 in this region, 2 elsewhere
+	Calls                uint64 // call count of its last known report; rises with each report
+	Silent               bool   // its heartbeats have stopped
+	Far                  int    // distance: 0 in this zone, 1 in this region, 2 elsewhere
 }
 
-// Kind says how a request ended.
+// Kind is the way in which a request ended.
 type Kind uint8
 
 const (
-	Relayed  Kind = iota // Reply is the searcher's answer
-	Gathered             // Seals, Missing and Body are the parts' answer
-	Refused              // it has not run, or may run again: come back In
-	Failed               // it may have run and must not again
+	Relayed  Kind = iota // Reply holds the searcher's response
+	Gathered             // Seals, Missing and Body hold the merged responses of the parts
+	Refused              // it has not run, or may run again: the client may retry after In
+	Failed               // it may have run and must not be sent again
 )
 
-// Final is the one answer of a request.
+// Final is the final answer to a request.
 type Final struct {
 	Kind    Kind
 	Reply   *Reply
@@ -46,15 +46,15 @@
 	Missing int
 	Body    []byte
 	In      time.Duration
-	Late    bool // its time was over
+	Late    bool // its deadline was reached
 	Reason  Reason
-	Tries   []Try // of one that was refused or has failed
+	Tries   []Try // only if it was refused or failed
 }
 
-// Reason says why a request was refused or has failed.
+// Reason states why a request was refused or failed.
 type Reason string
 
-// The reasons.
+// Values of Reason.
 const (
 	NoSearcher    Reason = "no searcher of a service it needs is listed"
 	TurnedAway    Reason = "the searchers tried turned it away or could not be reached"
@@ -66,78 +66,78 @@
 	ProcessFailed Reason = "a fault in the proxy ended all that was in hand"
 )
 
-// Try is one dispatch made for a request, as it stood when the request ended.
+// Try describes one dispatch of a request as of the end of the request.
 type Try struct {
 	Searcher string
-	Out      bool // its outcome was still open
+	Out      bool // still in flight, without an outcome
 	Outcome  policy.Outcome
-	Took     time.Duration // until its outcome, or until the request ended
+	Took     time.Duration // time until its outcome, or until the request ended
 }
 
-// Request is one try of a client.
+// Request is one request of a client. A repetition by the client is another Request.
 type Request struct {
 	Route *manifest.Route
-	Until time.Duration // when it is given up at the latest, by the life's clock: the client's deadline, and its route's horizon
-	Done  func(Final)   // called once, with the caller's lock held
-	Data  any           // the caller's
-
-	id     uint64
-	group  *group
-	shards []string // services asked, fixed when the request was taken
-	parts  []*part
-	ended  bool
-	refuse *Reply // the last answer of a searcher that could not count
+	Until time.Duration // latest end on the clock of Life: the earlier of the client's deadline and the route's horizon
+	Done  func(Final)   // called once, with the caller's lock held; not called after Leave
+	Data  any           // for use by the caller
+
+	id         uint64
+	group      *group
+	services   []string // set by Begin
+	parts      []*part
+	ended      bool
+	errorReply *Reply // the last error response of a searcher
 }
 
-// Dispatch is one part on its way to one searcher.
+// Dispatch is one attempt of a part at one searcher.
 type Dispatch struct {
 	Request *Request
 	Host    *Host
-	Until   time.Duration // by the request's clock
-	Vouched bool          // nothing speaks against the address of the searcher; else who is there is to be made out first
-	Call    any           // the caller's
-
-	part   *part
-	no     int
-	at     time.Duration
-	paused time.Duration // for how long the process had not run by then, in all
-	out    bool
-	// Once it is not out any more: what became of it, and how long that took.
+	Until   time.Duration // on the clock of Life
+	Vouched bool          // the listed address is trusted; otherwise the searcher's identity must be probed before sending
+	Call    any           // for use by the caller
+
+	part         *part
+	attempt      int
+	sentAt       time.Duration
+	pausedBefore time.Duration // total time of pauses of the process before sentAt
+	inFlight     bool
+	// Valid once the dispatch is no longer in flight: its outcome, and the time until then without pauses of the process.
 	outcome policy.Outcome
-	took    time.Duration
-	host    *host
+	elapsed time.Duration
+	member  *member
 }
 
-// part is what a request wants from one service.
+// part is the piece of a request that goes to one service.
 type part struct {
-	id      uint64
-	req     *Request
-	service string
-	tries   []*Dispatch
-	reply   *Reply
-	trail   retrybudget.AttemptHistory
+	id         uint64
+	request    *Request
+	service    string
+	dispatches []*Dispatch
+	reply      *Reply
+	history    retrybudget.AttemptHistory
 }
 
-// Reading says whether a searcher has read a dispatch, which counts for the retry budget.
+// Reading states whether a searcher has read a dispatch, which determines its charge on the retry budget.
 type Reading uint8
 
-// The readings.
+// Values of Reading.
 const (
-	MayRead Reading = iota // it was given up, or its connection was lost: it may have been read, or may be yet
-	WasRead                // its searcher, or another one at its address, has answered
-	NotRead                // nothing of it was written
+	MayRead Reading = iota // abandoned, or its connection was lost: it may have been read, or may still be
+	WasRead                // its searcher, or another one at the same address, responded
+	NotRead                // none of it was written to a connection
 )
 
-// Act is one thing to be done: Send or call off a dispatch.
+// Act is an action for the caller: it sends a dispatch or cancels one.
 type Act struct {
 	Dispatch *Dispatch
 	Cancel   bool
 }
 
-// Counts are running totals, for logs and status.
+// Counts holds running totals for logs and metrics.
 type Counts struct {
 	Taken, Relayed, Gathered, Partial, Refused, Failed, Left int
 	Sent, Further                                            int
 	Outcomes                                                 [policy.Expired + 1]int
-	Far                                                      [3]int // dispatches, by how far they went
+	Far                                                      [3]int // dispatches by distance of the searcher
 }
