--- a/lab/scale/bench_test.go
+++ b/lab/scale/bench_test.go
@@ -19,11 +19,11 @@
 // gatherer drives a request as proxy does, without sockets: what is sent comes back after some milliseconds of the
 // request's own time. So what is measured is what a mixer decides and joins, and nothing of what it writes or reads.
 type gatherer struct {
-	life  *request.Life
+	life  *request.Coordinator
 	route *manifest.Route
 	reply *request.Reply
 	now   time.Duration
-	acts  []request.Act
+	acts  []request.Action
 	last  request.Final
 	sent  int
 }
@@ -33,18 +33,18 @@
 func newGatherer(shards, records int) *gatherer {
 	g := &gatherer{route: &manifest.Route{Name: "fan", Idempotent: true, Horizon: 600 * time.Millisecond, Setpoint: 240 * time.Millisecond,
 		Retries: 2, TopK: 10, MinCoverage: 0.6, Rank: 1}}
-	g.life = request.New(request.Terms{Seed: 1, Budget: retrybudget.Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}}, 0)
-	g.life.Mixers(830)
-	var hosts []request.Host
+	g.life = request.New(request.Config{Seed: 1, Budget: retrybudget.Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}}, 0)
+	g.life.SetMixerCount(830)
+	var hosts []request.Searcher
 	for i := range shards {
 		service := fmt.Sprintf("huvo%04da", i)
 		g.route.FanOut = append(g.route.FanOut, service)
 		for k := range copiesOfShard {
-			hosts = append(hosts, request.Host{ID: fmt.Sprintf("i-%05d-%d", i, k), Address: fmt.Sprintf("10.%d.%d.%d:8080", k, i/250, i%250),
-				Service: service, State: policy.Ready, Far: k})
+			hosts = append(hosts, request.Searcher{ID: fmt.Sprintf("i-%05d-%d", i, k), Address: fmt.Sprintf("10.%d.%d.%d:8080", k, i/250, i%250),
+				Service: service, State: policy.Ready, Distance: k})
 		}
 	}
-	g.life.List(hosts)
+	g.life.SetSearchers(hosts)
 	body := make([]byte, 16*records)
 	rand.Read(body)
 	g.reply = &request.Reply{Status: 200, Seal: "3e1b.07.5a2.600.0.c9f2a4d1", Body: body}
@@ -55,19 +55,19 @@
 func (g *gatherer) gather() bool {
 	done := false
 	g.now += 2 * time.Millisecond
-	g.life.At(g.now)
-	g.life.Begin(&request.Request{Route: g.route, Until: g.now + time.Second, Done: func(f request.Final) { g.last, done = f, true }})
+	g.life.Advance(g.now)
+	g.life.Begin(&request.Request{Route: g.route, Deadline: g.now + time.Second, Done: func(f request.Final) { g.last, done = f, true }})
 	for range 200 {
-		g.acts = g.life.Take(g.acts[:0])
+		g.acts = g.life.TakeActions(g.acts[:0])
 		if done && len(g.acts) == 0 {
 			return g.last.Kind == request.Gathered
 		}
 		g.now += 3 * time.Millisecond
-		g.life.At(g.now)
+		g.life.Advance(g.now)
 		for _, a := range g.acts {
 			out, reading, reply := policy.Succeeded, request.WasRead, g.reply
 			if a.Cancel {
-				out, reading, reply = policy.Cancelled, request.MayRead, nil
+				out, reading, reply = policy.Cancelled, request.MaybeRead, nil
 			} else {
 				g.sent++
 			}
@@ -133,17 +133,17 @@
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{36, 1000, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := request.New(request.Terms{Seed: 1}, 0)
-			hosts := make([]request.Host, n)
+			l := request.New(request.Config{Seed: 1}, 0)
+			hosts := make([]request.Searcher, n)
 			for i := range hosts {
-				hosts[i] = request.Host{ID: fmt.Sprintf("i-%05d-0", i), Address: "10.0.0.1:8080", Service: "huvo0001a"}
+				hosts[i] = request.Searcher{ID: fmt.Sprintf("i-%05d-0", i), Address: "10.0.0.1:8080", Service: "huvo0001a"}
 			}
-			l.List(hosts)
+			l.SetSearchers(hosts)
 			b.ReportAllocs()
 			from := cpu()
 			for i := 0; b.Loop(); i++ {
 				hosts[n/2].State = policy.SearcherState(i % 2)
-				l.List(hosts)
+				l.SetSearchers(hosts)
 			}
 			perOp(b, from)
 		})
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -19,7 +19,7 @@
 }
 
 // explainMisdirected logs that the address of a searcher is another's, and whether that was found out by a request.
-func (p *Proxy) explainMisdirected(h *request.Host, a *upstream.Response) {
+func (p *Proxy) explainMisdirected(h *request.Searcher, a *upstream.Response) {
 	ok, suppressed := p.sight.line(p.sight.strays)
 	if !ok {
 		return
--- a/proxy/contain_test.go
+++ b/proxy/contain_test.go
@@ -31,16 +31,16 @@
 		`],"plants":[{"name":"sick"},{"name":"sound"}]}`))
 	must.NoError(t, err)
 	q.doc.Store(doc)
-	var hosts []request.Host
+	var hosts []request.Searcher
 	for _, service := range []string{"sick", "sound"} {
 		s, err := faulty.Start(faulty.Options{ID: "i-" + service, Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Work: 300 * time.Millisecond} }})
 		must.NoError(t, err)
 		t.Cleanup(s.Close)
-		hosts = append(hosts, request.Host{ID: s.ID(), Address: s.Addr(), Service: service, State: policy.Ready})
+		hosts = append(hosts, request.Searcher{ID: s.ID(), Address: s.Addr(), Service: service, State: policy.Ready})
 	}
 	q.do(func() {
 		q.hosts = hosts
-		q.life.List(hosts)
+		q.life.SetSearchers(hosts)
 	})
 	return q
 }
@@ -59,7 +59,7 @@
 // touches no other. The code before ended all that was in hand, and left a request waiting whose taking met a fault of another's
 // timer.
 func TestFaultIsContained(t *testing.T) {
-	for _, step := range []request.Step{request.StepBegin, request.StepWoke, request.StepReturned} {
+	for _, step := range []request.Step{request.StepBegin, request.StepTimer, request.StepReturned} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			t.Parallel()
 			var sick atomic.Bool
--- a/proxy/figures.go
+++ b/proxy/figures.go
@@ -12,13 +12,13 @@
 func (p *Proxy) figures(emit figures.Emit) {
 	now := p.now()
 	p.mu.Lock()
-	c, inHand, pools, listed, mixers, hosts := p.life.Counts, p.life.InHand(), len(p.pools), p.listed, p.mixers, len(p.hosts)
+	c, inHand, pools, listed, mixers, hosts := p.life.Counts, p.life.InFlight(), len(p.pools), p.listed, p.mixers, len(p.hosts)
 	open, idle := 0, 0
 	for _, pool := range p.pools {
 		open += pool.OpenConns()
 		idle += pool.IdleConns()
 	}
-	budgets, mixersCounted, slackSpent := p.life.Book().Stats(now), p.life.Book().MixerCount(), p.life.Book().SlackSpent()
+	budgets, mixersCounted, slackSpent := p.life.Budget().Stats(now), p.life.Budget().MixerCount(), p.life.Budget().SlackSpent()
 	p.mu.Unlock()
 	clients, evicted, refused := p.callers.Counts()
 	emit("client_connections_open", float64(clients))
@@ -31,7 +31,7 @@
 	outcome("gathered", c.Gathered)
 	outcome("refused", c.Refused)
 	outcome("failed", c.Failed)
-	outcome("client_left", c.Left)
+	outcome("client_left", c.ClientsLeft)
 	emit("requests_partial_total", float64(c.Partial))
 	emit("requests_taken_total", float64(c.Taken))
 	emit("requests_in_hand", float64(inHand))
@@ -42,7 +42,7 @@
 		emit("requests_unanswered_total", float64(n.Load()), figures.Label{Name: "reason", Value: string(reason)})
 	}
 	emit("dispatches_total", float64(c.Sent))
-	emit("dispatches_further_total", float64(c.Further))
+	emit("dispatches_further_total", float64(c.Retries))
 	for o, n := range c.Outcomes {
 		emit("dispatch_outcomes_total", float64(n), figures.Label{Name: "outcome", Value: outcomeName(policy.Outcome(o))})
 	}
--- a/proxy/front.go
+++ b/proxy/front.go
@@ -99,7 +99,7 @@
 // await hands the request over and waits for its answer; false if the client left.
 func (p *Proxy) await(r *http.Request, route *manifest.Route, t *taken) (request.Final, bool) {
 	done := make(chan request.Final, 1)
-	req := &request.Request{Route: route, Until: t.until.Sub(p.start), Data: t, Done: func(f request.Final) { done <- f }}
+	req := &request.Request{Route: route, Deadline: t.until.Sub(p.start), Data: t, Done: func(f request.Final) { done <- f }}
 	p.do(func() { p.life.Begin(req) })
 	ask := time.NewTicker(askEvery)
 	defer ask.Stop()
@@ -113,7 +113,7 @@
 			}
 		case <-r.Context().Done():
 		}
-		p.do(func() { p.life.Leave(req) })
+		p.do(func() { p.life.ClientLeft(req) })
 		return request.Final{}, false
 	}
 }
@@ -193,7 +193,7 @@
 		}
 		write(w, http.StatusOK, f.Body)
 	case request.Refused:
-		refuse(w, f.In)
+		refuse(w, f.RetryAfter)
 	default:
 		w.WriteHeader(failedStatus(f))
 	}
@@ -201,7 +201,7 @@
 
 // failedStatus is the status of a request that may have run.
 func failedStatus(f request.Final) int {
-	if f.Late {
+	if f.DeadlineReached {
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
--- a/proxy/invariants_test.go
+++ b/proxy/invariants_test.go
@@ -45,6 +45,6 @@
 func TestDeadlinesPastTheClients(t *testing.T) {
 	q := New(&settings.Settings{RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
 	d := &request.Dispatch{Request: &request.Request{Data: &taken{until: q.start.Add(time.Second)}},
-		Host: &request.Host{ID: "i-1", Address: "127.0.0.1:1", State: policy.Ready}, Until: 2 * time.Second}
+		Searcher: &request.Searcher{ID: "i-1", Address: "127.0.0.1:1", State: policy.Ready}, Deadline: 2 * time.Second}
 	must.Eq(t, invariant.DeadlineWithinClients, caught(t, func() { q.prepare(d) }))
 }
--- a/proxy/pause_test.go
+++ b/proxy/pause_test.go
@@ -28,7 +28,7 @@
 		must.NoError(t, err)
 		q.doc.Store(doc)
 		q.step(func() {
-			q.life.List([]request.Host{{ID: "i-1", Address: "127.0.0.1:1", Service: "s", State: policy.Ready}})
+			q.life.SetSearchers([]request.Searcher{{ID: "i-1", Address: "127.0.0.1:1", Service: "s", State: policy.Ready}})
 		}, nil)
 		body, client := io.Pipe()
 		r := httptest.NewRequest(http.MethodPost, "http://h.example/", body)
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -33,10 +33,10 @@
 	s, err := faulty.Start(faulty.Options{Capacity: 100, Script: func(faulty.Call) faulty.Reply { at <- true; return faulty.Reply{Hold: hold} }})
 	must.NoError(t, err)
 	defer s.Close()
-	host := request.Host{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready}
+	host := request.Searcher{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready}
 	q.do(func() {
-		q.hosts = []request.Host{host}
-		q.life.List(q.hosts)
+		q.hosts = []request.Searcher{host}
+		q.life.SetSearchers(q.hosts)
 	})
 	document(service("1", "100"))
 	q.merged()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -41,14 +41,14 @@
 	doc   atomic.Pointer[manifest.Manifest]
 
 	mu      sync.Mutex
-	life    *request.Life
+	life    *request.Coordinator
 	clock   *time.Timer
 	armed   time.Duration
 	pools   map[string]*upstream.Pool // by a searcher's id
 	gen     uint64
 	listed  bool
 	mixers  int
-	hosts   []request.Host
+	hosts   []request.Searcher
 	leaving atomic.Bool
 	sight   *sight
 	probes  upstream.ProbeCounts
@@ -68,9 +68,9 @@
 }
 
 // newLife starts what decides, with what must not be forgotten of a life before if there was one.
-func (p *Proxy) newLife(before *request.Life) *request.Life {
-	return request.New(request.Terms{Seed: uint64(time.Now().UnixNano()),
-		Before: before, Plant: p.plant, Budget: retrybudget.Config{Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, Window: p.set.RetryWindow}}, p.now())
+func (p *Proxy) newLife(before *request.Coordinator) *request.Coordinator {
+	return request.New(request.Config{Seed: uint64(time.Now().UnixNano()),
+		Previous: before, InjectFault: p.plant, Budget: retrybudget.Config{Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, Window: p.set.RetryWindow}}, p.now())
 }
 
 // AgentPort is where an agent feeds the proxy beside it, over loopback.
@@ -134,7 +134,7 @@
 func (p *Proxy) inHand() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life.InHand()
+	return p.life.InFlight()
 }
 
 func (p *Proxy) ready(w http.ResponseWriter, r *http.Request) {
@@ -183,8 +183,8 @@
 	p.do(func() {
 		follow := n != p.mixers || doc != was
 		p.mixers = n
-		p.life.Mixers(n)
-		p.life.Book().SetSlackSpent(spent)
+		p.life.SetMixerCount(n)
+		p.life.Budget().SetSlackSpent(spent)
 		if gen != p.gen {
 			p.gen = gen
 			p.list(entries)
@@ -198,7 +198,7 @@
 
 // list hands over the searchers. Silent ones count as ready: a stale entry costs a try, a missing one the service.
 func (p *Proxy) list(entries []registry.Entry) {
-	hosts := make([]request.Host, 0, len(entries))
+	hosts := make([]request.Searcher, 0, len(entries))
 	ids := make(map[string]bool, len(entries))
 	for i := range entries {
 		e := &entries[i]
@@ -209,12 +209,12 @@
 		if e.State != registry.Ready {
 			st = policy.Draining
 		}
-		hosts = append(hosts, request.Host{ID: e.ID, Address: e.Address, Service: e.Plant, State: st, Calls: e.Calls, Silent: e.Silent,
-			Far: p.set.Far(e.Zone)})
+		hosts = append(hosts, request.Searcher{ID: e.ID, Address: e.Address, Service: e.Plant, State: st, Calls: e.Calls, Silent: e.Silent,
+			Distance: p.set.Far(e.Zone)})
 		ids[e.ID] = true
 	}
 	p.hosts = hosts
-	p.life.List(hosts)
+	p.life.SetSearchers(hosts)
 	for id, pool := range p.pools {
 		if !ids[id] {
 			delete(p.pools, id)
@@ -227,7 +227,7 @@
 
 // pulse moves the clock of what decides, so that it notices when the process did not run.
 func (p *Proxy) pulse(ctx context.Context) {
-	periodic.Each(ctx, request.Pulse, func() { p.do(func() {}) })
+	periodic.Each(ctx, request.MaxAdvanceInterval, func() { p.do(func() {}) })
 }
 
 // due is the clock's call.
@@ -240,14 +240,14 @@
 
 // do hands the request an event and carries out what comes of it.
 func (p *Proxy) do(event func()) {
-	var buf [8]request.Act
+	var buf [8]request.Action
 	acts, exhausted := p.step(event, buf[:0])
 	p.explainExhausted(exhausted)
 	for _, a := range acts {
 		switch {
-		case a.Dispatch.Call == nil: // a fault came before it was made ready, and has ended its request
+		case a.Dispatch.Data == nil: // a fault came before it was made ready, and has ended its request
 		case a.Cancel:
-			a.Dispatch.Call.(*sending).call.Cancel()
+			a.Dispatch.Data.(*sending).call.Cancel()
 		default:
 			go p.send(a.Dispatch)
 		}
@@ -255,15 +255,15 @@
 }
 
 // step hands over an event under the lock. It gives what is to be done, and the services whose retry budget was found exhausted.
-func (p *Proxy) step(event func(), into []request.Act) (acts []request.Act, exhausted []retrybudget.Refusal) {
+func (p *Proxy) step(event func(), into []request.Action) (acts []request.Action, exhausted []retrybudget.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// Each by itself: a fault in what is due must not lose the event.
-	acts = append(into, p.guard(func() { p.life.At(p.now()) })...)
+	acts = append(into, p.guard(func() { p.life.Advance(p.now()) })...)
 	acts = append(acts, p.guard(event)...)
 	calledOff := len(acts)
 	faults := p.guard(func() {
-		acts = p.life.Take(acts)
+		acts = p.life.TakeActions(acts)
 		for _, a := range acts[calledOff:] {
 			if !a.Cancel {
 				p.prepare(a.Dispatch)
@@ -271,11 +271,11 @@
 		}
 	})
 	p.arm()
-	return append(acts, faults...), p.life.Book().TakeRefusals()
+	return append(acts, faults...), p.life.Budget().TakeRefusals()
 }
 
 // guard has something decided, and gives what a fault in it wants called off.
-func (p *Proxy) guard(decide func()) (calledOff []request.Act) {
+func (p *Proxy) guard(decide func()) (calledOff []request.Action) {
 	defer func() {
 		if e := recover(); e != nil {
 			calledOff = p.restart(e)
@@ -288,7 +288,7 @@
 // restart keeps a fault in what decides from ending the process. One in the module of one set of services ends what is in hand
 // for that set; any other ends all that is in hand, and a new life starts with the list as known and what is left of the retry
 // budget. What ends does so as if it may have run, and is called off. The lock is held.
-func (p *Proxy) restart(why any) []request.Act {
+func (p *Proxy) restart(why any) []request.Action {
 	p.sight.restarts.Add(1)
 	acts, contained := p.life.Contain()
 	p.log.Error().Str("event", "panic").Any("why", why).Bool("contained", contained).Bytes("stack", debug.Stack()).Msg("")
@@ -297,13 +297,13 @@
 	}
 	old := p.life
 	p.life, p.armed = p.newLife(old), 0
-	p.life.Mixers(p.mixers)
-	p.life.List(p.hosts)
+	p.life.SetMixerCount(p.mixers)
+	p.life.SetSearchers(p.hosts)
 	return old.Abandon()
 }
 
 func (p *Proxy) arm() {
-	next, ok := p.life.Next()
+	next, ok := p.life.NextTimer()
 	if !ok || p.armed != 0 && p.armed <= next {
 		return
 	}
@@ -313,11 +313,11 @@
 
 func (p *Proxy) tally() {
 	p.mu.Lock()
-	c, n := p.life.Counts, p.life.InHand()
+	c, n := p.life.Counts, p.life.InFlight()
 	p.life.CheckBalance()
 	p.mu.Unlock()
 	p.log.Info().Str("event", "tally").Int("taken", c.Taken).Int("relayed", c.Relayed).Int("gathered", c.Gathered).
-		Int("partial", c.Partial).Int("refused", c.Refused).Int("failed", c.Failed).Int("left", c.Left).
-		Int("sent", c.Sent).Int("further", c.Further).Int("in-hand", n).Ints("outcomes", c.Outcomes[:]).Ints("far", c.Far[:]).
+		Int("partial", c.Partial).Int("refused", c.Refused).Int("failed", c.Failed).Int("left", c.ClientsLeft).
+		Int("sent", c.Sent).Int("further", c.Retries).Int("in-hand", n).Ints("outcomes", c.Outcomes[:]).Ints("far", c.ByDistance[:]).
 		Uint64("probes-first", p.probes.First.Load()).Uint64("probes-old", p.probes.Old.Load()).Int64("probes-took-ms", p.probes.TotalNanoseconds.Load()/int64(time.Millisecond)).Msg("")
 }
--- a/proxy/restart_test.go
+++ b/proxy/restart_test.go
@@ -28,17 +28,17 @@
 	must.NoError(t, err)
 	q.doc.Store(doc)
 	ledger := &faulty.Ledger{}
-	var hosts []request.Host
+	var hosts []request.Searcher
 	for range 2 {
 		s, err := faulty.Start(faulty.Options{Ledger: ledger, Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Way: faulty.Refuse} }})
 		must.NoError(t, err)
 		t.Cleanup(s.Close)
-		hosts = append(hosts, request.Host{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready})
+		hosts = append(hosts, request.Searcher{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready})
 	}
 	q.do(func() {
 		q.mixers, q.hosts = 1, hosts
-		q.life.Mixers(1)
-		q.life.List(hosts)
+		q.life.SetMixerCount(1)
+		q.life.SetSearchers(hosts)
 	})
 	return q, ledger
 }
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -31,21 +31,21 @@
 // prepare makes a dispatch ready to be sent; the lock is held.
 func (p *Proxy) prepare(d *request.Dispatch) {
 	t := d.Request.Data.(*taken)
-	s := &sending{pool: p.pool(d.Host)}
+	s := &sending{pool: p.pool(d.Searcher)}
 	s.call.Request = t.Request
-	s.call.Target = d.Host.ID
-	if d.Vouched {
+	s.call.Target = d.Searcher.ID
+	if d.AddressTrusted {
 		s.call.AddressConfirmedUntil = time.Now().Add(vouchedFor)
 	}
-	s.call.Deadline = p.start.Add(d.Until)
+	s.call.Deadline = p.start.Add(d.Deadline)
 	s.call.AdvertisedDeadline = t.until
 	if over := s.call.Deadline.Sub(t.until); over > deadlineSlack {
-		invariant.Violated(invariant.DeadlineWithinClients, "searcher %s: %v past the client's", d.Host.ID, over)
+		invariant.Violated(invariant.DeadlineWithinClients, "searcher %s: %v past the client's", d.Searcher.ID, over)
 	}
-	d.Call = s
+	d.Data = s
 }
 
-func (p *Proxy) pool(h *request.Host) *upstream.Pool {
+func (p *Proxy) pool(h *request.Searcher) *upstream.Pool {
 	pool := p.pools[h.ID]
 	if pool == nil {
 		o := upstream.Options{ConfirmationTTL: p.set.ReuseDelay * vouchShare / 4, Probes: &p.probes}
@@ -102,7 +102,7 @@
 
 // send carries a dispatch to its end.
 func (p *Proxy) send(d *request.Dispatch) {
-	s := d.Call.(*sending)
+	s := d.Data.(*sending)
 	a := s.pool.Do(&s.call)
 	out := outcome(&a, d)
 	if a.Outcome != upstream.Answered {
@@ -110,28 +110,28 @@
 			Err(a.Err).Msg("")
 	}
 	if a.Misdirected() {
-		p.explainMisdirected(d.Host, &a)
+		p.explainMisdirected(d.Searcher, &a)
 	}
 	p.do(func() {
 		if a.Misdirected() {
-			p.life.Misdirected(d.Host, a.Wrote)
+			p.life.ReportMisdirected(d.Searcher, a.Wrote)
 		}
 		if a.Unreachable {
-			p.life.Unreachable(d.Host)
+			p.life.ReportUnreachable(d.Searcher)
 		}
 		p.life.Returned(d, out, reading(&a), reply(&a))
 	})
 }
 
 // reading says whether a searcher has read a dispatch.
-func reading(a *upstream.Response) request.Reading {
+func reading(a *upstream.Response) request.ReadStatus {
 	switch {
 	case !a.Wrote:
 		return request.NotRead
 	case a.Outcome == upstream.Answered || a.Outcome == upstream.NotExecuted:
 		return request.WasRead
 	}
-	return request.MayRead
+	return request.MaybeRead
 }
 
 // outcome says in the module's words what became of a dispatch.
--- a/proxy/sight.go
+++ b/proxy/sight.go
@@ -39,8 +39,8 @@
 	s := &sight{lines: &logbound.Limiter{PerSecond: failureLines}, awayLines: &logbound.Limiter{PerSecond: reasonLines},
 		strays: &logbound.Limiter{PerSecond: reasonLines}, exhausted: &logbound.Limiter{PerSecond: reasonLines},
 		reasons: map[request.Reason]*logbound.Limiter{}, failed: map[request.Reason]*atomic.Uint64{}}
-	for _, reason := range []request.Reason{request.NoSearcher, request.TurnedAway, request.BudgetSpent, request.NotAdmitted, request.TimeOver,
-		request.MayHaveRun, request.NoTryLeft, request.ProcessFailed} {
+	for _, reason := range []request.Reason{request.NoSearcher, request.Rejected, request.BudgetExhausted, request.NotAdmitted, request.DeadlinePassed,
+		request.MayHaveRun, request.NoAttemptLeft, request.InternalFault} {
 		s.failed[reason] = &atomic.Uint64{}
 		s.reasons[reason] = &logbound.Limiter{PerSecond: reasonLines}
 	}
@@ -92,7 +92,7 @@
 	}
 	p.log.Warn().Str("event", "request-failed").Str("attempt-id", r.attempt).Int("status", status).Str("reason", string(f.Reason)).
 		Str("route", r.route).Uint64("version", r.version).Int64("age-ms", r.took.Milliseconds()).
-		Int64("deadline-ms", r.left.Milliseconds()).Str("tries", describeTries(f.Tries)).Int("not-logged", suppressed).Msg("")
+		Int64("deadline-ms", r.left.Milliseconds()).Str("tries", describeTries(f.Attempts)).Int("not-logged", suppressed).Msg("")
 }
 
 // turnedAway logs a request that was never taken.
@@ -116,7 +116,7 @@
 const triesMost = 24
 
 // describeTries gives each try as searcher, outcome and time.
-func describeTries(tries []request.Try) string {
+func describeTries(tries []request.Attempt) string {
 	if len(tries) == 0 {
 		return "none"
 	}
@@ -130,10 +130,10 @@
 			b.WriteByte(' ')
 		}
 		outcome := outcomeName(t.Outcome)
-		if t.Out {
+		if t.InFlight {
 			outcome = "open"
 		}
-		b.WriteString(t.Searcher + ":" + outcome + ":" + t.Took.Round(time.Millisecond).String())
+		b.WriteString(t.Searcher + ":" + outcome + ":" + t.Elapsed.Round(time.Millisecond).String())
 	}
 	return b.String()
 }
--- a/request/budget_test.go
+++ b/request/budget_test.go
@@ -15,32 +15,32 @@
 // outcome at once, those to other services succeed. It returns the answer and its time.
 func simulateDeniedRetry(t *testing.T, route *manifest.Route, outcome policy.Outcome) (final Final, at time.Duration) {
 	t.Helper()
-	c := New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
-	c.Mixers(1)
-	var searchers []Host
+	c := New(Config{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
+	c.SetMixerCount(1)
+	var searchers []Searcher
 	for _, s := range append([]string{"a"}, route.FanOut...) {
 		for _, id := range []string{"1", "2", "3"} {
-			searchers = append(searchers, Host{ID: s + id, Address: s + id, Service: s, State: policy.Ready})
+			searchers = append(searchers, Searcher{ID: s + id, Address: s + id, Service: s, State: policy.Ready})
 		}
 	}
-	c.List(searchers)
+	c.SetSearchers(searchers)
 	ended, now := false, time.Duration(0)
-	c.Begin(&Request{Route: route, Until: route.Horizon, Done: func(f Final) { final, at, ended = f, now, true }})
+	c.Begin(&Request{Route: route, Deadline: route.Horizon, Done: func(f Final) { final, at, ended = f, now, true }})
 	for !ended {
-		for _, a := range c.Take(nil) {
+		for _, a := range c.TakeActions(nil) {
 			now += time.Millisecond
-			c.At(now)
-			if reply := (&Reply{Status: 200, Seal: a.Dispatch.Host.ID}); a.Dispatch.Host.Service == "a" {
-				c.Returned(a.Dispatch, outcome, MayRead, nil)
+			c.Advance(now)
+			if reply := (&Reply{Status: 200, Seal: a.Dispatch.Searcher.ID}); a.Dispatch.Searcher.Service == "a" {
+				c.Returned(a.Dispatch, outcome, MaybeRead, nil)
 			} else if !a.Cancel {
 				c.Returned(a.Dispatch, policy.Succeeded, WasRead, reply)
 			}
 		}
-		next, ok := c.Next()
+		next, ok := c.NextTimer()
 		must.True(t, ok || ended)
 		if !ended {
 			now = max(now, next)
-			c.At(now)
+			c.Advance(now)
 		}
 	}
 	must.NoError(t, c.Check())
@@ -51,23 +51,23 @@
 // its client still has time to retry. Earlier code held it until its deadline.
 func TestNoWaitForRemovedSearchers(t *testing.T) {
 	route := &manifest.Route{Plant: "a", Horizon: 4 * time.Second, Setpoint: 800 * ms, Retries: 3}
-	c := New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second, Slack: 100}}, 0)
-	c.Mixers(1)
-	c.List([]Host{{ID: "a1", Address: "a1", Service: "a", State: policy.Ready}})
+	c := New(Config{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second, Slack: 100}}, 0)
+	c.SetMixerCount(1)
+	c.SetSearchers([]Searcher{{ID: "a1", Address: "a1", Service: "a", State: policy.Ready}})
 	var final *Final
 	now, at := time.Duration(0), time.Duration(0)
-	c.Begin(&Request{Route: route, Until: route.Horizon, Done: func(f Final) { final, at = &f, now }})
+	c.Begin(&Request{Route: route, Deadline: route.Horizon, Done: func(f Final) { final, at = &f, now }})
 	for final == nil {
-		for _, a := range c.Take(nil) {
-			c.Misdirected(a.Dispatch.Host, true)
+		for _, a := range c.TakeActions(nil) {
+			c.ReportMisdirected(a.Dispatch.Searcher, true)
 			c.Returned(a.Dispatch, policy.Unreachable, WasRead, nil)
 		}
-		now, _ = c.Next()
-		c.At(now)
+		now, _ = c.NextTimer()
+		c.Advance(now)
 	}
 	must.Eq(t, Refused, final.Kind)
 	must.Eq(t, NoSearcher, final.Reason)
-	must.Positive(t, final.In)
+	must.Positive(t, final.RetryAfter)
 	must.Less(t, route.Setpoint/4, at)
 }
 
@@ -96,8 +96,8 @@
 			must.Eq(t, tc.kind, final.Kind)
 			must.Less(t, tc.route.Setpoint/4, at)
 			if tc.kind == Refused {
-				must.Positive(t, final.In)
-				must.Eq(t, BudgetSpent, final.Reason)
+				must.Positive(t, final.RetryAfter)
+				must.Eq(t, BudgetExhausted, final.Reason)
 			}
 		})
 	}
@@ -107,20 +107,20 @@
 // request's deadline instead of the one that the policy queried with. The request's is some milliseconds later and may
 // include one more budget window (soak seeds 9001 to 9004 at the incident's size).
 func TestBudgetInvariantUsesDeadlineOfPolicy(t *testing.T) {
-	searchers := []Host{{ID: "i1", Address: "a", Service: "a", State: policy.Ready}, {ID: "i2", Address: "b", Service: "a", State: policy.Ready}}
+	searchers := []Searcher{{ID: "i1", Address: "a", Service: "a", State: policy.Ready}, {ID: "i2", Address: "b", Service: "a", State: policy.Ready}}
 	for horizon := 500 * ms; horizon < 1200*ms; horizon += 3 * ms {
-		c := New(Terms{Seed: 1, Budget: retrybudget.Config{Ratio: 0.2, Window: 10 * time.Second}}, 0)
-		c.Mixers(1)
-		c.List(searchers)
+		c := New(Config{Seed: 1, Budget: retrybudget.Config{Ratio: 0.2, Window: 10 * time.Second}}, 0)
+		c.SetMixerCount(1)
+		c.SetSearchers(searchers)
 		route := &manifest.Route{Plant: "a", Idempotent: true, Horizon: horizon, Setpoint: 300 * ms, Retries: 2}
 		for n := range 400 {
-			c.At(c.now + 50*ms)
-			c.Begin(&Request{Route: route, Until: c.now + horizon, Done: func(Final) {}})
-			for i, a := range c.Take(nil) {
+			c.Advance(c.now + 50*ms)
+			c.Begin(&Request{Route: route, Deadline: c.now + horizon, Done: func(Final) {}})
+			for i, a := range c.TakeActions(nil) {
 				outcome := []policy.Outcome{policy.ConnectionLost, policy.Succeeded}[(n+i)%2]
-				c.Returned(a.Dispatch, outcome, MayRead, &Reply{Status: 200, Seal: "seal"})
+				c.Returned(a.Dispatch, outcome, MaybeRead, &Reply{Status: 200, Seal: "seal"})
 			}
 		}
-		must.Positive(t, c.Counts.Further)
+		must.Positive(t, c.Counts.Retries)
 	}
 }
--- a/request/check.go
+++ b/request/check.go
@@ -8,7 +8,7 @@
 
 // Check verifies the consistency of the whole state and returns the first violation found, or nil. Its cost is
 // proportional to the size of the state.
-func (c *Life) Check() error {
+func (c *Coordinator) Check() error {
 	inFlight := map[*group]int{}
 	for id, r := range c.requests {
 		if r.id != id || r.ended {
@@ -49,7 +49,7 @@
 func (p *part) check(id uint64) error {
 	inFlight := 0
 	for i, d := range p.dispatches {
-		if d.part != p || d.attempt != i || d.Request != p.request || d.Host.Service != p.service {
+		if d.part != p || d.attempt != i || d.Request != p.request || d.Searcher.Service != p.service {
 			return fmt.Errorf("part %d: dispatch %d belongs to another part", id, i)
 		}
 		if d.inFlight {
@@ -70,7 +70,7 @@
 }
 
 // checkMembers verifies a group's indexes, and that the group contains every listed searcher of its services.
-func (c *Life) checkMembers(g *group, outstanding map[*member]int) error {
+func (c *Coordinator) checkMembers(g *group, outstanding map[*member]int) error {
 	occupied := 0
 	for i, m := range g.byIndex {
 		if m == nil {
@@ -92,7 +92,7 @@
 	}
 	for id, searcher := range c.searchers {
 		for _, service := range g.services {
-			if m := g.members[id]; service == searcher.Service && searcher.State != policy.Gone && (m == nil || m.Host != searcher) {
+			if m := g.members[id]; service == searcher.Service && searcher.State != policy.Gone && (m == nil || m.Searcher != searcher) {
 				return fmt.Errorf("searcher %s is listed as %v but the group does not have it", id, searcher.State)
 			}
 		}
--- a/request/contain.go
+++ b/request/contain.go
@@ -6,11 +6,11 @@
 	"peathollow/policy"
 )
 
-// Contain limits the effect of a panic in this Life to the group whose engine was running. The group's requests fail as
-// if they may have run, the returned actions cancel its dispatches, and the next request for its services creates a new
-// group. Contain returns false if no engine was running: then no state can be relied on, and the caller has to use
-// Abandon.
-func (c *Life) Contain() (actions []Act, contained bool) {
+// Contain limits the effect of a panic in this Coordinator to the group whose engine was running. The group's requests
+// fail as if they may have run, the returned actions cancel its dispatches, and the next request for its services
+// creates a new group. Contain returns false if no engine was running: then no state can be relied on, and the caller
+// has to use Abandon.
+func (c *Coordinator) Contain() (actions []Action, contained bool) {
 	g := c.deciding
 	if g == nil || c.abandoned {
 		return nil, false
@@ -21,14 +21,14 @@
 		delete(c.groups, g.key)
 	}
 	actions = c.abandonParts(func(p *part) bool { return p.request.group == g })
-	c.actions = slices.DeleteFunc(c.actions, func(a Act) bool { return a.Dispatch.Request.group == g && !a.Cancel })
+	c.actions = slices.DeleteFunc(c.actions, func(a Action) bool { return a.Dispatch.Request.group == g && !a.Cancel })
 	c.abandonRequests(func(r *Request) bool { return r.group == g })
 	return actions, true
 }
 
-// Abandon fails all requests as if they may have run and returns the actions that cancel their dispatches. The Life
-// accepts no events afterwards: after a fault outside the engines its state cannot be relied on.
-func (c *Life) Abandon() (actions []Act) {
+// Abandon fails all requests as if they may have run and returns the actions that cancel their dispatches. The
+// Coordinator accepts no events afterwards: after a fault outside the engines its state cannot be relied on.
+func (c *Coordinator) Abandon() (actions []Action) {
 	c.abandoned = true
 	actions = c.abandonParts(func(*part) bool { return true })
 	c.abandonRequests(func(*Request) bool { return true })
@@ -37,7 +37,7 @@
 }
 
 // abandonParts deletes the affected parts and returns the actions that cancel their dispatches in flight.
-func (c *Life) abandonParts(affected func(*part) bool) (actions []Act) {
+func (c *Coordinator) abandonParts(affected func(*part) bool) (actions []Action) {
 	for id, p := range c.parts {
 		if !affected(p) {
 			continue
@@ -47,9 +47,9 @@
 				continue
 			}
 			d.inFlight, d.outcome, d.elapsed = false, policy.Cancelled, c.now-d.sentAt
-			c.recordReadStatus(d, MayRead)
-			if d.Call != nil {
-				actions = append(actions, Act{Dispatch: d, Cancel: true})
+			c.recordReadStatus(d, MaybeRead)
+			if d.Data != nil {
+				actions = append(actions, Action{Dispatch: d, Cancel: true})
 			}
 		}
 		delete(c.parts, id)
@@ -58,7 +58,7 @@
 }
 
 // abandonRequests fails the affected requests.
-func (c *Life) abandonRequests(affected func(*Request) bool) {
+func (c *Coordinator) abandonRequests(affected func(*Request) bool) {
 	for id, r := range c.requests {
 		if !affected(r) {
 			continue
@@ -67,7 +67,7 @@
 		if !r.ended {
 			r.ended = true
 			c.Counts.Failed++
-			r.Done(Final{Kind: Failed, Reason: ProcessFailed, Tries: c.attempts(r)})
+			r.Done(Final{Kind: Failed, Reason: InternalFault, Attempts: c.attempts(r)})
 		}
 	}
 }
--- a/request/coordinator.go
+++ b/request/coordinator.go
@@ -9,35 +9,35 @@
 	"peathollow/retrybudget"
 )
 
-// Terms holds the parameters of New.
-type Terms struct {
+// Config holds the parameters of New.
+type Config struct {
 	Seed   uint64
 	Budget retrybudget.Config
-	// Before is the Life that this one replaces after a fault, or nil. The spent retry budget, the misdirected searchers
-	// and the suspects are taken over from it.
-	Before *Life
-	// Plant, if set, is called at each Step with the services of the group. Tests use it to inject panics.
-	Plant func(step Step, services []string)
+	// Previous is the Coordinator that this one replaces after a fault, or nil. The spent retry budget, the misdirected
+	// searchers and the suspects are taken over from it.
+	Previous *Coordinator
+	// InjectFault, if set, is called at each Step with the services of the group. Tests use it to inject panics.
+	InjectFault func(step Step, services []string)
 }
 
-// pauseThreshold is the interval between two calls of At above which the process is taken to have been paused. The
-// caller calls At at least once per Pulse, even without events.
+// pauseThreshold is the interval between two calls of Advance above which the process is taken to have been paused. The
+// caller calls Advance at least once per MaxAdvanceInterval, even without events.
 const pauseThreshold = time.Second
 
-// Pulse is the longest interval between two calls of At.
-const Pulse = 400 * time.Millisecond
+// MaxAdvanceInterval is the longest interval between two calls of Advance.
+const MaxAdvanceInterval = 400 * time.Millisecond
 
 // catchUpPeriod is the time allowed after a pause of the process to read what arrived during the pause.
 const catchUpPeriod = 20 * time.Millisecond
 
-// Life coordinates all requests in flight. It is not safe for concurrent use.
-type Life struct {
-	config      Terms
+// Coordinator coordinates all requests in flight. It is not safe for concurrent use.
+type Coordinator struct {
+	config      Config
 	now         time.Duration
 	rng         *rand.Rand
 	budget      *retrybudget.Budget
 	groups      map[string]*group
-	searchers   map[string]*Host // by id
+	searchers   map[string]*Searcher // by id
 	misdirected map[string]misdirection
 	suspects    suspects
 	// addressCounts holds the number of listed searchers per address.
@@ -52,17 +52,17 @@
 	budgetUntil time.Duration
 	abandoned   bool   // after Abandon
 	deciding    *group // the group whose engine is running; see Contain
-	actions     []Act
+	actions     []Action
 	Counts      Counts
 }
 
-// New returns a Life without requests.
-func New(config Terms, now time.Duration) *Life {
-	c := &Life{config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 0)), groups: map[string]*group{}, searchers: map[string]*Host{},
+// New returns a Coordinator without requests.
+func New(config Config, now time.Duration) *Coordinator {
+	c := &Coordinator{config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 0)), groups: map[string]*group{}, searchers: map[string]*Searcher{},
 		parts: map[uint64]*part{}, requests: map[uint64]*Request{}}
-	if previous := config.Before; previous != nil {
+	if previous := config.Previous; previous != nil {
 		c.budget, c.misdirected, c.suspects = previous.budget, previous.misdirected, previous.suspects
-		c.config.Before = nil
+		c.config.Previous = nil
 		return c
 	}
 	c.budget, c.misdirected = retrybudget.New(config.Budget), map[string]misdirection{}
@@ -70,15 +70,15 @@
 	return c
 }
 
-// Book returns the retry budget.
-func (c *Life) Book() *retrybudget.Budget { return c.budget }
+// Budget returns the retry budget.
+func (c *Coordinator) Budget() *retrybudget.Budget { return c.budget }
 
-// Mixers sets the number of running mixers; see retrybudget.Budget.
-func (c *Life) Mixers(n int) { c.budget.SetMixerCount(n) }
+// SetMixerCount sets the number of running mixers; see retrybudget.Budget.
+func (c *Coordinator) SetMixerCount(n int) { c.budget.SetMixerCount(n) }
 
-// At advances the clock, which never goes back, and fires the timers that are due. After a pause of the process, timers
-// wait for catchUpPeriod so that the caller can first pass in the events that arrived during the pause.
-func (c *Life) At(now time.Duration) {
+// Advance sets the clock, which never goes back, and fires the timers that are due. After a pause of the process,
+// timers wait for catchUpPeriod so that the caller can first pass in the events that arrived during the pause.
+func (c *Coordinator) Advance(now time.Duration) {
 	if now-c.now > pauseThreshold {
 		c.resumedAt = now
 		c.totalPaused += now - c.now
@@ -98,25 +98,25 @@
 	}
 }
 
-// Next returns the time of the next timer, and false if there is none.
-func (c *Life) Next() (time.Duration, bool) {
+// NextTimer returns the time of the next timer, and false if there is none.
+func (c *Coordinator) NextTimer() (time.Duration, bool) {
 	at, ok := c.timers.next()
 	return max(at, c.timersDueFrom()), ok
 }
 
 // isCatchingUp reports whether the process may still be reading what arrived during a pause.
-func (c *Life) isCatchingUp() bool { return c.now < c.timersDueFrom() }
+func (c *Coordinator) isCatchingUp() bool { return c.now < c.timersDueFrom() }
 
 // timersDueFrom returns the time from which timers may fire; 0 if the process never paused.
-func (c *Life) timersDueFrom() time.Duration {
+func (c *Coordinator) timersDueFrom() time.Duration {
 	if c.resumedAt == 0 {
 		return 0
 	}
 	return c.resumedAt + catchUpPeriod
 }
 
-// Take appends the queued actions to into and clears the queue.
-func (c *Life) Take(into []Act) []Act {
+// TakeActions appends the queued actions to into and clears the queue.
+func (c *Coordinator) TakeActions(into []Action) []Action {
 	for i := 0; i < len(c.actions); i++ {
 		action := c.actions[i]
 		switch d := action.Dispatch; {
@@ -132,11 +132,11 @@
 	return into
 }
 
-// InHand returns the number of requests without a final answer.
-func (c *Life) InHand() int { return len(c.requests) }
+// InFlight returns the number of requests without a final answer.
+func (c *Coordinator) InFlight() int { return len(c.requests) }
 
 // Begin starts a request. Its Done may be called before Begin returns.
-func (c *Life) Begin(r *Request) {
+func (c *Coordinator) Begin(r *Request) {
 	c.Counts.Taken++
 	r.id = c.nextID()
 	c.requests[r.id] = r // first, so that the request is answered if anything below panics
@@ -146,16 +146,16 @@
 	}
 	g := c.groupFor(services)
 	r.group, r.services = g, services
-	if r.Until <= c.now {
-		c.finish(r, Final{Kind: Refused, Reason: TimeOver, In: minRetryAfter})
+	if r.Deadline <= c.now {
+		c.finish(r, Final{Kind: Refused, Reason: DeadlinePassed, RetryAfter: minRetryAfter})
 		return
 	}
-	g.begin(r, r.Until-c.now)
+	g.begin(r, r.Deadline-c.now)
 }
 
 // chooseService returns the service of a request that is not fanned out, by the weights of the route's split if it has
 // one.
-func (c *Life) chooseService(r *manifest.Route) string {
+func (c *Coordinator) chooseService(r *manifest.Route) string {
 	if len(r.Split) == 0 {
 		return r.Plant
 	}
@@ -177,24 +177,24 @@
 	return r.Split[0].Service
 }
 
-// Leave handles the departure of a client: its dispatches in flight are cancelled.
-func (c *Life) Leave(r *Request) {
+// ClientLeft handles the departure of a client: its dispatches in flight are cancelled.
+func (c *Coordinator) ClientLeft(r *Request) {
 	if r.ended || r.group == nil || r.group.coordinator != c {
 		return
 	}
-	c.Counts.Left++
+	c.Counts.ClientsLeft++
 	r.group.clientLeft(r)
 	for _, p := range r.parts {
 		for _, d := range p.dispatches {
 			if d.inFlight {
-				c.actions = append(c.actions, Act{Dispatch: d, Cancel: true})
+				c.actions = append(c.actions, Action{Dispatch: d, Cancel: true})
 			}
 		}
 	}
 }
 
 // Returned handles the end of a dispatch. The reply is nil if no complete response was received.
-func (c *Life) Returned(d *Dispatch, outcome policy.Outcome, reading Reading, reply *Reply) {
+func (c *Coordinator) Returned(d *Dispatch, outcome policy.Outcome, status ReadStatus, reply *Reply) {
 	if !d.inFlight || d.Request.group.coordinator != c || c.abandoned {
 		return
 	}
@@ -211,15 +211,15 @@
 			r.errorReply = reply
 		}
 	}
-	c.recordReadStatus(d, reading)
+	c.recordReadStatus(d, status)
 	d.Request.group.returned(d, outcome, d.elapsed)
 	c.releasePart(d.part)
 }
 
 // recordReadStatus passes the end of a dispatch to the retry budget.
-func (c *Life) recordReadStatus(d *Dispatch, reading Reading) {
+func (c *Coordinator) recordReadStatus(d *Dispatch, status ReadStatus) {
 	p := d.part
-	switch reading {
+	switch status {
 	case WasRead:
 		c.budget.AttemptRead(c.now, p.service, &p.history)
 	case NotRead:
@@ -230,7 +230,7 @@
 }
 
 // releasePart deletes a part of an ended request once none of its dispatches is in flight.
-func (c *Life) releasePart(p *part) {
+func (c *Coordinator) releasePart(p *part) {
 	if !p.request.ended {
 		return
 	}
@@ -243,7 +243,7 @@
 }
 
 // finish gives a request its final answer, unless it has ended already.
-func (c *Life) finish(r *Request, final Final) {
+func (c *Coordinator) finish(r *Request, final Final) {
 	if r.ended {
 		return
 	}
@@ -264,13 +264,13 @@
 		}
 	case Refused:
 		c.Counts.Refused++
-		final.Tries = c.attempts(r)
+		final.Attempts = c.attempts(r)
 		if final.Reason == "" {
 			final.Reason = c.refusalReason(r)
 		}
 	case Failed:
 		c.Counts.Failed++
-		final.Reason, final.Tries = c.failureReason(r, final.Late), c.attempts(r)
+		final.Reason, final.Attempts = c.failureReason(r, final.DeadlineReached), c.attempts(r)
 	}
 	for _, p := range r.parts {
 		c.releasePart(p)
@@ -278,7 +278,7 @@
 	r.Done(final)
 }
 
-func (c *Life) nextID() uint64 {
+func (c *Coordinator) nextID() uint64 {
 	c.lastID++
 	return c.lastID
 }
--- a/request/faultinjection.go
+++ b/request/faultinjection.go
@@ -6,7 +6,7 @@
 // Values of Step.
 const (
 	StepBegin    Step = iota // a request is about to be passed to the engine
-	StepWoke                 // a timer of the engine is due
+	StepTimer                // a timer of the engine is due
 	StepReturned             // a dispatch has ended
 )
 
@@ -14,8 +14,8 @@
 // Contain. The caller calls leaveEngine afterwards.
 func (g *group) enterEngine(step Step) {
 	g.coordinator.deciding = g
-	if g.coordinator.config.Plant != nil {
-		g.coordinator.config.Plant(step, g.services)
+	if g.coordinator.config.InjectFault != nil {
+		g.coordinator.config.InjectFault(step, g.services)
 	}
 }
 
--- a/request/group.go
+++ b/request/group.go
@@ -28,14 +28,14 @@
 // group is a set of services that requests are split over. Each set has a policy engine of its own, since the latency
 // learned for one set does not apply to another, whose work may take ten times as long.
 type group struct {
-	coordinator *Life
+	coordinator *Coordinator
 	engine      *policy.Engine
 	services    []string // by the engine's shard index
 	classes     map[routeClass]int
 	members     map[string]*member // by id
 	byIndex     []*member          // by the engine's searcher index; nil where free
 	freeIndexes []int
-	key         string // in Life.groups
+	key         string // in Coordinator.groups
 	inFlight    int    // number of requests
 	failed      bool   // after a panic in it; see Contain
 	idle        bool   // its periodic tick is suspended until the next request
@@ -43,7 +43,7 @@
 
 // member is the state of a searcher within a group.
 type member struct {
-	*Host
+	*Searcher
 	index    int
 	inFlight int  // number of dispatches
 	released bool // its index was given back
@@ -60,7 +60,7 @@
 }
 
 // groupFor returns the group of a set of services, and creates it if necessary.
-func (c *Life) groupFor(services []string) *group {
+func (c *Coordinator) groupFor(services []string) *group {
 	key := strings.Join(services, ",")
 	if g := c.groups[key]; g != nil {
 		return g
@@ -149,7 +149,7 @@
 		g.idle = true
 		return
 	}
-	g.enterEngine(StepWoke)
+	g.enterEngine(StepTimer)
 	g.engine.Advance(g.coordinator.now)
 	g.engine.Woke(token)
 	g.leaveEngine()
@@ -184,22 +184,22 @@
 	c, m := p.group.coordinator, p.group.byIndex[index]
 	target := c.parts[partID]
 	c.checkDispatch(target, m)
-	d := &Dispatch{Request: target.request, Host: m.Host, Until: until, Vouched: c.trustsAddress(m.Host), part: target,
+	d := &Dispatch{Request: target.request, Searcher: m.Searcher, Deadline: until, AddressTrusted: c.trustsAddress(m.Searcher), part: target,
 		attempt: len(target.dispatches), sentAt: c.now, pausedBefore: c.totalPaused, inFlight: true, member: m}
 	target.dispatches = append(target.dispatches, d)
 	m.inFlight++
 	c.Counts.Sent++
-	c.Counts.Far[min(m.Far, 2)]++
+	c.Counts.ByDistance[min(m.Distance, 2)]++
 	if d.attempt > 0 {
-		c.Counts.Further++
+		c.Counts.Retries++
 	}
 	c.budget.AttemptSent(c.now, target.service, &target.history)
-	c.actions = append(c.actions, Act{Dispatch: d})
+	c.actions = append(c.actions, Action{Dispatch: d})
 }
 
 func (p actionPort) Cancel(partID uint64, attempt int) {
 	if target := p.group.coordinator.parts[partID]; target != nil && attempt < len(target.dispatches) && target.dispatches[attempt].inFlight {
-		p.group.coordinator.actions = append(p.group.coordinator.actions, Act{Dispatch: target.dispatches[attempt], Cancel: true})
+		p.group.coordinator.actions = append(p.group.coordinator.actions, Action{Dispatch: target.dispatches[attempt], Cancel: true})
 	}
 }
 
@@ -211,7 +211,7 @@
 
 func (p actionPort) Throttle(scan uint64, retryAfter time.Duration) {
 	if r := p.takeEnded(scan); r != nil {
-		p.group.coordinator.finish(r, Final{Kind: Refused, In: retryAfter})
+		p.group.coordinator.finish(r, Final{Kind: Refused, RetryAfter: retryAfter})
 	}
 }
 
@@ -224,7 +224,7 @@
 		p.group.coordinator.finish(r, Final{Kind: Relayed, Reply: r.errorReply})
 		return
 	}
-	p.group.coordinator.finish(r, Final{Kind: Failed, Late: p.group.coordinator.deadlineReached(r)})
+	p.group.coordinator.finish(r, Final{Kind: Failed, DeadlineReached: p.group.coordinator.deadlineReached(r)})
 }
 
 // takeEnded returns a request that the engine has ended, and no longer counts it as in flight.
--- a/request/invariants.go
+++ b/request/invariants.go
@@ -12,7 +12,7 @@
 const overdueAfter = 5 * time.Second
 
 // checkDispatch verifies the invariants of a dispatch that is about to be created.
-func (c *Life) checkDispatch(p *part, m *member) {
+func (c *Coordinator) checkDispatch(p *part, m *member) {
 	route := p.request.Route
 	if !route.Idempotent && p.mayHaveRun() {
 		invariant.Violated(invariant.NoRepeatAfterRun, "route %s: attempt %d of request %d, which may have run", route.Name, len(p.dispatches)+1, p.request.id)
@@ -30,15 +30,15 @@
 
 // CheckBalance verifies that the counts match the requests in flight and that no dispatch is overdue. Its cost is
 // proportional to the number of parts.
-func (c *Life) CheckBalance() {
+func (c *Coordinator) CheckBalance() {
 	counts := &c.Counts
-	ended := counts.Relayed + counts.Gathered + counts.Refused + counts.Failed + counts.Left
+	ended := counts.Relayed + counts.Gathered + counts.Refused + counts.Failed + counts.ClientsLeft
 	invariant.Check(invariant.InHandBalance, counts.Taken-ended == len(c.requests), "%d taken, %d ended, %d in flight", counts.Taken, ended, len(c.requests))
 	for _, p := range c.parts {
 		for _, d := range p.dispatches {
-			endBy := max(d.Until, c.resumedAt) // a paused process cannot end its dispatches
+			endBy := max(d.Deadline, c.resumedAt) // a paused process cannot end its dispatches
 			if d.inFlight && c.now > endBy+overdueAfter {
-				invariant.Violated(invariant.DispatchEnds, "searcher %s: dispatch in flight %v after its deadline", d.Host.ID, c.now-d.Until)
+				invariant.Violated(invariant.DispatchEnds, "searcher %s: dispatch in flight %v after its deadline", d.Searcher.ID, c.now-d.Deadline)
 			}
 		}
 	}
--- a/request/list.go
+++ b/request/list.go
@@ -8,10 +8,10 @@
 	"peathollow/policy"
 )
 
-// List replaces the list of known searchers. Searchers that are missing from it are removed.
-func (c *Life) List(searchers []Host) {
+// SetSearchers replaces the list of known searchers. Searchers that are missing from it are removed.
+func (c *Coordinator) SetSearchers(searchers []Searcher) {
 	seen := make(map[string]bool, len(searchers))
-	var changed []*Host
+	var changed []*Searcher
 	for i := range searchers {
 		searcher := searchers[i]
 		seen[searcher.ID] = true
@@ -53,7 +53,7 @@
 const misdirectedFor = 30 * time.Second
 
 // isMisdirected reports whether a searcher is still treated as misdirected, and deletes an outdated record.
-func (c *Life) isMisdirected(searcher *Host) bool {
+func (c *Coordinator) isMisdirected(searcher *Searcher) bool {
 	m, known := c.misdirected[searcher.ID]
 	if known && searcher.Calls <= m.calls && c.now < m.until {
 		return true
@@ -62,10 +62,10 @@
 	return false
 }
 
-// Misdirected handles a response that states that the searcher's address belongs to another searcher; read reports
-// whether that one has read a dispatch. No more dispatches are sent to the searcher until a newer report of it arrives
-// or misdirectedFor has passed.
-func (c *Life) Misdirected(searcher *Host, read bool) {
+// ReportMisdirected handles a response that states that the searcher's address belongs to another searcher; read
+// reports whether that one has read a dispatch. No more dispatches are sent to the searcher until a newer report of it
+// arrives or misdirectedFor has passed.
+func (c *Coordinator) ReportMisdirected(searcher *Searcher, read bool) {
 	c.budget.AttemptMisdirected(c.now, searcher.Service)
 	if read {
 		c.budget.Misrouted(c.now)
@@ -78,12 +78,12 @@
 	c.misdirected[searcher.ID] = misdirection{calls: listed.Calls, until: c.now + misdirectedFor}
 	if listed.State != policy.Gone {
 		listed.State = policy.Gone
-		c.updateGroups([]*Host{listed})
+		c.updateGroups([]*Searcher{listed})
 	}
 }
 
 // updateGroups passes changed searchers to the engines of the groups that contain them.
-func (c *Life) updateGroups(changed []*Host) {
+func (c *Coordinator) updateGroups(changed []*Searcher) {
 	for _, key := range slices.Sorted(maps.Keys(c.groups)) {
 		g := c.groups[key]
 		var updated []*member
@@ -109,15 +109,15 @@
 
 // addMember assigns an index to a searcher of one of the group's services. It returns nil for other and removed
 // searchers.
-func (g *group) addMember(searcher *Host) *member {
+func (g *group) addMember(searcher *Searcher) *member {
 	if m := g.members[searcher.ID]; m != nil {
-		m.Host = searcher // it was removed and listed again while a dispatch was in flight to it
+		m.Searcher = searcher // it was removed and listed again while a dispatch was in flight to it
 		return m
 	}
 	if searcher.State == policy.Gone || !slices.Contains(g.services, searcher.Service) {
 		return nil
 	}
-	m := &member{Host: searcher}
+	m := &member{Searcher: searcher}
 	if n := len(g.freeIndexes); n > 0 {
 		m.index = g.freeIndexes[n-1]
 		g.freeIndexes = g.freeIndexes[:n-1]
@@ -134,7 +134,7 @@
 func (g *group) sendListEntry(m *member) {
 	if m != nil {
 		g.engine.ListEntry(m.index, m.State, 1, policy.LongAgo, slices.Index(g.services, m.Service))
-		g.engine.SetDistance(m.index, m.Far)
+		g.engine.SetDistance(m.index, m.Distance)
 	}
 }
 
--- a/request/misdirected_test.go
+++ b/request/misdirected_test.go
@@ -15,22 +15,22 @@
 // while lists without a newer report of it arrive. Earlier code used it again after the next change of any searcher or
 // mixer.
 func TestMisdirectedSearcherStaysRemoved(t *testing.T) {
-	c := New(Terms{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
-	c.Mixers(1)
+	c := New(Config{Seed: 1, Budget: retrybudget.Config{Window: 10 * time.Second}}, 0)
+	c.SetMixerCount(1)
 	route := &manifest.Route{Plant: "s", Idempotent: true, Horizon: time.Second, Setpoint: 200 * ms, Retries: 1}
-	misdirected, other := Host{ID: "i1", Address: "a", Service: "s", State: policy.Ready}, Host{ID: "i2", Address: "b", Service: "s", State: policy.Ready}
-	c.List([]Host{misdirected, other})
-	c.Misdirected(&misdirected, false)
+	misdirected, other := Searcher{ID: "i1", Address: "a", Service: "s", State: policy.Ready}, Searcher{ID: "i2", Address: "b", Service: "s", State: policy.Ready}
+	c.SetSearchers([]Searcher{misdirected, other})
+	c.ReportMisdirected(&misdirected, false)
 	now := time.Duration(0)
 	sent := func() (ids []string) {
 		for range 20 {
 			now += 10 * ms
-			c.At(now)
-			c.Begin(&Request{Route: route, Until: now + route.Horizon, Done: func(Final) {}})
-			for _, a := range c.Take(nil) {
-				ids = append(ids, a.Dispatch.Host.ID)
+			c.Advance(now)
+			c.Begin(&Request{Route: route, Deadline: now + route.Horizon, Done: func(Final) {}})
+			for _, a := range c.TakeActions(nil) {
+				ids = append(ids, a.Dispatch.Searcher.ID)
 				now += ms
-				c.At(now)
+				c.Advance(now)
 				c.Returned(a.Dispatch, policy.Succeeded, WasRead, &Reply{Status: 200, Seal: "seal"})
 			}
 		}
@@ -39,18 +39,18 @@
 	}
 	silent := misdirected
 	silent.Silent = true
-	newcomer := Host{ID: "i3", Address: "c", Service: "t", State: policy.Ready}
+	newcomer := Searcher{ID: "i3", Address: "c", Service: "t", State: policy.Ready}
 	for _, tc := range []struct {
 		what string
-		list []Host
+		list []Searcher
 	}{
-		{"the same", []Host{misdirected, other}},
-		{"it is silent", []Host{silent, other}},
-		{"another came", []Host{silent, other, newcomer}},
-		{"it is heard of no more than before", []Host{misdirected, other, newcomer}},
-		{"another has left", []Host{misdirected, other}},
+		{"the same", []Searcher{misdirected, other}},
+		{"it is silent", []Searcher{silent, other}},
+		{"another came", []Searcher{silent, other, newcomer}},
+		{"it is heard of no more than before", []Searcher{misdirected, other, newcomer}},
+		{"another has left", []Searcher{misdirected, other}},
 	} {
-		c.List(tc.list)
+		c.SetSearchers(tc.list)
 		must.SliceNotContains(t, sent(), misdirected.ID, must.Sprint(tc.what))
 	}
 }
--- a/request/reason.go
+++ b/request/reason.go
@@ -20,12 +20,12 @@
 }
 
 // attempts describes all dispatches of a request.
-func (c *Life) attempts(r *Request) (attempts []Try) {
+func (c *Coordinator) attempts(r *Request) (attempts []Attempt) {
 	for _, p := range r.parts {
 		for _, d := range p.dispatches {
-			attempt := Try{Searcher: d.Host.ID, Out: d.inFlight, Outcome: d.outcome, Took: d.elapsed}
+			attempt := Attempt{Searcher: d.Searcher.ID, InFlight: d.inFlight, Outcome: d.outcome, Elapsed: d.elapsed}
 			if d.inFlight {
-				attempt.Took = c.now - d.sentAt
+				attempt.Elapsed = c.now - d.sentAt
 			}
 			attempts = append(attempts, attempt)
 		}
@@ -58,18 +58,18 @@
 }
 
 // isDenied reports whether the part was dispatched without success and the retry budget alone prevents a retry.
-func (p *part) isDenied(c *Life) bool {
+func (p *part) isDenied(c *Coordinator) bool {
 	route := p.request.Route
 	left := len(p.dispatches) < max(1, route.Retries) && (route.Idempotent || !p.mayHaveRun())
-	return p.reply == nil && len(p.dispatches) > 0 && left && !c.budget.Allows(c.now, p.service, p.request.Until)
+	return p.reply == nil && len(p.dispatches) > 0 && left && !c.budget.Allows(c.now, p.service, p.request.Deadline)
 }
 
 // deadlineReached reports whether the deadline of a request has passed, or is so close that the request ends because of
 // it.
-func (c *Life) deadlineReached(r *Request) bool { return c.now >= r.Until-4*granularity }
+func (c *Coordinator) deadlineReached(r *Request) bool { return c.now >= r.Deadline-4*granularity }
 
 // refusalReason returns why a request was refused.
-func (c *Life) refusalReason(r *Request) Reason {
+func (c *Coordinator) refusalReason(r *Request) Reason {
 	tried := false
 	for _, p := range r.parts {
 		tried = tried || len(p.dispatches) > 0
@@ -78,24 +78,24 @@
 	case r.lacksSearcher():
 		return NoSearcher
 	case tried && c.deadlineReached(r):
-		return TimeOver
+		return DeadlinePassed
 	case r.hasDeniedPart():
-		return BudgetSpent
+		return BudgetExhausted
 	case tried:
-		return TurnedAway
+		return Rejected
 	}
 	return NotAdmitted
 }
 
 // failureReason returns why a request failed.
-func (c *Life) failureReason(r *Request, late bool) Reason {
+func (c *Coordinator) failureReason(r *Request, late bool) Reason {
 	switch {
 	case late:
-		return TimeOver
+		return DeadlinePassed
 	case r.lacksSearcher():
 		return NoSearcher
 	case !r.Route.Idempotent && len(r.parts) > 0 && r.parts[0].mayHaveRun():
 		return MayHaveRun
 	}
-	return NoTryLeft
+	return NoAttemptLeft
 }
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -46,7 +46,7 @@
 
 func (sim *simulation) startSearcher(service, address string) {
 	sim.startedSearchers++
-	searcher := &Host{ID: fmt.Sprint("i", sim.startedSearchers), Address: address, Service: service, Far: sim.startedSearchers % 3}
+	searcher := &Searcher{ID: fmt.Sprint("i", sim.startedSearchers), Address: address, Service: service, Distance: sim.startedSearchers % 3}
 	sim.listed[searcher.ID] = searcher
 	if sim.rng.IntN(3) == 0 {
 		sim.behaviors[searcher.ID] = policy.Outcome(sim.rng.IntN(int(policy.Expired) + 1))
@@ -55,7 +55,7 @@
 
 // publishList passes in the list.
 func (sim *simulation) publishList() {
-	var searchers []Host
+	var searchers []Searcher
 	for _, id := range sim.listedIDs() {
 		if searcher := *sim.listed[id]; sim.fault != "outdated states" || searcher.State == policy.Ready {
 			searchers = append(searchers, searcher)
@@ -65,7 +65,7 @@
 		}
 	}
 	maps.DeleteFunc(sim.misdirected, func(id string, until time.Duration) bool { return sim.listed[id] == nil || sim.now >= until })
-	sim.coordinator.List(searchers)
+	sim.coordinator.SetSearchers(searchers)
 }
 
 func (sim *simulation) listedIDs() (ids []string) {
@@ -146,14 +146,14 @@
 	for seed := range uint64(8) {
 		sim := simulate(seed, "", 5*time.Second)
 		must.Eq(t, "", strings.Join(sim.violations, "; "), must.Sprint("seed ", seed))
-		must.Eq(t, 0, sim.coordinator.InHand())
+		must.Eq(t, 0, sim.coordinator.InFlight())
 		must.Eq(t, 0, len(sim.coordinator.parts), must.Sprint("parts kept, seed ", seed))
 		for k, n := range sim.finalKinds {
 			kinds[k] += n
 		}
 		counts := sim.coordinator.Counts
-		must.Positive(t, counts.Further)
-		must.Positive(t, counts.Left)
+		must.Positive(t, counts.Retries)
+		must.Positive(t, counts.ClientsLeft)
 		must.Positive(t, counts.Partial)
 	}
 	for k, n := range kinds { // otherwise the load does not exercise this kind
@@ -183,19 +183,19 @@
 
 // TestCheckDetectsCorruptState checks that Check reports inconsistent state.
 func TestCheckDetectsCorruptState(t *testing.T) {
-	for name, corrupt := range map[string]func(c *Life, p *part){
-		"request count too high":    func(c *Life, p *part) { p.request.group.inFlight++ },
-		"dispatch marked as ended":  func(c *Life, p *part) { p.dispatches[0].inFlight = false },
-		"part deleted":              func(c *Life, p *part) { delete(c.parts, p.id) },
-		"too many dispatches":       func(c *Life, p *part) { p.dispatches = slices.Repeat(p.dispatches, 5) },
-		"searcher missing in group": func(c *Life, p *part) { c.searchers["new"] = &Host{ID: "new", Service: p.service} },
-		"request marked as ended":   func(c *Life, p *part) { p.request.ended = true },
+	for name, corrupt := range map[string]func(c *Coordinator, p *part){
+		"request count too high":    func(c *Coordinator, p *part) { p.request.group.inFlight++ },
+		"dispatch marked as ended":  func(c *Coordinator, p *part) { p.dispatches[0].inFlight = false },
+		"part deleted":              func(c *Coordinator, p *part) { delete(c.parts, p.id) },
+		"too many dispatches":       func(c *Coordinator, p *part) { p.dispatches = slices.Repeat(p.dispatches, 5) },
+		"searcher missing in group": func(c *Coordinator, p *part) { c.searchers["new"] = &Searcher{ID: "new", Service: p.service} },
+		"request marked as ended":   func(c *Coordinator, p *part) { p.request.ended = true },
 	} {
 		sim := newSimulation(1, "")
 		sim.configure()
 		sim.startSearcher("s1", "a")
 		sim.publishList()
-		sim.coordinator.Begin(&Request{Route: sim.routes[1], Until: sim.now + time.Second, Done: func(Final) {}})
+		sim.coordinator.Begin(&Request{Route: sim.routes[1], Deadline: sim.now + time.Second, Done: func(Final) {}})
 		must.NoError(t, sim.coordinator.Check())
 		must.MapLen(t, 1, sim.coordinator.parts)
 		for _, p := range sim.coordinator.parts {
@@ -226,7 +226,7 @@
 		sim.run(sim.now + 10*time.Second)
 		must.Eq(t, "", strings.Join(sim.violations, "; "), must.Sprint("day ", day))
 		must.Eq(t, 0, len(sim.coordinator.parts))
-		_, pending := sim.coordinator.Next()
+		_, pending := sim.coordinator.NextTimer()
 		must.False(t, pending, must.Sprint("timers without requests"))
 		clear(sim.listed)
 		sim.publishList()
--- a/request/simulation_test.go
+++ b/request/simulation_test.go
@@ -16,10 +16,10 @@
 )
 
 // simulation replaces the connections, the searchers, the list and the configuration changes, and checks each answer
-// against its own records of what may have run and what was listed. It uses none of the state of the Life under test
-// for this.
+// against its own records of what may have run and what was listed. It uses none of the state of the Coordinator under
+// test for this.
 type simulation struct {
-	coordinator *Life
+	coordinator *Coordinator
 	rng         *rand.Rand
 	now         time.Duration
 	events      eventQueue
@@ -34,7 +34,7 @@
 	routes           []*manifest.Route // of the current configuration version
 	version          int
 	services         []string
-	listed           map[string]*Host         // current state of the list
+	listed           map[string]*Searcher     // current state of the list
 	misdirected      map[string]time.Duration // until when searchers with a misdirected (421) response are excluded
 	behaviors        map[string]policy.Outcome
 	startedSearchers int
@@ -59,7 +59,7 @@
 
 type simAttempt struct {
 	request    *simRequest
-	searcher   Host
+	searcher   Searcher
 	inFlight   bool
 	mayHaveRun bool
 }
@@ -83,10 +83,10 @@
 const ms = time.Millisecond
 
 func newSimulation(seed uint64, fault string) *simulation {
-	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), fault: fault, log: fnv.New64a(), listed: map[string]*Host{},
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), fault: fault, log: fnv.New64a(), listed: map[string]*Searcher{},
 		misdirected: map[string]time.Duration{}, behaviors: map[string]policy.Outcome{}, attempts: map[*Dispatch]*simAttempt{}}
-	sim.coordinator = New(Terms{Seed: seed, Budget: retrybudget.Config{Ratio: 0.5, Slack: 200, Window: 10 * time.Second}}, 0)
-	sim.coordinator.Mixers(1)
+	sim.coordinator = New(Config{Seed: seed, Budget: retrybudget.Config{Ratio: 0.5, Slack: 200, Window: 10 * time.Second}}, 0)
+	sim.coordinator.SetMixerCount(1)
 	return sim
 }
 
@@ -101,15 +101,15 @@
 	heap.Push(&sim.events, event{sim.now + d, sim.eventSeq, do})
 }
 
-// run processes the events of the simulation and the timers of the Life in order of time, up to until or the first
-// violation.
+// run processes the events of the simulation and the timers of the Coordinator in order of time, up to until or the
+// first violation.
 func (sim *simulation) run(until time.Duration) {
 	for sim.violations == nil {
 		at, own := until, false
 		if len(sim.events) > 0 && sim.events[0].at <= at {
 			at, own = sim.events[0].at, true
 		}
-		if next, ok := sim.coordinator.Next(); ok && next < at {
+		if next, ok := sim.coordinator.NextTimer(); ok && next < at {
 			at, own = next, false
 		}
 		if at >= until && !own {
@@ -117,7 +117,7 @@
 			return
 		}
 		sim.now = max(sim.now, at)
-		sim.coordinator.At(sim.now)
+		sim.coordinator.Advance(sim.now)
 		sim.applyActions()
 		if own {
 			heap.Pop(&sim.events).(event).do()
@@ -134,8 +134,8 @@
 
 // applyActions carries out the queued actions.
 func (sim *simulation) applyActions() {
-	for _, a := range sim.coordinator.Take(nil) {
-		fmt.Fprintln(sim.log, sim.now, a.Dispatch.Host.ID, a.Cancel, a.Dispatch.Until)
+	for _, a := range sim.coordinator.TakeActions(nil) {
+		fmt.Fprintln(sim.log, sim.now, a.Dispatch.Searcher.ID, a.Cancel, a.Dispatch.Deadline)
 		if a.Cancel {
 			d := a.Dispatch
 			sim.schedule(time.Duration(sim.rng.IntN(3))*ms, func() { sim.deliver(d, policy.Cancelled, nil) })
@@ -151,32 +151,32 @@
 // dispatch checks a dispatch and schedules its outcome.
 func (sim *simulation) dispatch(d *Dispatch) {
 	req := d.Request.Data.(*simRequest)
-	listed := sim.listed[d.Host.ID]
-	earlier := req.sent[d.Host.Service]
+	listed := sim.listed[d.Searcher.ID]
+	earlier := req.sent[d.Searcher.Service]
 	switch {
 	case req.answers > 0 || req.clientLeft:
 		sim.recordViolation("request %d is sent after its end: %d answers, client left: %v, %+v", req.no, req.answers, req.clientLeft, req.Route)
-	case listed == nil || listed.State != policy.Ready || sim.misdirected[d.Host.ID] > sim.now || listed.Address != d.Host.Address:
-		sim.recordViolation("request %d is sent to %s, listed: %+v, misdirected until: %v", req.no, d.Host.ID, listed, sim.misdirected[d.Host.ID])
-	case !slices.Contains(req.allowed, d.Host.Service):
-		sim.recordViolation("request %d of version %d, %v, is sent to %s", req.no, req.version, req.allowed, d.Host.Service)
+	case listed == nil || listed.State != policy.Ready || sim.misdirected[d.Searcher.ID] > sim.now || listed.Address != d.Searcher.Address:
+		sim.recordViolation("request %d is sent to %s, listed: %+v, misdirected until: %v", req.no, d.Searcher.ID, listed, sim.misdirected[d.Searcher.ID])
+	case !slices.Contains(req.allowed, d.Searcher.Service):
+		sim.recordViolation("request %d of version %d, %v, is sent to %s", req.no, req.version, req.allowed, d.Searcher.Service)
 	case len(req.Route.FanOut) == 0 && len(req.sent) > 0 && earlier == nil:
 		sim.recordViolation("request %d is sent to a second service", req.no)
 	case len(earlier) >= req.Route.Retries:
-		sim.recordViolation("request %d is sent to %s more than %d times", req.no, d.Host.Service, req.Route.Retries)
-	case d.Until <= sim.now || d.Until > req.Until+granularity:
-		sim.recordViolation("request %d is sent with deadline %v, its own deadline is %v", req.no, d.Until, req.Until)
+		sim.recordViolation("request %d is sent to %s more than %d times", req.no, d.Searcher.Service, req.Route.Retries)
+	case d.Deadline <= sim.now || d.Deadline > req.Deadline+granularity:
+		sim.recordViolation("request %d is sent with deadline %v, its own deadline is %v", req.no, d.Deadline, req.Deadline)
 	}
 	for _, attempt := range earlier {
-		if attempt.inFlight && attempt.searcher.ID == d.Host.ID {
-			sim.recordViolation("request %d is in flight twice at %s", req.no, d.Host.ID)
+		if attempt.inFlight && attempt.searcher.ID == d.Searcher.ID {
+			sim.recordViolation("request %d is in flight twice at %s", req.no, d.Searcher.ID)
 		}
 		if (attempt.inFlight || attempt.mayHaveRun) && !req.Route.Idempotent {
 			sim.recordViolation("request %d may run once and is sent again", req.no)
 		}
 	}
-	attempt := &simAttempt{request: req, searcher: *d.Host, inFlight: true}
-	req.sent[d.Host.Service] = append(earlier, attempt)
+	attempt := &simAttempt{request: req, searcher: *d.Searcher, inFlight: true}
+	req.sent[d.Searcher.Service] = append(earlier, attempt)
 	sim.attempts[d] = attempt
 	sim.scheduleOutcome(d)
 }
@@ -184,7 +184,7 @@
 // scheduleOutcome draws the outcome of a dispatch and its time.
 func (sim *simulation) scheduleOutcome(d *Dispatch) {
 	elapsed := time.Duration(5+sim.rng.ExpFloat64()*20) * ms
-	outcome := sim.behaviors[d.Host.ID]
+	outcome := sim.behaviors[d.Searcher.ID]
 	if sim.rng.IntN(12) == 0 {
 		outcome = policy.Outcome(sim.rng.IntN(int(policy.Expired) + 1))
 	}
@@ -203,7 +203,7 @@
 	case policy.Cancelled:
 		outcome = policy.ConnectionLost
 	}
-	if left := d.Until - sim.now; elapsed >= left { // the connection ends it at its deadline
+	if left := d.Deadline - sim.now; elapsed >= left { // the connection ends it at its deadline
 		outcome, elapsed, reply = policy.TimedOut, left, nil
 	}
 	if sim.fault == "false proof" && outcome == policy.ConnectionLost {
@@ -214,17 +214,17 @@
 	sim.schedule(elapsed, func() { sim.deliver(d, outcome, reply) })
 }
 
-// randomReading draws whether a searcher has read a dispatch with the given outcome.
-func (sim *simulation) randomReading(outcome policy.Outcome) Reading {
+// randomReadStatus draws whether a searcher has read a dispatch with the given outcome.
+func (sim *simulation) randomReadStatus(outcome policy.Outcome) ReadStatus {
 	switch outcome {
 	case policy.Succeeded, policy.Failed, policy.Overloaded:
 		return WasRead
 	case policy.Expired:
 		return NotRead
 	case policy.Unreachable:
-		return []Reading{WasRead, NotRead}[sim.rng.IntN(2)]
+		return []ReadStatus{WasRead, NotRead}[sim.rng.IntN(2)]
 	}
-	return MayRead
+	return MaybeRead
 }
 
 func (sim *simulation) newReply(d *Dispatch, status int) *Reply {
@@ -232,7 +232,7 @@
 	for i := range body {
 		body[i] = byte('a' + sim.rng.IntN(3)) // equal records are common
 	}
-	return &Reply{Status: status, Seal: fmt.Sprintf("%s/%d/%d", d.Host.ID, d.Request.Data.(*simRequest).no, sim.rng.Uint32()), Body: body}
+	return &Reply{Status: status, Seal: fmt.Sprintf("%s/%d/%d", d.Searcher.ID, d.Request.Data.(*simRequest).no, sim.rng.Uint32()), Body: body}
 }
 
 // deliver passes in the outcome of a dispatch, once: a cancellation and a response can both be scheduled.
@@ -251,10 +251,10 @@
 		}
 	}
 	if outcome == policy.Unreachable && sim.rng.IntN(2) == 0 { // its address belongs to another searcher
-		sim.misdirected[d.Host.ID] = sim.now + misdirectedFor
-		sim.coordinator.Misdirected(d.Host, true)
+		sim.misdirected[d.Searcher.ID] = sim.now + misdirectedFor
+		sim.coordinator.ReportMisdirected(d.Searcher, true)
 	}
-	sim.coordinator.Returned(d, outcome, sim.randomReading(outcome), reply)
+	sim.coordinator.Returned(d, outcome, sim.randomReadStatus(outcome), reply)
 	if sim.rng.IntN(20) == 0 {
 		sim.coordinator.Returned(d, policy.Succeeded, WasRead, sim.newReply(d, 200)) // a second end of the same dispatch is ignored
 	}
@@ -275,7 +275,7 @@
 	if sim.rng.IntN(10) == 0 {
 		left = time.Duration(sim.rng.IntN(12)) * ms
 	}
-	req.Request = &Request{Route: route, Until: sim.now + min(left, route.Horizon), Data: req, Done: func(f Final) { sim.checkFinal(req, f) }}
+	req.Request = &Request{Route: route, Deadline: sim.now + min(left, route.Horizon), Data: req, Done: func(f Final) { sim.checkFinal(req, f) }}
 	sim.requests = append(sim.requests, req)
 	sim.coordinator.Begin(req.Request)
 	if sim.rng.IntN(8) == 0 {
@@ -283,7 +283,7 @@
 			if req.answers == 0 {
 				req.clientLeft = true
 			}
-			sim.coordinator.Leave(req.Request)
+			sim.coordinator.ClientLeft(req.Request)
 		})
 	}
 }
@@ -308,7 +308,7 @@
 	case "two answers":
 		req.answers += sim.rng.IntN(20) / 19
 	}
-	fmt.Fprintln(sim.log, sim.now, req.no, f.Kind, f.Missing, f.In, f.Seals, f.Late)
+	fmt.Fprintln(sim.log, sim.now, req.no, f.Kind, f.Missing, f.RetryAfter, f.Seals, f.DeadlineReached)
 	if req.answers > 1 || req.clientLeft {
 		sim.recordViolation("request %d: answer %d, client left: %v", req.no, req.answers, req.clientLeft)
 	}
--- a/request/trust.go
+++ b/request/trust.go
@@ -42,11 +42,11 @@
 	return suspected || len(s.since) >= suspectLimit
 }
 
-// Unreachable handles a failed attempt to connect to a searcher's address.
-func (c *Life) Unreachable(searcher *Host) { c.suspects.add(c.now, searcher.ID) }
+// ReportUnreachable handles a failed attempt to connect to a searcher's address.
+func (c *Coordinator) ReportUnreachable(searcher *Searcher) { c.suspects.add(c.now, searcher.ID) }
 
 // trustsAddress reports whether dispatches may be sent to a searcher's listed address without probing its identity.
-func (c *Life) trustsAddress(searcher *Host) bool {
+func (c *Coordinator) trustsAddress(searcher *Searcher) bool {
 	if c.resumedAt > 0 && c.now-c.resumedAt < distrustAfterPause {
 		return false
 	}
@@ -54,7 +54,7 @@
 }
 
 // countAddresses counts the listed searchers per address. Where there are two, one of them has ended.
-func (c *Life) countAddresses() {
+func (c *Coordinator) countAddresses() {
 	c.addressCounts = make(map[string]int, len(c.searchers))
 	for _, searcher := range c.searchers {
 		c.addressCounts[searcher.Address]++
--- a/request/types.go
+++ b/request/types.go
@@ -19,13 +19,13 @@
 	Body    []byte
 }
 
-// Host is one incarnation of a searcher.
-type Host struct {
+// Searcher is one incarnation of a searcher.
+type Searcher struct {
 	ID, Address, Service string
 	State                policy.SearcherState
 	Calls                uint64 // call count of its last known report; rises with each report
 	Silent               bool   // its heartbeats have stopped
-	Far                  int    // distance: 0 in this zone, 1 in this region, 2 elsewhere
+	Distance             int    // distance: 0 in this zone, 1 in this region, 2 elsewhere
 }
 
 // Kind is the way in which a request ended.
@@ -34,21 +34,21 @@
 const (
 	Relayed  Kind = iota // Reply holds the searcher's response
 	Gathered             // Seals, Missing and Body hold the merged responses of the parts
-	Refused              // it has not run, or may run again: the client may retry after In
+	Refused              // it has not run, or may run again: the client may retry after RetryAfter
 	Failed               // it may have run and must not be sent again
 )
 
 // Final is the final answer to a request.
 type Final struct {
-	Kind    Kind
-	Reply   *Reply
-	Seals   []string
-	Missing int
-	Body    []byte
-	In      time.Duration
-	Late    bool // its deadline was reached
-	Reason  Reason
-	Tries   []Try // only if it was refused or failed
+	Kind            Kind
+	Reply           *Reply
+	Seals           []string
+	Missing         int
+	Body            []byte
+	RetryAfter      time.Duration
+	DeadlineReached bool // its deadline was reached
+	Reason          Reason
+	Attempts        []Attempt // only if it was refused or failed
 }
 
 // Reason states why a request was refused or failed.
@@ -56,30 +56,30 @@
 
 // Values of Reason.
 const (
-	NoSearcher    Reason = "no searcher of a service it needs is listed"
-	TurnedAway    Reason = "the searchers tried turned it away or could not be reached"
-	BudgetSpent   Reason = "a try failed, and the retry budget has no room for another"
-	NotAdmitted   Reason = "not admitted: its searchers answer too late or are full"
-	TimeOver      Reason = "its time was over"
-	MayHaveRun    Reason = "it may have run and cannot be sent again"
-	NoTryLeft     Reason = "no further try was left or allowed by the budget"
-	ProcessFailed Reason = "a fault in the proxy ended all that was in hand"
+	NoSearcher      Reason = "no searcher of a service it needs is listed"
+	Rejected        Reason = "the searchers tried turned it away or could not be reached"
+	BudgetExhausted Reason = "a try failed, and the retry budget has no room for another"
+	NotAdmitted     Reason = "not admitted: its searchers answer too late or are full"
+	DeadlinePassed  Reason = "its time was over"
+	MayHaveRun      Reason = "it may have run and cannot be sent again"
+	NoAttemptLeft   Reason = "no further try was left or allowed by the budget"
+	InternalFault   Reason = "a fault in the proxy ended all that was in hand"
 )
 
-// Try describes one dispatch of a request as of the end of the request.
-type Try struct {
+// Attempt describes one dispatch of a request as of the end of the request.
+type Attempt struct {
 	Searcher string
-	Out      bool // still in flight, without an outcome
+	InFlight bool // still in flight, without an outcome
 	Outcome  policy.Outcome
-	Took     time.Duration // time until its outcome, or until the request ended
+	Elapsed  time.Duration // time until its outcome, or until the request ended
 }
 
 // Request is one request of a client. A repetition by the client is another Request.
 type Request struct {
-	Route *manifest.Route
-	Until time.Duration // latest end on the clock of Life: the earlier of the client's deadline and the route's horizon
-	Done  func(Final)   // called once, with the caller's lock held; not called after Leave
-	Data  any           // for use by the caller
+	Route    *manifest.Route
+	Deadline time.Duration // latest end on the clock of the Coordinator: the earlier of the client's deadline and the route's horizon
+	Done     func(Final)   // called once, with the caller's lock held; not called after ClientLeft
+	Data     any           // for use by the caller
 
 	id         uint64
 	group      *group
@@ -91,11 +91,11 @@
 
 // Dispatch is one attempt of a part at one searcher.
 type Dispatch struct {
-	Request *Request
-	Host    *Host
-	Until   time.Duration // on the clock of Life
-	Vouched bool          // the listed address is trusted; otherwise the searcher's identity must be probed before sending
-	Call    any           // for use by the caller
+	Request        *Request
+	Searcher       *Searcher
+	Deadline       time.Duration // on the clock of the Coordinator
+	AddressTrusted bool          // the listed address is trusted; otherwise the searcher's identity must be probed before sending
+	Data           any           // for use by the caller
 
 	part         *part
 	attempt      int
@@ -118,26 +118,26 @@
 	history    retrybudget.AttemptHistory
 }
 
-// Reading states whether a searcher has read a dispatch, which determines its charge on the retry budget.
-type Reading uint8
+// ReadStatus states whether a searcher has read a dispatch, which determines its charge on the retry budget.
+type ReadStatus uint8
 
-// Values of Reading.
+// Values of ReadStatus.
 const (
-	MayRead Reading = iota // abandoned, or its connection was lost: it may have been read, or may still be
-	WasRead                // its searcher, or another one at the same address, responded
-	NotRead                // none of it was written to a connection
+	MaybeRead ReadStatus = iota // abandoned, or its connection was lost: it may have been read, or may still be
+	WasRead                     // its searcher, or another one at the same address, responded
+	NotRead                     // none of it was written to a connection
 )
 
-// Act is an action for the caller: it sends a dispatch or cancels one.
-type Act struct {
+// Action is an instruction to the caller: it sends a dispatch or cancels one.
+type Action struct {
 	Dispatch *Dispatch
 	Cancel   bool
 }
 
 // Counts holds running totals for logs and metrics.
 type Counts struct {
-	Taken, Relayed, Gathered, Partial, Refused, Failed, Left int
-	Sent, Further                                            int
-	Outcomes                                                 [policy.Expired + 1]int
-	Far                                                      [3]int // dispatches by distance of the searcher
+	Taken, Relayed, Gathered, Partial, Refused, Failed, ClientsLeft int
+	Sent, Retries                                                   int
+	Outcomes                                                        [policy.Expired + 1]int
+	ByDistance                                                      [3]int // dispatches by distance of the searcher
 }
