--- a/request/coordinator.go
+++ b/request/coordinator.go
@@ -51,15 +51,15 @@
 	// budgetUntil is the deadline of the retry for which the policy last queried the retry budget.
 	budgetUntil time.Duration
 	abandoned   bool   // after Abandon
-	deciding    *group // the group whose engine is running; see Contain
+	deciding    *group // group whose engine is running; see Contain
 	actions     []Action
 	Counts      Counts
 }
 
 // New returns a Coordinator without requests.
 func New(config Config, now time.Duration) *Coordinator {
-	c := &Coordinator{config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 0)), groups: map[string]*group{}, searchers: map[string]*Searcher{},
-		parts: map[uint64]*part{}, requests: map[uint64]*Request{}}
+	c := &Coordinator{config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 0)),
+		groups: map[string]*group{}, searchers: map[string]*Searcher{}, parts: map[uint64]*part{}, requests: map[uint64]*Request{}}
 	if previous := config.Previous; previous != nil {
 		c.budget, c.misdirected, c.suspects = previous.budget, previous.misdirected, previous.suspects
 		c.config.Previous = nil
--- a/request/group.go
+++ b/request/group.go
@@ -12,7 +12,7 @@
 	"peathollow/policy"
 )
 
-// granularity is the interval between events that the policy assumes (policy.Settings.Granularity).
+// granularity is the upper bound that the policy assumes on the interval between events (policy.Settings.Granularity).
 const granularity = 4 * time.Millisecond
 
 // minRetryAfter is the shortest retry delay given to a refused client.
@@ -66,12 +66,14 @@
 		return g
 	}
 	if len(c.groups) >= maxGroups {
-		maps.DeleteFunc(c.groups, func(_ string, g *group) bool { return g.idle }) // dispatches in flight keep their group and still return to it
+		// Dispatches in flight keep a reference to their group and still return to it.
+		maps.DeleteFunc(c.groups, func(_ string, g *group) bool { return g.idle })
 	}
 	g := &group{coordinator: c, key: key, services: services, classes: map[routeClass]int{}, members: map[string]*member{}}
-	g.engine = policy.New(policy.Settings{Seed: c.config.Seed, Mixers: 1, Shards: len(services), ShardSpan: 1, PartsPerCall: 1, MaxAttempts: 1,
-		MayHedge: true, RetryAdvice: true, MaxRetryAfter: maxRetryAfter, Granularity: granularity, ListInterval: time.Second,
-		InFlightAllowance: 3, WaitToDeadline: true, RankByExpectedAnswer: true, BudgetAllows: g.budgetAllows}, actionPort{g}, c.now)
+	g.engine = policy.New(policy.Settings{Seed: c.config.Seed, Mixers: 1, Shards: len(services), ShardSpan: 1, PartsPerCall: 1,
+		MaxAttempts: 1, MayHedge: true, RetryAdvice: true, MaxRetryAfter: maxRetryAfter, Granularity: granularity,
+		ListInterval: time.Second, InFlightAllowance: 3, WaitToDeadline: true, RankByExpectedAnswer: true,
+		BudgetAllows: g.budgetAllows}, actionPort{g}, c.now)
 	c.groups[key] = g
 	for _, id := range slices.Sorted(maps.Keys(c.searchers)) {
 		g.addMember(c.searchers[id])
@@ -184,8 +186,8 @@
 	c, m := p.group.coordinator, p.group.byIndex[index]
 	target := c.parts[partID]
 	c.checkDispatch(target, m)
-	d := &Dispatch{Request: target.request, Searcher: m.Searcher, Deadline: until, AddressTrusted: c.trustsAddress(m.Searcher), part: target,
-		attempt: len(target.dispatches), sentAt: c.now, pausedBefore: c.totalPaused, inFlight: true, member: m}
+	d := &Dispatch{Request: target.request, Searcher: m.Searcher, Deadline: until, AddressTrusted: c.trustsAddress(m.Searcher),
+		part: target, attempt: len(target.dispatches), sentAt: c.now, pausedBefore: c.totalPaused, inFlight: true, member: m}
 	target.dispatches = append(target.dispatches, d)
 	m.inFlight++
 	c.Counts.Sent++
@@ -198,7 +200,8 @@
 }
 
 func (p actionPort) Cancel(partID uint64, attempt int) {
-	if target := p.group.coordinator.parts[partID]; target != nil && attempt < len(target.dispatches) && target.dispatches[attempt].inFlight {
+	if target := p.group.coordinator.parts[partID]; target != nil &&
+		attempt < len(target.dispatches) && target.dispatches[attempt].inFlight {
 		p.group.coordinator.actions = append(p.group.coordinator.actions, Action{Dispatch: target.dispatches[attempt], Cancel: true})
 	}
 }
--- a/request/invariants.go
+++ b/request/invariants.go
@@ -15,7 +15,8 @@
 func (c *Coordinator) checkDispatch(p *part, m *member) {
 	route := p.request.Route
 	if !route.Idempotent && p.mayHaveRun() {
-		invariant.Violated(invariant.NoRepeatAfterRun, "route %s: attempt %d of request %d, which may have run", route.Name, len(p.dispatches)+1, p.request.id)
+		invariant.Violated(invariant.NoRepeatAfterRun, "route %s: attempt %d of request %d, which may have run",
+			route.Name, len(p.dispatches)+1, p.request.id)
 	}
 	if len(p.dispatches) >= max(1, route.Retries) {
 		invariant.Violated(invariant.TriesWithinRetries, "route %s: attempt %d of %d", route.Name, len(p.dispatches)+1, route.Retries)
@@ -33,12 +34,14 @@
 func (c *Coordinator) CheckBalance() {
 	counts := &c.Counts
 	ended := counts.Relayed + counts.Gathered + counts.Refused + counts.Failed + counts.ClientsLeft
-	invariant.Check(invariant.InHandBalance, counts.Taken-ended == len(c.requests), "%d taken, %d ended, %d in flight", counts.Taken, ended, len(c.requests))
+	invariant.Check(invariant.InHandBalance, counts.Taken-ended == len(c.requests), "%d taken, %d ended, %d in flight",
+		counts.Taken, ended, len(c.requests))
 	for _, p := range c.parts {
 		for _, d := range p.dispatches {
 			endBy := max(d.Deadline, c.resumedAt) // a paused process cannot end its dispatches
 			if d.inFlight && c.now > endBy+overdueAfter {
-				invariant.Violated(invariant.DispatchEnds, "searcher %s: dispatch in flight %v after its deadline", d.Searcher.ID, c.now-d.Deadline)
+				invariant.Violated(invariant.DispatchEnds, "searcher %s: dispatch in flight %v after its deadline",
+					d.Searcher.ID, c.now-d.Deadline)
 			}
 		}
 	}
--- a/request/types.go
+++ b/request/types.go
@@ -25,7 +25,7 @@
 	State                policy.SearcherState
 	Calls                uint64 // call count of its last known report; rises with each report
 	Silent               bool   // its heartbeats have stopped
-	Distance             int    // distance: 0 in this zone, 1 in this region, 2 elsewhere
+	Distance             int    // 0 in this zone, 1 in this region, 2 elsewhere
 }
 
 // Kind is the way in which a request ended.
@@ -46,7 +46,7 @@
 	Missing         int
 	Body            []byte
 	RetryAfter      time.Duration
-	DeadlineReached bool // its deadline was reached
+	DeadlineReached bool // it failed because of its deadline
 	Reason          Reason
 	Attempts        []Attempt // only if it was refused or failed
 }
@@ -69,17 +69,18 @@
 // Attempt describes one dispatch of a request as of the end of the request.
 type Attempt struct {
 	Searcher string
-	InFlight bool // still in flight, without an outcome
+	InFlight bool // without an outcome yet
 	Outcome  policy.Outcome
 	Elapsed  time.Duration // time until its outcome, or until the request ended
 }
 
 // Request is one request of a client. A repetition by the client is another Request.
 type Request struct {
-	Route    *manifest.Route
-	Deadline time.Duration // latest end on the clock of the Coordinator: the earlier of the client's deadline and the route's horizon
-	Done     func(Final)   // called once, with the caller's lock held; not called after ClientLeft
-	Data     any           // for use by the caller
+	Route *manifest.Route
+	// Latest end on the clock of the Coordinator: the earlier of the client's deadline and the route's horizon.
+	Deadline time.Duration
+	Done     func(Final) // called once, with the caller's lock held; not called after ClientLeft
+	Data     any         // for use by the caller
 
 	id         uint64
 	group      *group
