--- a/fleet/fleetsim/baseline_test.go
+++ b/fleet/fleetsim/baseline_test.go
@@ -30,7 +30,7 @@
 	{"the same, all clients obeying", 3, 1, false, func(w *World) { w.Ask("acme", 300) }, 0.015},
 	{"the same, none obeying", 3, 0, false, func(w *World) { w.Ask("acme", 300) }, 0.015},
 	{"the same, half of the clients at one mixer", 3, 0.5, true, func(w *World) { w.Ask("acme", 300) }, 0.015},
-	{"searchers half as quick", 3, 0.5, false, func(w *World) { w.Readers(func(_ int, r *reader.Reader) { r.Slow(2) }) }, 0.08},
+	{"searchers half as quick", 3, 0.5, false, func(w *World) { w.Readers(func(_ int, r *reader.Reader) { r.SetSlowdown(2) }) }, 0.08},
 	{"all searchers gone for 5 s", 3, 0.5, false, func(w *World) {
 		for i := range w.load.readers {
 			w.Crash(i)
--- a/fleet/fleetsim/load.go
+++ b/fleet/fleetsim/load.go
@@ -58,7 +58,7 @@
 	set     Load
 	readers []*reader.Reader
 	due     []time.Duration // when a reader is looked at next; 0 if not at all
-	out     map[uint64]func(reader.End)
+	out     map[uint64]func(reader.Outcome)
 	ids     uint64
 	dice    *rand.Rand
 	kinds   overload.BinLayout
@@ -75,12 +75,12 @@
 
 func newLoad(w *World) *load {
 	set := w.set.Load
-	l := &load{w: w, set: set, out: map[uint64]func(reader.End){}, dice: rand.New(rand.NewPCG(w.set.Seed, 99)),
+	l := &load{w: w, set: set, out: map[uint64]func(reader.Outcome){}, dice: rand.New(rand.NewPCG(w.set.Seed, 99)),
 		due: make([]time.Duration, set.Readers), got: map[string]*Got{}, colds: make([]cold, set.Readers)}
 	for i := range set.Readers {
 		l.colds[i].from = policy.LongAgo
-		r, err := reader.New(reader.Settings{Cores: 2, Room: int(3 * set.Pace), Restart: restart, Cold: set.Cold.For,
-			ColdPace: set.Cold.Share})
+		r, err := reader.New(reader.Settings{Cores: 2, QueueCapacity: int(3 * set.Pace), RestartDelay: restart, WarmUp: set.Cold.For,
+			ColdShare: set.Cold.Share})
 		if err != nil {
 			panic(err) // constants
 		}
@@ -208,7 +208,7 @@
 }
 
 // arrive brings a part to a reader.
-func (l *load) arrive(i int, until time.Duration, end func(reader.End)) (id uint64, ok bool) {
+func (l *load) arrive(i int, until time.Duration, end func(reader.Outcome)) (id uint64, ok bool) {
 	r := l.readers[i]
 	if !r.Up() {
 		return 0, false
@@ -255,7 +255,7 @@
 	})
 }
 
-func (l *load) ended(id uint64, how reader.End) {
+func (l *load) ended(id uint64, how reader.Outcome) {
 	end := l.out[id]
 	delete(l.out, id)
 	if end != nil {
--- a/fleet/fleetsim/mixer.go
+++ b/fleet/fleetsim/mixer.go
@@ -139,8 +139,8 @@
 	l := m.n.w.load
 	m.n.w.after(trip/2, func() {
 		var ok bool
-		t.id, ok = l.arrive(srv, t.until, func(how reader.End) {
-			m.back(id, no, map[reader.End]policy.Outcome{reader.Done: policy.Succeeded, reader.Refused: policy.Overloaded, reader.Late: policy.TimedOut,
+		t.id, ok = l.arrive(srv, t.until, func(how reader.Outcome) {
+			m.back(id, no, map[reader.Outcome]policy.Outcome{reader.Served: policy.Succeeded, reader.Rejected: policy.Overloaded, reader.Expired: policy.TimedOut,
 				reader.Lost: policy.ConnectionLost}[how])
 		})
 		if !ok {
@@ -169,7 +169,7 @@
 func (m *mixer) Cancel(id uint64, no int) {
 	t := m.parts[id].tries[no]
 	m.n.w.after(trip/2, func() {
-		if l := m.n.w.load; l.out[t.id] != nil && l.readers[t.srv].Drop(m.n.w.now, t.id) {
+		if l := m.n.w.load; l.out[t.id] != nil && l.readers[t.srv].Cancel(m.n.w.now, t.id) {
 			delete(l.out, t.id)
 			l.look(t.srv)
 			m.n.w.after(trip/2, func() { m.back(id, no, policy.Cancelled) })
--- a/fleet/fleetsim/stories_test.go
+++ b/fleet/fleetsim/stories_test.go
@@ -315,7 +315,7 @@
 			s.w.Crash(i)
 		}
 	})
-	sc.Step(`^all searchers take twice as long$`, func() { s.w.Readers(func(_ int, r *reader.Reader) { r.Slow(2) }) })
+	sc.Step(`^all searchers take twice as long$`, func() { s.w.Readers(func(_ int, r *reader.Reader) { r.SetSlowdown(2) }) })
 
 	// Each story is followed by the rules, whether it says so or not.
 	sc.After(func(ctx context.Context, _ *godog.Scenario, err error) (context.Context, error) {
--- a/lab/reader/reader.go
+++ b/lab/reader/reader.go
@@ -1,7 +1,8 @@
-// Package reader is the laboratory's model of one searcher: cores that each serve one part at a time, a bounded queue
-// before them, a cold start, and falling over under a load that it can't carry. It is free of I/O, clock and chance: time
-// and work are handed in, and what ended comes out, the same for the same events. What goes wrong beside that (slow,
-// paused, crashed) is told to it. Its constants are the laboratory's own; docs/laboratory.md says what it leaves out.
+// Package reader is the laboratory's model of one searcher: cores that each serve one part at a time, a bounded queue in
+// front of them, a slow warm-up after a start, and a crash under sustained overload. It has no I/O, clock or random source:
+// time and work are passed in, finished parts are reported through a callback, and the same events give the same results.
+// All other faults (a slow, paused or crashed searcher) are injected by the caller. The model's constants are the
+// laboratory's own; docs/laboratory.md lists what it leaves out.
 package reader
 
 import (
@@ -10,112 +11,113 @@
 	"time"
 )
 
-// Settings are what a reader is.
+// Settings configures a reader.
 type Settings struct {
-	Cores    int           // parts served at once
-	Room     int           // parts that wait, at most
-	Cold     time.Duration // after a start till it serves at its full pace
-	ColdPace float64       // of its full pace that it begins with; it grows evenly
-	FallWait time.Duration // expected wait that it can't stand; 0: it stands any
-	FallSpan time.Duration // for so long
-	Restart  time.Duration // till it is back after it fell over or crashed
+	Cores         int           // parts served at the same time
+	QueueCapacity int           // the maximum number of waiting parts
+	WarmUp        time.Duration // from a start until the reader runs at full speed
+	ColdShare     float64       // share of the full speed right after a start; it grows linearly
+	OverloadWait  time.Duration // the reader is overloaded while the expected wait is longer than this; 0: never
+	OverloadSpan  time.Duration // the reader crashes when it has been overloaded for this long
+	RestartDelay  time.Duration // from a crash until the reader is up again
 }
 
-// Check tells what is wrong with settings.
+// Check returns an error if no reader can work with the settings.
 func (s Settings) Check() error {
 	switch {
 	case s.Cores < 1:
-		return fmt.Errorf("cores: %d, below 1", s.Cores)
-	case s.Room < 0:
-		return fmt.Errorf("room: %d, below 0", s.Room)
-	case s.Cold < 0 || s.Cold > 0 && (s.ColdPace <= 0 || s.ColdPace > 1):
-		return fmt.Errorf("cold: pace %g over %v; above 0 to 1, no time below 0", s.ColdPace, s.Cold)
-	case s.FallWait < 0 || s.FallSpan < 0 || s.Restart < 0:
-		return fmt.Errorf("a time below 0: fall-wait %v, fall-span %v, restart %v", s.FallWait, s.FallSpan, s.Restart)
+		return fmt.Errorf("cores: %d; must be at least 1", s.Cores)
+	case s.QueueCapacity < 0:
+		return fmt.Errorf("queue capacity: %d; must not be negative", s.QueueCapacity)
+	case s.WarmUp < 0 || s.WarmUp > 0 && (s.ColdShare <= 0 || s.ColdShare > 1):
+		return fmt.Errorf("warm-up: from a share of %g over %v; the share must be above 0 and at most 1, the time not negative", s.ColdShare, s.WarmUp)
+	case s.OverloadWait < 0 || s.OverloadSpan < 0 || s.RestartDelay < 0:
+		return fmt.Errorf("overload wait %v, overload span %v, restart delay %v: must not be negative", s.OverloadWait, s.OverloadSpan, s.RestartDelay)
 	}
 	return nil
 }
 
-// End is how a part ended at a reader.
-type End uint8
+// Outcome is how a part ended at a reader.
+type Outcome uint8
 
+// The outcomes of a part.
 const (
-	Done    End = iota // served; whether well or badly is not the model's
-	Refused            // no room
-	Late               // its time was over before its turn came; it never ran
-	Lost               // with the reader
+	Served   Outcome = iota // the model doesn't say whether the answer is good
+	Rejected                // the queue was full
+	Expired                 // its deadline passed while it waited; it never ran
+	Lost                    // the reader crashed
 )
 
-// Reader is one searcher.
+// Reader models one searcher.
 type Reader struct {
-	set     Settings
-	running []part // by the time they end
-	queue   []part // first come, first served
-	work    time.Duration
-	started time.Duration
-	slow    float64       // times as slow as it should be
-	up      bool          // else back at backAt
-	backAt  time.Duration // of one that is down
-	held    bool          // paused: what runs stands still
-	heldAt  time.Duration
-	over    time.Duration // since when its wait is more than it stands; -1 if it is not
-	falls   int
+	settings        Settings
+	running         []part // ordered by the time at which they finish
+	queue           []part // first in, first out
+	queuedWork      time.Duration
+	startedAt       time.Duration
+	slowdown        float64       // factor by which serving takes longer than normal
+	up              bool          // if not, the reader restarts at restartAt
+	restartAt       time.Duration // while down
+	paused          bool          // while paused, running parts make no progress
+	pausedAt        time.Duration
+	overloadedSince time.Duration // -1 while not overloaded
+	overloadCrashes int
 }
 
 type part struct {
-	id    uint64
-	work  time.Duration
-	until time.Duration
-	ends  time.Duration
+	id         uint64
+	work       time.Duration
+	deadline   time.Duration
+	finishesAt time.Duration
 }
 
-// New makes one that has long been up.
-func New(set Settings) (*Reader, error) {
-	if err := set.Check(); err != nil {
+// New makes a reader that has been up for long enough to be warm.
+func New(settings Settings) (*Reader, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &Reader{set: set, slow: 1, up: true, started: -set.Cold, over: -1}, nil
+	return &Reader{settings: settings, slowdown: 1, up: true, startedAt: -settings.WarmUp, overloadedSince: -1}, nil
 }
 
-// Up tells whether it takes parts; one that is down refuses connections.
+// Up reports whether the reader accepts parts; one that is down refuses connections.
 func (r *Reader) Up() bool { return r.up }
 
-// Falls is how often it fell over.
-func (r *Reader) Falls() int { return r.falls }
+// OverloadCrashes returns how often the reader crashed from overload.
+func (r *Reader) OverloadCrashes() int { return r.overloadCrashes }
 
-// Load is what it would report: parts served and waiting.
+// Load returns the numbers of running and waiting parts, which a searcher would report.
 func (r *Reader) Load() (running, waiting int) { return len(r.running), len(r.queue) }
 
-// pace is how much of its full pace it serves at.
-func (r *Reader) pace(now time.Duration) float64 {
+// speed returns the current share of the full speed.
+func (r *Reader) speed(now time.Duration) float64 {
 	p := 1.0
-	if since := now - r.started; since < r.set.Cold {
-		p = r.set.ColdPace + (1-r.set.ColdPace)*float64(since)/float64(r.set.Cold)
+	if since := now - r.startedAt; since < r.settings.WarmUp {
+		p = r.settings.ColdShare + (1-r.settings.ColdShare)*float64(since)/float64(r.settings.WarmUp)
 	}
-	return p / r.slow
+	return p / r.slowdown
 }
 
-// Arrive takes a part that needs so much work at the full pace, and is waited for till then. What has no room ends at
-// once. Nothing may arrive at one that is down.
-func (r *Reader) Arrive(now time.Duration, id uint64, work, until time.Duration, end func(uint64, End)) {
-	p := part{id: id, work: work, until: until}
+// Arrive adds a part, with the time that it takes at full speed and its deadline. If the queue is full, the part ends at
+// once. The reader must be up.
+func (r *Reader) Arrive(now time.Duration, id uint64, work, deadline time.Duration, end func(uint64, Outcome)) {
+	p := part{id: id, work: work, deadline: deadline}
 	switch {
-	case len(r.running) < r.set.Cores && !r.held:
+	case len(r.running) < r.settings.Cores && !r.paused:
 		r.serve(now, p)
-	case len(r.queue) >= r.set.Room:
-		end(id, Refused)
+	case len(r.queue) >= r.settings.QueueCapacity:
+		end(id, Rejected)
 		return
 	default:
 		r.queue = append(r.queue, p)
-		r.work += work
+		r.queuedWork += work
 	}
-	r.weigh(now)
+	r.updateOverload(now)
 }
 
 func (r *Reader) serve(now time.Duration, p part) {
-	p.ends = now + time.Duration(float64(p.work)/r.pace(now))
+	p.finishesAt = now + time.Duration(float64(p.work)/r.speed(now))
 	i, _ := slices.BinarySearchFunc(r.running, p, func(a, b part) int {
-		if a.ends <= b.ends {
+		if a.finishesAt <= b.finishesAt {
 			return -1
 		}
 		return 1
@@ -123,26 +125,26 @@
 	r.running = slices.Insert(r.running, i, p)
 }
 
-// weigh notes since when the wait is more than it stands.
-func (r *Reader) weigh(now time.Duration) {
-	wait := float64(r.work) / float64(r.set.Cores) / r.pace(now)
-	if r.set.FallWait == 0 || wait <= float64(r.set.FallWait) {
-		r.over = -1
-	} else if r.over < 0 {
-		r.over = now
+// updateOverload records since when the expected wait has been longer than OverloadWait.
+func (r *Reader) updateOverload(now time.Duration) {
+	wait := float64(r.queuedWork) / float64(r.settings.Cores) / r.speed(now)
+	if r.settings.OverloadWait == 0 || wait <= float64(r.settings.OverloadWait) {
+		r.overloadedSince = -1
+	} else if r.overloadedSince < 0 {
+		r.overloadedSince = now
 	}
 }
 
-// Drop takes out a part that is given up; false if it is not there, as it has ended.
-func (r *Reader) Drop(now time.Duration, id uint64) bool {
-	is := func(p part) bool { return p.id == id }
-	if i := slices.IndexFunc(r.queue, is); i >= 0 {
-		r.work -= r.queue[i].work
+// Cancel removes a part. It returns false if the part has already ended.
+func (r *Reader) Cancel(now time.Duration, id uint64) bool {
+	matches := func(p part) bool { return p.id == id }
+	if i := slices.IndexFunc(r.queue, matches); i >= 0 {
+		r.queuedWork -= r.queue[i].work
 		r.queue = slices.Delete(r.queue, i, i+1)
-		r.weigh(now)
+		r.updateOverload(now)
 		return true
 	}
-	i := slices.IndexFunc(r.running, is)
+	i := slices.IndexFunc(r.running, matches)
 	if i < 0 {
 		return false
 	}
@@ -150,7 +152,7 @@
 	return true
 }
 
-// Next is when something happens by itself; false if nothing does.
+// Next returns the time of the reader's next internal event, or false if there is none.
 func (r *Reader) Next() (at time.Duration, ok bool) {
 	earlier := func(t time.Duration) {
 		if !ok || t < at {
@@ -158,80 +160,80 @@
 		}
 	}
 	if !r.up {
-		earlier(r.backAt)
+		earlier(r.restartAt)
 		return at, ok
 	}
-	if len(r.running) > 0 && !r.held {
-		earlier(r.running[0].ends)
+	if len(r.running) > 0 && !r.paused {
+		earlier(r.running[0].finishesAt)
 	}
-	if r.over >= 0 {
-		earlier(r.over + r.set.FallSpan)
+	if r.overloadedSince >= 0 {
+		earlier(r.overloadedSince + r.settings.OverloadSpan)
 	}
 	return at, ok
 }
 
-// Step does what is due at a time, which is never later than Next tells.
-func (r *Reader) Step(now time.Duration, end func(uint64, End)) {
+// Step processes the events that are due. It must be called no later than at the time that Next returns.
+func (r *Reader) Step(now time.Duration, end func(uint64, Outcome)) {
 	if !r.up {
-		if now >= r.backAt {
-			r.up, r.started, r.over, r.held = true, now, -1, false
+		if now >= r.restartAt {
+			r.up, r.startedAt, r.overloadedSince, r.paused = true, now, -1, false
 		}
 		return
 	}
-	for !r.held && len(r.running) > 0 && r.running[0].ends <= now {
+	for !r.paused && len(r.running) > 0 && r.running[0].finishesAt <= now {
 		p := r.running[0]
 		r.running = slices.Delete(r.running, 0, 1)
-		end(p.id, Done)
+		end(p.id, Served)
 	}
-	r.fill(now, end)
-	r.weigh(now)
-	if r.over >= 0 && now >= r.over+r.set.FallSpan {
-		r.falls++
+	r.startWaiting(now, end)
+	r.updateOverload(now)
+	if r.overloadedSince >= 0 && now >= r.overloadedSince+r.settings.OverloadSpan {
+		r.overloadCrashes++
 		r.Crash(now, end)
 	}
 }
 
-// fill gives free cores what waits; what nobody waits for any more is passed over.
-func (r *Reader) fill(now time.Duration, end func(uint64, End)) {
-	for !r.held && len(r.running) < r.set.Cores && len(r.queue) > 0 {
+// startWaiting assigns waiting parts to free cores and skips those whose deadline has passed.
+func (r *Reader) startWaiting(now time.Duration, end func(uint64, Outcome)) {
+	for !r.paused && len(r.running) < r.settings.Cores && len(r.queue) > 0 {
 		p := r.queue[0]
 		r.queue = slices.Delete(r.queue, 0, 1)
-		r.work -= p.work
-		if now >= p.until {
-			end(p.id, Late)
+		r.queuedWork -= p.work
+		if now >= p.deadline {
+			end(p.id, Expired)
 			continue
 		}
 		r.serve(now, p)
 	}
 }
 
-// Crash loses all it holds; it is back, cold, after its restart.
-func (r *Reader) Crash(now time.Duration, end func(uint64, End)) {
+// Crash ends all parts as lost. The reader is up again, and cold, after the restart delay.
+func (r *Reader) Crash(now time.Duration, end func(uint64, Outcome)) {
 	if !r.up {
 		return
 	}
 	lost := slices.Concat(r.running, r.queue)
-	r.running, r.queue, r.work = r.running[:0], r.queue[:0], 0
-	r.up, r.backAt, r.over = false, now+r.set.Restart, -1
+	r.running, r.queue, r.queuedWork = r.running[:0], r.queue[:0], 0
+	r.up, r.restartAt, r.overloadedSince = false, now+r.settings.RestartDelay, -1
 	for _, p := range lost {
 		end(p.id, Lost)
 	}
 }
 
-// Slow makes what it begins from now on take so many times as long.
-func (r *Reader) Slow(times float64) { r.slow = max(times, 0.001) }
+// SetSlowdown makes parts that start from now on take longer by a factor.
+func (r *Reader) SetSlowdown(factor float64) { r.slowdown = max(factor, 0.001) }
 
-// Pause holds all it does, or lets it go on.
-func (r *Reader) Pause(now time.Duration, hold bool, end func(uint64, End)) {
-	if r.held == hold || !r.up {
+// SetPaused pauses the reader or resumes it. Running parts make no progress while it is paused.
+func (r *Reader) SetPaused(now time.Duration, paused bool, end func(uint64, Outcome)) {
+	if r.paused == paused || !r.up {
 		return
 	}
-	if r.held = hold; hold {
-		r.heldAt = now
+	if r.paused = paused; paused {
+		r.pausedAt = now
 		return
 	}
 	for i := range r.running {
-		r.running[i].ends += now - r.heldAt
+		r.running[i].finishesAt += now - r.pausedAt
 	}
-	r.fill(now, end)
+	r.startWaiting(now, end)
 }
--- a/lab/reader/reader_test.go
+++ b/lab/reader/reader_test.go
@@ -11,28 +11,29 @@
 	"peathollow/lab/queue"
 )
 
-// Whatever happens, each part ends once, no more run than there are cores, and no more wait than there is room.
+// In any sequence of events each part ends exactly once, at most as many parts run as there are cores, and at most as many
+// wait as the queue holds.
 func TestEachPartEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Room: rapid.IntRange(0, 5).Draw(t, "room"), Cold: time.Second, ColdPace: 0.25,
-			FallWait: 30 * time.Millisecond, FallSpan: 20 * time.Millisecond, Restart: 50 * time.Millisecond}
-		r, err := New(set)
+		settings := Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), QueueCapacity: rapid.IntRange(0, 5).Draw(t, "room"), WarmUp: time.Second, ColdShare: 0.25,
+			OverloadWait: 30 * time.Millisecond, OverloadSpan: 20 * time.Millisecond, RestartDelay: 50 * time.Millisecond}
+		r, err := New(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now, last := time.Duration(0), uint64(0)
-		held := map[uint64]bool{}
-		end := func(id uint64, _ End) {
-			if !held[id] {
+		pending := map[uint64]bool{}
+		end := func(id uint64, _ Outcome) {
+			if !pending[id] {
 				t.Fatalf("part %d ends twice", id)
 			}
-			delete(held, id)
+			delete(pending, id)
 		}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			switch what := rapid.IntRange(0, 20).Draw(t, "what"); {
 			case what < 10 && r.Up():
 				last++
-				held[last] = true
+				pending[last] = true
 				r.Arrive(now, last, time.Duration(rapid.IntRange(1, 40).Draw(t, "work"))*time.Millisecond, now+50*time.Millisecond, end)
 			case what < 17:
 				at, ok := r.Next()
@@ -40,56 +41,56 @@
 					continue
 				}
 				if at < now {
-					t.Fatalf("%v is past %v", at, now)
+					t.Fatalf("next event at %v is before the present %v", at, now)
 				}
 				now = at
 				r.Step(now, end)
 			case what == 17 && last > 0:
 				id := uint64(rapid.IntRange(1, int(last)).Draw(t, "dropped"))
-				if r.Drop(now, id) != held[id] {
-					t.Fatalf("part %d: held %t", id, held[id])
+				if r.Cancel(now, id) != pending[id] {
+					t.Fatalf("cancel of part %d: pending %t", id, pending[id])
 				}
-				delete(held, id)
+				delete(pending, id)
 			case what == 18:
-				r.Pause(now, rapid.Bool().Draw(t, "hold"), end)
+				r.SetPaused(now, rapid.Bool().Draw(t, "hold"), end)
 			case what == 19:
-				r.Slow(rapid.Float64Range(0.5, 4).Draw(t, "slow"))
+				r.SetSlowdown(rapid.Float64Range(0.5, 4).Draw(t, "slow"))
 			case what == 20 && last%7 == 0:
 				r.Crash(now, end)
 			}
 			running, waiting := r.Load()
-			if running > set.Cores || waiting > set.Room || running+waiting != len(held) {
-				t.Fatalf("%d run, %d wait, %d are held", running, waiting, len(held))
+			if running > settings.Cores || waiting > settings.QueueCapacity || running+waiting != len(pending) {
+				t.Fatalf("%d run, %d wait, %d are pending", running, waiting, len(pending))
 			}
 		}
 	})
 }
 
-// The mean wait of a queue before c cores is what Erlang's formula says, which knows nothing of this code.
-func TestWaitsAsErlangSays(t *testing.T) {
+// The mean wait in front of c cores must match the Erlang C formula, an independent result of queueing theory.
+func TestMeanWaitMatchesErlangC(t *testing.T) {
 	for _, cores := range []int{1, 4} {
 		const load, mean = 0.7, 10 * time.Millisecond
-		r, err := New(Settings{Cores: cores, Room: 1 << 20})
+		r, err := New(Settings{Cores: cores, QueueCapacity: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
-		dice := rand.New(rand.NewPCG(7, uint64(cores)))
-		came := map[uint64]time.Duration{}
-		works := map[uint64]time.Duration{}
+		rng := rand.New(rand.NewPCG(7, uint64(cores)))
+		arrivedAt := map[uint64]time.Duration{}
+		workOf := map[uint64]time.Duration{}
 		var arrivals queue.Queue[uint64]
 		var wait time.Duration
 		now, n, served := time.Duration(0), uint64(0), 0
-		end := func(id uint64, e End) {
-			if e != Done {
-				t.Fatalf("part %d: %d", id, e)
+		end := func(id uint64, outcome Outcome) {
+			if outcome != Served {
+				t.Fatalf("part %d: outcome %d", id, outcome)
 			}
-			wait += now - came[id] - works[id]
+			wait += now - arrivedAt[id] - workOf[id]
 			served++
-			delete(came, id)
-			delete(works, id)
+			delete(arrivedAt, id)
+			delete(workOf, id)
 		}
-		gap := func() time.Duration { return time.Duration(dice.ExpFloat64() * float64(mean) / load / float64(cores)) }
-		arrivals.Put(gap(), 0)
+		interarrival := func() time.Duration { return time.Duration(rng.ExpFloat64() * float64(mean) / load / float64(cores)) }
+		arrivals.Put(interarrival(), 0)
 		for at, _, _ := arrivals.Next(); served < 400_000; {
 			if next, ok := r.Next(); ok && next <= at {
 				now = next
@@ -98,38 +99,38 @@
 			}
 			now = at
 			n++
-			came[n], works[n] = now, time.Duration(dice.ExpFloat64()*float64(mean))
-			r.Arrive(now, n, works[n], math.MaxInt64, end)
-			arrivals.Put(now+gap(), 0)
+			arrivedAt[n], workOf[n] = now, time.Duration(rng.ExpFloat64()*float64(mean))
+			r.Arrive(now, n, workOf[n], math.MaxInt64, end)
+			arrivals.Put(now+interarrival(), 0)
 			at, _, _ = arrivals.Next()
 		}
-		a, sum, term := load*float64(cores), 0.0, 1.0
+		offered, sum, term := load*float64(cores), 0.0, 1.0
 		for k := range cores {
 			sum += term
-			term *= a / float64(k+1)
+			term *= offered / float64(k+1)
 		}
-		waits := term / (1 - load) / (sum + term/(1-load))
-		want := waits * mean.Seconds() / (float64(cores) * (1 - load))
+		waitProbability := term / (1 - load) / (sum + term/(1-load))
+		want := waitProbability * mean.Seconds() / (float64(cores) * (1 - load))
 		if got := wait.Seconds() / float64(served); math.Abs(got/want-1) > 0.05 {
-			t.Errorf("%d cores: mean wait %.4f s, not %.4f s", cores, got, want)
+			t.Errorf("%d cores: mean wait %.4f s, want %.4f s", cores, got, want)
 		}
 	}
 }
 
-// A cold reader that gets a warm one's load falls over; given what it can carry, it comes up.
-func TestAColdReaderIsPushedOver(t *testing.T) {
+// A cold reader crashes under the load that a warm one can serve, and warms up under a load within its capacity.
+func TestColdReaderCrashesUnderWarmLoad(t *testing.T) {
 	for _, c := range []struct {
-		every time.Duration
-		falls bool
+		interval time.Duration
+		crashes  bool
 	}{{8 * time.Millisecond, true}, {50 * time.Millisecond, false}} {
-		r, err := New(Settings{Cores: 1, Room: 1000, Cold: 5 * time.Second, ColdPace: 0.2, FallWait: 200 * time.Millisecond,
-			FallSpan: 300 * time.Millisecond, Restart: time.Second})
+		r, err := New(Settings{Cores: 1, QueueCapacity: 1000, WarmUp: 5 * time.Second, ColdShare: 0.2, OverloadWait: 200 * time.Millisecond,
+			OverloadSpan: 300 * time.Millisecond, RestartDelay: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := func(uint64, End) {}
+		end := func(uint64, Outcome) {}
 		r.Crash(0, end)
-		for now := time.Duration(0); now < 8*time.Second; now += c.every {
+		for now := time.Duration(0); now < 8*time.Second; now += c.interval {
 			for at, ok := r.Next(); ok && at <= now; at, ok = r.Next() {
 				r.Step(at, end)
 			}
@@ -137,16 +138,16 @@
 				r.Arrive(now, uint64(now), 7*time.Millisecond, now+10*time.Second, end)
 			}
 		}
-		if (r.Falls() > 0) != c.falls {
-			t.Errorf("a part every %v: it fell over %d times", c.every, r.Falls())
+		if (r.OverloadCrashes() > 0) != c.crashes {
+			t.Errorf("a part every %v: it crashed %d times", c.interval, r.OverloadCrashes())
 		}
 	}
 }
 
-func TestSettingsThatCannotBe(t *testing.T) {
-	for _, s := range []Settings{{}, {Cores: 1, Room: -1}, {Cores: 1, Cold: 1}, {Cores: 1, Cold: 1, ColdPace: 2}, {Cores: 1, Restart: -1}} {
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	for _, s := range []Settings{{}, {Cores: 1, QueueCapacity: -1}, {Cores: 1, WarmUp: 1}, {Cores: 1, WarmUp: 1, ColdShare: 2}, {Cores: 1, RestartDelay: -1}} {
 		if _, err := New(s); err == nil {
-			t.Errorf("%+v is taken", s)
+			t.Errorf("%+v is accepted", s)
 		}
 	}
 }
