--- /dev/null
+++ b/fleet/coordinator.go
@@ -0,0 +1,214 @@
+package fleet
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"time"
+
+	"peathollow/fleet/factstore"
+	"peathollow/fleet/overload"
+	"peathollow/fleet/view"
+)
+
+// Settings configures an instance. All fields but Me and Inc must be the same for all instances.
+type Settings struct {
+	Me        string
+	Inc       uint64        // incarnation of this process, higher than that of the process before
+	Instances int           // the maximum number that run at the same time
+	Beat      time.Duration // time between rounds of heartbeats to all other instances
+	Kinds     overload.BinLayout
+}
+
+// Times are multiples of the heartbeat interval. Several heartbeats may be lost before those of an instance count as
+// stale. A clock that has not been advanced for several intervals means that the process was paused. A load report is taken
+// every few intervals.
+const (
+	staleIntervals     = 6
+	settleIntervals    = 4
+	clockStepIntervals = 4
+	reportIntervals    = 4
+	enterIntervals     = 4
+	leaveIntervals     = 12
+	minInterval        = 20 * time.Millisecond
+	maxInterval        = 10 * time.Second
+)
+
+const (
+	maxPieceSize   = 1100 // bytes of a piece of shared state: it must fit into one datagram together with a heartbeat
+	piecesPerRound = 8    // number of instances that are sent a piece in each round
+	maxFactSize    = 1024
+	loadTopic      = "load"
+)
+
+// Check returns an error if no instance can work with the settings.
+func (s *Settings) Check() error {
+	if s.Beat < minInterval || s.Beat > maxInterval {
+		return fmt.Errorf("beat: %v; must be between %v and %v", s.Beat, minInterval, maxInterval)
+	}
+	return nil
+}
+
+// Stale returns the age at which a heartbeat is stale.
+func (s *Settings) Stale() time.Duration { return staleIntervals * s.Beat }
+
+// Leap returns the clock step beyond which the process counts as paused.
+func (s *Settings) Leap() time.Duration { return clockStepIntervals * s.Beat }
+
+// Message is what one instance sends another.
+type Message struct {
+	Word  view.Heartbeat  `json:"word"`
+	Piece json.RawMessage `json:"piece,omitempty"`
+}
+
+// Read decodes a message. Its encoding begins with a brace, which distinguishes it from the duties' messages that the same
+// group carries.
+func Read(b []byte) (m Message, err error) {
+	if err = json.Unmarshal(b, &m); err != nil {
+		return m, fmt.Errorf("fleet message: %w", err)
+	}
+	return m, nil
+}
+
+// Append appends the encoded message to b.
+func (m *Message) Append(b []byte) []byte {
+	text, err := json.Marshal(m)
+	if err != nil {
+		panic(err) // names, numbers and JSON that this package encoded itself can always be encoded
+	}
+	return append(b, text...)
+}
+
+// The faults of a received message. A delayed or duplicate heartbeat is rejected too; that is normal and harmless.
+var (
+	ErrWord  = errors.New("fleet message: heartbeat rejected")
+	ErrPiece = errors.New("fleet message: invalid piece of shared state")
+)
+
+// Mind holds one instance's state of the fleet.
+type Mind struct {
+	View  *view.View
+	Store *factstore.Store
+
+	settings      Settings
+	now           time.Duration
+	detector      *overload.Detector
+	capacity      *overload.Capacity
+	ownReport     overload.Report
+	reportedAt    time.Duration
+	nextPieceTo   int // index of the next instance to be sent a piece
+	rejectedCount int
+}
+
+// New makes the coordinator of an instance that has not heard any other.
+func New(settings Settings, now time.Duration) (*Mind, error) {
+	if err := settings.Check(); err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	m := &Mind{settings: settings, now: now, capacity: overload.NewCapacity(now), reportedAt: now}
+	var err error
+	if m.View, err = view.New(view.Settings{Name: settings.Me, Inc: settings.Inc, Instances: settings.Instances, StaleAfter: settings.Stale(),
+		SettleTime: settleIntervals * settings.Beat, MaxClockStep: settings.Leap()}, now); err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	if m.Store, err = factstore.New(factstore.Settings{Name: settings.Me, Inc: settings.Inc, MaxFacts: 8 * settings.Instances, MaxCounts: 16 * settings.Instances,
+		MaxBodySize: maxFactSize}, now); err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	if m.detector, err = overload.NewDetector(overload.DetectorConfig{Enter: enterIntervals * settings.Beat, Leave: leaveIntervals * settings.Beat}); err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	return m, nil
+}
+
+// At advances the clock. It must be called at least every few heartbeat intervals, or the process counts as paused.
+func (m *Mind) At(now time.Duration) {
+	m.now = now
+	m.View.Advance(now)
+	m.Store.Advance(now)
+}
+
+// Speak begins a round and returns a message for each of the named instances. All of them get a heartbeat; a few, in
+// rotation over the rounds, also get a piece of the store. When leaving, the last round carries a piece to every instance.
+func (m *Mind) Speak(leaving bool, names []string) []Message {
+	piece := m.Store.EncodePiece(maxPieceSize)
+	heartbeats := m.View.NextHeartbeats(leaving, names)
+	messages := make([]Message, len(heartbeats))
+	for i := range heartbeats {
+		messages[i].Word = heartbeats[i]
+		if offset := (i - m.nextPieceTo%len(heartbeats) + len(heartbeats)) % len(heartbeats); offset < piecesPerRound || leaving {
+			messages[i].Piece = piece
+		}
+	}
+	m.nextPieceTo += piecesPerRound
+	return messages
+}
+
+// Heard processes a message. Its piece is merged only if the heartbeat is proven to be recent.
+func (m *Mind) Heard(message Message) error {
+	if !m.View.ReceiveHeartbeat(message.Word) {
+		m.rejectedCount++
+		return ErrWord
+	}
+	if _, ok := m.View.ConfirmedIncarnation(message.Word.From); !ok || len(message.Piece) == 0 {
+		return nil
+	}
+	if err := m.Store.Merge(message.Piece); err != nil {
+		m.rejectedCount++
+		return fmt.Errorf("%w: %w", ErrPiece, err)
+	}
+	return nil
+}
+
+// Due returns the time since the last load report, and whether it is long enough to compute rates for the next one.
+func (m *Mind) Due() (span time.Duration, ok bool) {
+	span = m.now - m.reportedAt
+	return span, span >= (reportIntervals-1)*m.settings.Beat+m.settings.Beat/2
+}
+
+// Report sets this instance's load report, with rates since the last one, and publishes it to the other instances.
+func (m *Mind) Report(r overload.Report) error {
+	m.ownReport, m.reportedAt = r, m.now
+	body, err := json.Marshal(r)
+	if err != nil {
+		return fmt.Errorf("fleet: report: %w", err)
+	}
+	if err := m.Store.SetFact(loadTopic, body); err != nil {
+		return fmt.Errorf("fleet: report: %w", err)
+	}
+	return nil
+}
+
+// Advice returns the share of each bin of demand that the policy engine is to admit (see policy.Engine.SetAdmission), the
+// fleet's load condition and its capacity in parts per second. The shares are nil if nothing is known or if there is
+// capacity for all demand. An instance that is not in contact with a majority gets no advice and handles overload by itself.
+func (m *Mind) Advice() (admitted []float64, condition overload.Condition, capacity float64) {
+	if !m.View.Allows(view.UseReports) {
+		m.detector.Reset()
+		m.capacity = overload.NewCapacity(m.now)
+		return nil, overload.Calm, math.Inf(1)
+	}
+	sum := m.Sum()
+	condition = m.detector.Update(m.now, sum)
+	if capacity = m.capacity.Update(m.now, condition, sum); math.IsInf(capacity, 1) {
+		return nil, condition, capacity
+	}
+	return m.settings.Kinds.AdmittedShares(sum, capacity), condition, capacity
+}
+
+// Sum returns the sum of the load reports of this instance and of all instances whose heartbeats are proven to be recent.
+func (m *Mind) Sum() (sum overload.Report) {
+	sum.Add(m.ownReport)
+	m.Store.EachFact(loadTopic, func(f factstore.Fact) {
+		var r overload.Report
+		inc, ok := m.View.ConfirmedIncarnation(f.Owner)
+		if ok && inc == f.Inc && f.Age <= 2*reportIntervals*m.settings.Beat+m.settings.Stale() && json.Unmarshal(f.Body, &r) == nil {
+			sum.Add(r)
+		}
+	})
+	return sum
+}
+
+// Odd returns the number of rejected messages.
+func (m *Mind) Odd() int { return m.rejectedCount }
--- /dev/null
+++ b/fleet/coordinator_test.go
@@ -0,0 +1,115 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"peathollow/fleet/overload"
+	"peathollow/fleet/view"
+)
+
+const interval = 100 * time.Millisecond
+
+// group is a set of coordinators that exchange messages once per heartbeat interval, without loss.
+type group struct {
+	coordinators []*Mind
+	names        []string
+	now          time.Duration
+}
+
+func newGroup(t *testing.T, n int, layout overload.BinLayout) *group {
+	g := &group{}
+	for i := range n {
+		m, err := New(Settings{Me: fmt.Sprint(i), Inc: 1, Instances: n, Beat: interval, Kinds: layout}, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		g.coordinators, g.names = append(g.coordinators, m), append(g.names, fmt.Sprint(i))
+	}
+	return g
+}
+
+func (g *group) run(t *testing.T, rounds int, each func(i int, m *Mind)) {
+	t.Helper()
+	for range rounds {
+		g.now += interval
+		for i, m := range g.coordinators {
+			m.At(g.now)
+			each(i, m)
+			for j, message := range m.Speak(false, g.names) {
+				decoded, err := Read(message.Append(nil))
+				if err != nil {
+					t.Fatal(err)
+				}
+				if j != i {
+					g.coordinators[j].At(g.now)
+					if err := g.coordinators[j].Heard(decoded); err != nil {
+						t.Fatal(err)
+					}
+				}
+			}
+		}
+	}
+}
+
+// All instances come to the same advice although each reports only its own traffic: one receives the whole excess of a
+// tenant, the others only regular traffic. An instance that was paused gives no advice.
+func TestAllInstancesGiveTheSameAdvice(t *testing.T) {
+	layout := overload.BinLayout{Benefit: []float64{1}, Quota: []float64{20, 20}}
+	g := newGroup(t, 3, layout)
+	g.run(t, 80, func(i int, m *Mind) {
+		if _, ok := m.Due(); !ok {
+			return
+		}
+		r := overload.Report{First: 5, Done: 5, Carried: 5, Pressure: 0.9, Scans: make([]float64, layout.Len()), Bins: make([]float64, layout.Len())}
+		r.Scans[layout.Bin(0, 1)], r.Bins[layout.Bin(0, 1)] = 5, 5
+		if i == 0 && g.now > 3*time.Second {
+			r.First, r.Done, r.Turned, r.Carried = 105, 25, 80, 25
+			r.Scans[layout.Bin(0, 0)], r.Bins[layout.Bin(0, 0)] = 100, 100
+		}
+		if err := m.Report(r); err != nil {
+			t.Fatal(err)
+		}
+		m.Advice()
+	})
+	for i, m := range g.coordinators {
+		admitted, condition, capacity := m.Advice()
+		if condition != overload.Overload || len(admitted) != layout.Len() || admitted[layout.Bin(0, 1)] < 0.99 || admitted[layout.Bin(0, 0)] > 0.5 {
+			t.Errorf("instance %d: %v, capacity %.0f, admitted shares %v", i, condition, capacity, admitted)
+		}
+	}
+	g.coordinators[0].At(g.now + time.Minute) // a pause of the process
+	if admitted, condition, _ := g.coordinators[0].Advice(); admitted != nil || condition != overload.Calm {
+		t.Errorf("after a pause the advice is %v, %v", admitted, condition)
+	}
+}
+
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	g := newGroup(t, 2, overload.BinLayout{})
+	g.run(t, 3, func(int, *Mind) {})
+	m := g.coordinators[0]
+	if _, err := Read([]byte("{")); err == nil {
+		t.Error("a truncated message is decoded")
+	}
+	valid := g.coordinators[1].Speak(false, []string{"0"})[0]
+	if err := m.Heard(valid); err != nil {
+		t.Error(err)
+	}
+	if err := m.Heard(valid); !errors.Is(err, ErrWord) {
+		t.Errorf("duplicate message: %v", err)
+	}
+	forged := g.coordinators[1].Speak(false, []string{"0"})[0]
+	if forged.Piece = []byte(`{"f":[{"o":"0","t":"load","i":1,"s":99}]}`); !errors.Is(m.Heard(forged), ErrPiece) {
+		t.Error("a fact of this instance that it never wrote is accepted")
+	}
+	if m.Odd() != 2 || m.View.State("1") != view.Alive {
+		t.Errorf("%d messages rejected, state %v", m.Odd(), m.View.State("1"))
+	}
+	for _, settings := range []Settings{{}, {Me: "a", Instances: 1}, {Me: "", Instances: 1, Beat: interval}, {Me: "a", Beat: interval}} {
+		if _, err := New(settings, 0); err == nil {
+			t.Errorf("%+v is accepted", settings)
+		}
+	}
+}
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet puts the pieces of one instance together: its view of the others (fleet/view), what all share
-// (fleet/factstore) and what it makes of the fleet's load (fleet/overload). It decides only: no I/O, no clock, no goroutine;
-// what is to be told comes out as messages, and advice for the module as data. mixer drives it in service, fleet/fleetsim
-// in simulated time.
+// Package fleet combines the parts of one mixer instance that coordinate it with the others: its membership view
+// (fleet/view), the replicated store (fleet/factstore) and the assessment of the fleet's load (fleet/overload). It has no
+// I/O, clock or goroutine: the messages to send and the advice for the policy engine are returned as data. Package mixer
+// runs it in service, and fleet/fleetsim in simulated time.
 package fleet
