--- a/fleet/fleetsim/check.go
+++ b/fleet/fleetsim/check.go
@@ -7,97 +7,98 @@
 	"peathollow/fleet/view"
 )
 
-// ledger is what the world knows of what was truly spent and counted.
-type ledger struct {
-	terms overload.BudgetConfig
-	level float64 // what may be spent at once now, by all together
-	at    time.Duration
-	spent float64
-	truth map[string]uint64
+// groundTruth records what all mixers together really spent and counted.
+type groundTruth struct {
+	budget    overload.BudgetConfig
+	available float64 // what all mixers together may spend now
+	updatedAt time.Duration
+	spent     float64
+	counts    map[string]uint64
 }
 
-// take checks the budget over all spans at once: a bucket as large as the burst that fills at the fleet's rate never runs
-// below empty exactly if no span has more spent in it than rate x span + burst.
-func (l *ledger) take(w *World, n float64) {
-	if l.spent == 0 {
-		l.level = l.terms.Rate * l.terms.Burst.Seconds()
+// spend checks the budget over all time spans at once: a bucket that holds one burst and fills at the fleet's rate never
+// falls below empty exactly if no span has more spent in it than rate * span + burst.
+func (t *groundTruth) spend(sim *Simulation, n float64) {
+	if t.spent == 0 {
+		t.available = t.budget.Rate * t.budget.Burst.Seconds()
 	}
-	l.level = min(l.level+l.terms.Rate*(w.now-l.at).Seconds(), l.terms.Rate*l.terms.Burst.Seconds())
-	l.at = w.now
-	l.level -= n
-	if l.spent += n; l.level < -1e-6 {
-		w.broke("budget: all together spend %.2f more than the fleet's figure allows", -l.level)
+	t.available = min(t.available+t.budget.Rate*(sim.now-t.updatedAt).Seconds(), t.budget.Rate*t.budget.Burst.Seconds())
+	t.updatedAt = sim.now
+	t.available -= n
+	if t.spent += n; t.available < -1e-6 {
+		sim.violation("budget: all mixers together spent %.2f more than the fleet's rate allows", -t.available)
 	}
 }
 
-func (l *ledger) counted(topic string, n uint64) {
-	if l.truth == nil {
-		l.truth = map[string]uint64{}
+func (t *groundTruth) addCount(topic string, n uint64) {
+	if t.counts == nil {
+		t.counts = map[string]uint64{}
 	}
-	l.truth[topic] += n
+	t.counts[topic] += n
 }
 
-// truth notes since when each mixer has been without a majority: itself and those it hears and is heard by, more than half
-// of all. Who has lost it for so long that no word from before can count must not grant or move the fleet on.
-func (w *World) truth() {
-	for _, n := range w.Nodes {
-		most := 1
-		for _, o := range w.Nodes {
-			if o != n && w.together(n, o) {
-				most++
+// updateContact records since when each mixer has been without a majority: itself and those with a connection in both
+// directions must be more than half of all. A mixer that has been without one for so long that no earlier heartbeat can
+// count any more must neither grant nor raise.
+func (sim *Simulation) updateContact() {
+	for _, n := range sim.Nodes {
+		connected := 1
+		for _, o := range sim.Nodes {
+			if o != n && sim.connected(n, o) {
+				connected++
 			}
 		}
 		switch {
-		case 2*most > w.set.Mixers && n.up:
-			n.lost = -1
-		case n.lost < 0:
-			n.lost = w.now
+		case 2*connected > sim.settings.Mixers && n.up:
+			n.majorityLostAt = -1
+		case n.majorityLostAt < 0:
+			n.majorityLostAt = sim.now
 		}
 	}
 }
 
-// check holds after every event of a mixer.
-func (n *Node) check() {
-	w := n.w
-	apart := n.lost >= 0 && w.now-n.lost > w.stale+w.set.Beat+trip+w.net.late
-	if apart && (n.View.Allows(view.Grant) || n.View.Allows(view.Raise)) {
-		w.broke("views: %s stands with a majority (%v), and has heard none for %v", n.Name, n.View.Connectivity(), w.now-n.lost)
+// checkInvariants runs after every event of a mixer.
+func (n *Node) checkInvariants() {
+	sim := n.sim
+	separated := n.majorityLostAt >= 0 && sim.now-n.majorityLostAt > sim.staleAfter+sim.settings.HeartbeatInterval+oneWayDelay+sim.network.maxDelay
+	if separated && (n.View.Allows(view.Grant) || n.View.Allows(view.Raise)) {
+		sim.violation("views: %s may grant or raise (%v), but has had no contact with a majority for %v", n.Name, n.View.Connectivity(), sim.now-n.majorityLostAt)
 	}
 	if !n.View.Allows(view.UseOwnShare) || !n.View.Allows(view.Lower) {
-		w.broke("views: %s may not even live by its own share", n.Name)
+		sim.violation("views: %s may not use its own share, or may not lower", n.Name)
 	}
-	for topic, truth := range w.probe.truth {
+	for topic, counted := range sim.truth.counts {
 		sum := n.Store.Sum(topic, 0)
-		if sum > truth || sum < n.sums[topic] {
-			w.broke("counts: %s sums %q up to %d, %d before, %d in truth", n.Name, topic, sum, n.sums[topic], truth)
+		if sum > counted || sum < n.sums[topic] {
+			sim.violation("counts: %s sums %q to %d, before to %d, while %d were counted", n.Name, topic, sum, n.sums[topic], counted)
 		}
 		n.sums[topic] = sum
 	}
-	if facts, counts, _ := n.Store.Stats(); facts > 8*w.set.Mixers || counts > 16*w.set.Mixers {
-		w.broke("bounds: %s holds %d facts, %d counts", n.Name, facts, counts)
+	if facts, counts, _ := n.Store.Stats(); facts > 8*sim.settings.Mixers || counts > 16*sim.settings.Mixers {
+		sim.violation("bounds: %s holds %d facts, %d counts", n.Name, facts, counts)
 	}
 }
 
-// granted checks a loan as it is made: by one that may.
-func (n *Node) granted() {
+// checkGrant checks, when a loan is granted, that the lender's view allows it.
+func (n *Node) checkGrant() {
 	if !n.View.Allows(view.Grant) {
-		n.w.broke("views: %s lends while %v", n.Name, n.View.Connectivity())
+		n.sim.violation("views: %s grants a loan while %v", n.Name, n.View.Connectivity())
 	}
 }
 
-// Whole checks what must hold once nothing has been wrong for a while: all that run stand with the majority and have come to
-// the same counts, what was truly counted by all.
-func (w *World) Whole() {
-	for _, n := range w.Nodes {
+// CheckConverged checks what must hold after a quiet period: all running mixers are connected to a settled majority, and
+// their counters have converged to what all mixers together counted.
+func (sim *Simulation) CheckConverged() {
+	for _, n := range sim.Nodes {
 		if !n.up {
 			continue
 		}
 		if s := n.View.Connectivity(); s != view.Majority {
-			w.broke("whole: %s stands %v", n.Name, s)
+			sim.violation("whole: the connectivity of %s is %v", n.Name, s)
 		}
-		for topic, truth := range w.probe.truth {
-			if sum := n.Store.Sum(topic, 0); sum != truth {
-				w.broke("whole: %s sums %q up to %d, %d in truth", n.Name, topic, sum, truth)
+		for topic, counted := range sim.truth.counts {
+			if sum := n.Store.Sum(topic, 0); sum != counted {
+				sim.violation("whole: %s sums %q to %d, while %d were counted", n.Name, topic, sum, counted)
 			}
 		}
 	}
--- a/fleet/fleetsim/cold_test.go
+++ b/fleet/fleetsim/cold_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// coldCase is a fleet of mixers that say nothing to each other, and searchers replaced in it.
+// coldCase is a fleet whose mixers exchange no messages, and in which searchers are replaced.
 type coldCase struct {
-	name    string
-	mixers  int
-	asks    float64 // scans a second; 480 is what all searchers can do warm
-	uneven  bool
-	late    time.Duration // till the last mixer is told of a start
-	replace int           // searchers, of 24
-	restart bool          // all mixers start anew as the searchers are back: they know nothing but the list
-	mult    float64
+	name         string
+	mixers       int
+	demand       float64 // scans per second; the warm searchers together serve 480
+	uneven       bool
+	maxListDelay time.Duration // until the last mixer learns of a start
+	replaced     int           // number of searchers replaced, of 24
+	restart      bool          // all mixers restart when the searchers are up again, and know nothing but the list
+	multiple     float64
 }
 
-// The sum of all mixers' shares of what a cold searcher stands is kept under what pushes it over, whatever each knows:
-// just told or not yet, half of the load at one of them, just started, in an overload, at 20 to 300 mixers. The list's
-// word reaches mixers evenly over the time told. The worst share of the fall is logged.
-func TestTheSumOfMixersSparesTheCold(t *testing.T) {
+// All mixers together must not send a cold searcher more than it withstands, whatever each mixer knows: with the list
+// up to date or late, half of the load at one mixer, restarted mixers, in an overload, with 20 to 300 mixers. The
+// delays of the list are distributed evenly up to the maximum. The maximum load, as a share of what overloads a searcher,
+// is logged.
+func TestMixersTogetherDoNotOverloadColdSearchers(t *testing.T) {
 	cases := []coldCase{
 		{"calm, all told at once", 60, 240, false, 0, 2, false, 3},
 		{"calm, 300 mixers", 300, 240, false, 0, 2, false, 3},
@@ -39,40 +40,40 @@
 	var all sync.WaitGroup
 	for _, c := range cases {
 		all.Go(func() {
-			w := c.play(t, false)
-			t.Logf("| %s | %d | %.2f |", c.name, c.mixers, w.load.worst)
-			if len(w.Broken) > 0 {
-				t.Errorf("%s: %q", c.name, w.Broken[0])
+			sim := c.run(t, false)
+			t.Logf("| %s | %d | %.2f |", c.name, c.mixers, sim.workload.worstColdLoad)
+			if len(sim.Violations) > 0 {
+				t.Errorf("%s: %q", c.name, sim.Violations[0])
 			}
 		})
 	}
 	all.Wait()
-	// And the check is worth what it finds: mixers that know nothing of cold starts push searchers over.
-	if w := cases[10].play(t, true); len(w.Broken) == 0 {
-		t.Errorf("nobody spares the cold, and the most they are sent is %.2f of a fall", w.load.worst)
+	// The check must also detect a violation: mixers that know nothing of cold starts overload searchers.
+	if sim := cases[10].run(t, true); len(sim.Violations) == 0 {
+		t.Errorf("mixers that know nothing of cold starts send at most %.2f of what overloads a searcher", sim.workload.worstColdLoad)
 	}
 }
 
-func (c *coldCase) play(t *testing.T, unknown bool) *World {
-	set := Default(c.mixers, 5)
-	set.Mute, set.Shared = true, false
-	set.Load = Load{Readers: 24, Pace: 40, Obey: 0.5, Retries: 2, Uneven: c.uneven,
-		Tenants: []Tenant{{Name: "acme", Share: 400, Asks: c.asks}},
-		Cold:    Cold{For: 10 * s, Share: 0.3, Multiple: c.mult, Span: 1500 * time.Millisecond, Unknown: unknown}}
-	w, err := New(set)
+func (c *coldCase) run(t *testing.T, unknownToMixers bool) *Simulation {
+	settings := Default(c.mixers, 5)
+	settings.NoMessages, settings.Shared = true, false
+	settings.Load = Load{Searchers: 24, PartsPerSecond: 40, ObeyShare: 0.5, Retries: 2, Uneven: c.uneven,
+		Tenants:   []Tenant{{Name: "acme", Quota: 400, Demand: c.demand}},
+		ColdStart: ColdStart{WarmUp: 10 * s, Share: 0.3, Multiple: c.multiple, Span: 1500 * time.Millisecond, UnknownToMixers: unknownToMixers}}
+	sim, err := New(settings)
 	if err != nil {
 		t.Error(err)
 	}
-	w.Run(8 * s)
-	for i := range c.replace {
-		w.Replace(i*2, func() time.Duration { return time.Duration(w.dice.Float64() * float64(c.late)) })
+	sim.Run(8 * s)
+	for i := range c.replaced {
+		sim.ReplaceSearcher(i*2, func() time.Duration { return time.Duration(sim.rng.Float64() * float64(c.maxListDelay)) })
 	}
-	w.Run(restart + s/10)
+	sim.Run(restartDelay + s/10)
 	if c.restart {
-		for _, n := range w.Nodes {
+		for _, n := range sim.Nodes {
 			n.Restart()
 		}
 	}
-	w.Run(12 * s)
-	return w
+	sim.Run(12 * s)
+	return sim
 }
--- a/fleet/fleetsim/load.go
+++ b/fleet/fleetsim/load.go
@@ -12,188 +12,189 @@
 	"peathollow/policy"
 )
 
-// Load is what clients ask for, and what there is to serve it.
+// Load configures the clients and the searchers.
 type Load struct {
-	Readers int
-	Pace    float64 // parts a second that one does
-	Tenants []Tenant
-	Obey    float64 // share of clients that come again when they are told to; the others come at once
-	Retries int     // a client comes again, at most
-	Uneven  bool    // half of the clients meet the first mixer
-	Cold    Cold    // how searchers start; the zero value: at their full pace
+	Searchers      int
+	PartsPerSecond float64 // capacity of one searcher
+	Tenants        []Tenant
+	ObeyShare      float64 // share of clients that retry when the mixer tells them to; the others retry soon
+	Retries        int     // the maximum number of retries of a client
+	Uneven         bool    // half of the clients use the first mixer
+	ColdStart      ColdStart
 }
 
-// Cold is how a searcher starts, and what pushes it over.
-type Cold struct {
-	For      time.Duration // till it is warm
-	Share    float64       // of its pace that it begins with
-	Multiple float64       // of what it can do then, that it stands
-	Span     time.Duration // for so long
-	Unknown  bool          // a planted fault: mixers are not told any of this
+// ColdStart configures how searchers warm up after a start and what overloads them meanwhile. The zero value starts them at
+// full speed.
+type ColdStart struct {
+	WarmUp          time.Duration // from a start until full speed
+	Share           float64       // share of the full speed right after a start
+	Multiple        float64       // multiple of its present capacity that a searcher withstands
+	Span            time.Duration // span over which the parts are counted
+	UnknownToMixers bool          // an injected fault: mixers are not told about cold starts
 }
 
-// Tenant asks for scans; what lies within its share is to be served first.
+// Tenant sends scans. Scans within its quota have priority.
 type Tenant struct {
-	Name  string
-	Share float64 // scans a second, all mixers together
-	Asks  float64 // scans a second, first tries
+	Name   string
+	Quota  float64 // scans per second, all mixers together
+	Demand float64 // scans per second, first attempts only
 }
 
-// A scan of either class has two parts; one of the first class is worth four of the second.
+// Each scan has two parts. There are two classes; a scan of the first is four times as valuable as one of the second.
 const (
-	partsOf = 2
-	target  = time.Second
-	timeout = 2 * time.Second
-	restart = 5 * time.Second        // of a searcher
-	hurry   = 200 * time.Millisecond // till a client that does not obey comes again
+	partsPerScan    = 2
+	target          = time.Second
+	timeout         = 2 * time.Second
+	restartDelay    = 5 * time.Second        // of a searcher
+	earlyRetryDelay = 200 * time.Millisecond // mean delay of a retry by a client that ignores the mixer's advice
 )
 
-var worth = []float64{4, 1}
+var scanValue = []float64{4, 1} // by class
 
-// Got is what a tenant asked for and got: scans, first tries, and how many of them were completed at last.
-type Got struct{ Asked, Done, Worth, WorthAsked float64 }
+// TenantResult sums up the scans that a tenant requested, first attempts only, those completed at last, and their values.
+type TenantResult struct{ Requested, Completed, Value, ValueRequested float64 }
 
-type load struct {
-	w       *World
-	set     Load
-	readers []*reader.Reader
-	due     []time.Duration // when a reader is looked at next; 0 if not at all
-	out     map[uint64]func(reader.Outcome)
-	ids     uint64
-	dice    *rand.Rand
-	kinds   overload.BinLayout
-	got     map[string]*Got
-	colds   []cold
-	worst   float64 // the most that a cold searcher was sent in a span, in what pushes it over
+type workload struct {
+	sim           *Simulation
+	config        Load
+	searchers     []*reader.Reader
+	nextStep      []time.Duration // time of the next scheduled step of each searcher; 0 if none is scheduled
+	inFlight      map[uint64]func(reader.Outcome)
+	lastID        uint64
+	rng           *rand.Rand
+	layout        overload.BinLayout
+	results       map[string]*TenantResult
+	starts        []searcherStart
+	worstColdLoad float64 // the maximum sent to a cold searcher in one span, as a share of what overloads it
 }
 
-// cold is what a searcher was sent since it started.
-type cold struct {
-	from time.Duration // its start; long ago for one that never started anew
-	at   []time.Duration
+// searcherStart records what a searcher has been sent recently since it started.
+type searcherStart struct {
+	startedAt time.Duration // policy.LongAgo if it has never been replaced
+	arrivals  []time.Duration
 }
 
-func newLoad(w *World) *load {
-	set := w.set.Load
-	l := &load{w: w, set: set, out: map[uint64]func(reader.Outcome){}, dice: rand.New(rand.NewPCG(w.set.Seed, 99)),
-		due: make([]time.Duration, set.Readers), got: map[string]*Got{}, colds: make([]cold, set.Readers)}
-	for i := range set.Readers {
-		l.colds[i].from = policy.LongAgo
-		r, err := reader.New(reader.Settings{Cores: 2, QueueCapacity: int(3 * set.Pace), RestartDelay: restart, WarmUp: set.Cold.For,
-			ColdShare: set.Cold.Share})
+func newWorkload(sim *Simulation) *workload {
+	config := sim.settings.Load
+	l := &workload{sim: sim, config: config, inFlight: map[uint64]func(reader.Outcome){}, rng: rand.New(rand.NewPCG(sim.settings.Seed, 99)),
+		nextStep: make([]time.Duration, config.Searchers), results: map[string]*TenantResult{}, starts: make([]searcherStart, config.Searchers)}
+	for i := range config.Searchers {
+		l.starts[i].startedAt = policy.LongAgo
+		r, err := reader.New(reader.Settings{Cores: 2, QueueCapacity: int(3 * config.PartsPerSecond), RestartDelay: restartDelay, WarmUp: config.ColdStart.WarmUp,
+			ColdShare: config.ColdStart.Share})
 		if err != nil {
-			panic(err) // constants
+			panic(err) // the settings come from constants
 		}
-		l.readers = append(l.readers, r)
+		l.searchers = append(l.searchers, r)
 	}
-	l.kinds.Benefit = worth
-	for i := range set.Tenants {
-		t := &set.Tenants[i]
-		l.kinds.Quota = append(l.kinds.Quota, t.Share)
-		l.got[t.Name] = &Got{}
-		for class := range worth {
-			w.after(0, func() { l.arrivals(i, class) })
+	l.layout.Benefit = scanValue
+	for i := range config.Tenants {
+		t := &config.Tenants[i]
+		l.layout.Quota = append(l.layout.Quota, t.Quota)
+		l.results[t.Name] = &TenantResult{}
+		for class := range scanValue {
+			sim.schedule(0, func() { l.scheduleArrivals(i, class) })
 		}
 	}
 	return l
 }
 
-// arrivals are a tenant's scans of a class, by chance.
-func (l *load) arrivals(tenant, class int) {
-	rate := l.set.Tenants[tenant].Asks / float64(len(worth))
+// scheduleArrivals generates a tenant's scans of one class as a Poisson process.
+func (l *workload) scheduleArrivals(tenant, class int) {
+	rate := l.config.Tenants[tenant].Demand / float64(len(scanValue))
 	if rate <= 0 {
-		l.w.after(time.Second/4, func() { l.arrivals(tenant, class) })
+		l.sim.schedule(time.Second/4, func() { l.scheduleArrivals(tenant, class) })
 		return
 	}
-	l.w.after(time.Duration(l.dice.ExpFloat64()/rate*float64(time.Second)), func() {
-		l.arrivals(tenant, class)
-		l.ask(&client{tenant: tenant, class: class}, false)
+	l.sim.schedule(time.Duration(l.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+		l.scheduleArrivals(tenant, class)
+		l.sendScan(&client{tenant: tenant, class: class}, false)
 	})
 }
 
-// client is one that wants one scan done.
+// client sends one scan, and retries it until it completes or the retries are used up.
 type client struct {
-	tenant, class, tries int
+	tenant, class, attempts int
 }
 
-// Ask sets what a tenant asks for from now on.
-func (w *World) Ask(tenant string, perSecond float64) error {
-	for i := range w.load.set.Tenants {
-		if t := &w.load.set.Tenants[i]; t.Name == tenant {
-			t.Asks = perSecond
+// SetDemand sets how many scans per second a tenant sends from now on.
+func (sim *Simulation) SetDemand(tenant string, perSecond float64) error {
+	for i := range sim.workload.config.Tenants {
+		if t := &sim.workload.config.Tenants[i]; t.Name == tenant {
+			t.Demand = perSecond
 			return nil
 		}
 	}
 	return fmt.Errorf("no tenant %q", tenant)
 }
 
-// Got is what each tenant got since it was last asked.
-func (w *World) Got() map[string]Got {
-	out := map[string]Got{}
-	for name, g := range w.load.got {
-		out[name] = *g
-		*g = Got{}
+// TakeResults returns the results of each tenant since the last call.
+func (sim *Simulation) TakeResults() map[string]TenantResult {
+	out := map[string]TenantResult{}
+	for name, r := range sim.workload.results {
+		out[name] = *r
+		*r = TenantResult{}
 	}
 	return out
 }
 
-// Readers does something to each searcher in turn.
-func (w *World) Readers(do func(i int, r *reader.Reader)) {
-	for i, r := range w.load.readers {
-		do(i, r)
-		w.load.look(i)
+// EachSearcher applies a change to each searcher in turn.
+func (sim *Simulation) EachSearcher(change func(i int, r *reader.Reader)) {
+	for i, r := range sim.workload.searchers {
+		change(i, r)
+		sim.workload.scheduleStep(i)
 	}
 }
 
-// Crash ends a searcher, which is back after its restart.
-func (w *World) Crash(i int) {
-	w.load.readers[i].Crash(w.now, w.load.ended)
-	w.load.look(i)
+// CrashSearcher crashes a searcher, which is up again after the restart delay.
+func (sim *Simulation) CrashSearcher(i int) {
+	sim.workload.searchers[i].Crash(sim.now, sim.workload.partEnded)
+	sim.workload.scheduleStep(i)
 }
 
-func (l *load) ask(c *client, again bool) {
-	g := l.got[l.set.Tenants[c.tenant].Name]
-	if !again {
-		g.Asked++
-		g.WorthAsked += worth[c.class]
+func (l *workload) sendScan(c *client, retry bool) {
+	result := l.results[l.config.Tenants[c.tenant].Name]
+	if !retry {
+		result.Requested++
+		result.ValueRequested += scanValue[c.class]
 	}
-	c.tries++
-	n := l.meets()
-	if n == nil { // nobody is there; the client finds out at its own pace
-		l.w.after(timeout/4, func() { l.again(c, 0) })
+	c.attempts++
+	n := l.pickMixer()
+	if n == nil { // no mixer is up, which the client notices after a while
+		l.sim.schedule(timeout/4, func() { l.scheduleRetry(c, 0) })
 		return
 	}
 	answered := false
-	done := func(ok bool, in time.Duration) {
+	done := func(ok bool, retryAfter time.Duration) {
 		if answered {
 			return
 		}
 		if answered = true; ok {
-			g.Done++
-			g.Worth += worth[c.class]
+			result.Completed++
+			result.Value += scanValue[c.class]
 			return
 		}
-		l.again(c, in)
+		l.scheduleRetry(c, retryAfter)
 	}
-	n.do(func() { n.mix.scan(c, again, done) })
-	l.w.after(timeout, func() { done(false, 0) }) // of a mixer that died, or sleeps
+	n.process(func() { n.host.startScan(c, retry, done) })
+	l.sim.schedule(timeout, func() { done(false, 0) }) // if the mixer was killed or is paused
 }
 
-// again has a client come again, if it still wants to.
-func (l *load) again(c *client, in time.Duration) {
-	if c.tries > l.set.Retries {
+// scheduleRetry schedules a client's next attempt, unless its retries are used up.
+func (l *workload) scheduleRetry(c *client, retryAfter time.Duration) {
+	if c.attempts > l.config.Retries {
 		return
 	}
-	if in == 0 || l.dice.Float64() >= l.set.Obey {
-		in = hurry/2 + time.Duration(l.dice.Float64()*float64(hurry))
+	if retryAfter == 0 || l.rng.Float64() >= l.config.ObeyShare {
+		retryAfter = earlyRetryDelay/2 + time.Duration(l.rng.Float64()*float64(earlyRetryDelay))
 	}
-	l.w.after(in, func() { l.ask(c, true) })
+	l.sim.schedule(retryAfter, func() { l.sendScan(c, true) })
 }
 
-// meets is the mixer that a client is led to; nil if none is up. One that sleeps looks up from outside.
-func (l *load) meets() *Node {
+// pickMixer chooses the mixer for an attempt; nil if none is up. From outside, a paused mixer looks as if it were running.
+func (l *workload) pickMixer() *Node {
 	var up []*Node
-	for _, n := range l.w.Nodes {
+	for _, n := range l.sim.Nodes {
 		if n.up {
 			up = append(up, n)
 		}
@@ -201,82 +202,83 @@
 	if len(up) == 0 {
 		return nil
 	}
-	if l.set.Uneven && l.dice.Float64() < 0.5 {
+	if l.config.Uneven && l.rng.Float64() < 0.5 {
 		return up[0]
 	}
-	return up[l.dice.IntN(len(up))]
+	return up[l.rng.IntN(len(up))]
 }
 
-// arrive brings a part to a reader.
-func (l *load) arrive(i int, until time.Duration, end func(reader.Outcome)) (id uint64, ok bool) {
-	r := l.readers[i]
+// sendPart adds a part to a searcher. It returns false if the searcher is down.
+func (l *workload) sendPart(i int, deadline time.Duration, end func(reader.Outcome)) (id uint64, ok bool) {
+	r := l.searchers[i]
 	if !r.Up() {
 		return 0, false
 	}
-	l.ids++
-	l.out[l.ids] = end
-	l.count(i)
-	work := time.Duration(2 / l.set.Pace * (0.6 + 0.8*l.dice.Float64()) * float64(time.Second))
-	r.Arrive(l.w.now, l.ids, work, until, l.ended)
-	l.look(i)
-	return l.ids, true
+	l.lastID++
+	l.inFlight[l.lastID] = end
+	l.checkColdLoad(i)
+	work := time.Duration(2 / l.config.PartsPerSecond * (0.6 + 0.8*l.rng.Float64()) * float64(time.Second))
+	r.Arrive(l.sim.now, l.lastID, work, deadline, l.partEnded)
+	l.scheduleStep(i)
+	return l.lastID, true
 }
 
-// count checks what a cold searcher is sent by all mixers together: over N + 3 x root of N + 3 parts in a span, N being what it
-// stands then, it falls.
-func (l *load) count(i int) {
-	c, set := &l.colds[i], l.set.Cold
-	now := l.w.now
-	if set.For == 0 || c.from == policy.LongAgo || now-c.from > set.For {
+// checkColdLoad checks what all mixers together send to a cold searcher. With N the number of parts that it withstands in
+// a span at its present speed, more than N + 3*sqrt(N) + 3 parts in the span are a violation.
+func (l *workload) checkColdLoad(i int) {
+	start, config := &l.starts[i], l.config.ColdStart
+	now := l.sim.now
+	if config.WarmUp == 0 || start.startedAt == policy.LongAgo || now-start.startedAt > config.WarmUp {
 		return
 	}
-	c.at = append(slices.DeleteFunc(c.at, func(t time.Duration) bool { return t <= now-set.Span }), now)
-	pace := l.set.Pace * (set.Share + (1-set.Share)*float64(now-c.from)/float64(set.For))
-	n := set.Multiple * pace * set.Span.Seconds()
-	most := n + 3*math.Sqrt(n) + 3
-	if l.worst = max(l.worst, float64(len(c.at))/most); float64(len(c.at)) > most {
-		l.w.broke("cold: searcher %d is sent %d parts in %v, %.1f push it over", i, len(c.at), set.Span, most)
+	start.arrivals = append(slices.DeleteFunc(start.arrivals, func(t time.Duration) bool { return t <= now-config.Span }), now)
+	capacity := l.config.PartsPerSecond * (config.Share + (1-config.Share)*float64(now-start.startedAt)/float64(config.WarmUp))
+	n := config.Multiple * capacity * config.Span.Seconds()
+	limit := n + 3*math.Sqrt(n) + 3
+	if l.worstColdLoad = max(l.worstColdLoad, float64(len(start.arrivals))/limit); float64(len(start.arrivals)) > limit {
+		l.sim.violation("cold: searcher %d was sent %d parts in %v, %.1f overload it", i, len(start.arrivals), config.Span, limit)
 	}
 }
 
-// Replace ends a searcher; it starts anew, cold, and the list tells each mixer of it so much later.
-func (w *World) Replace(i int, late func() time.Duration) {
-	w.Crash(i)
-	w.after(restart, func() {
-		w.load.colds[i] = cold{from: w.now}
-		from := w.now
-		for _, n := range w.Nodes {
-			w.after(late(), func() {
+// ReplaceSearcher crashes a searcher and starts a cold one in its place. Each mixer learns of the start from its searcher
+// list after a delay of its own.
+func (sim *Simulation) ReplaceSearcher(i int, listDelay func() time.Duration) {
+	sim.CrashSearcher(i)
+	sim.schedule(restartDelay, func() {
+		sim.workload.starts[i] = searcherStart{startedAt: sim.now}
+		startedAt := sim.now
+		for _, n := range sim.Nodes {
+			sim.schedule(listDelay(), func() {
 				if n.up {
-					n.mix.in(func() { n.mix.told(i, from) })
+					n.host.process(func() { n.host.searcherStarted(i, startedAt) })
 				}
 			})
 		}
 	})
 }
 
-func (l *load) ended(id uint64, how reader.Outcome) {
-	end := l.out[id]
-	delete(l.out, id)
+func (l *workload) partEnded(id uint64, outcome reader.Outcome) {
+	end := l.inFlight[id]
+	delete(l.inFlight, id)
 	if end != nil {
-		l.w.after(trip/2, func() { end(how) })
+		l.sim.schedule(oneWayDelay/2, func() { end(outcome) })
 	}
 }
 
-// look has a reader stepped when something happens there by itself.
-func (l *load) look(i int) {
-	at, ok := l.readers[i].Next()
-	if !ok || l.due[i] > l.w.now && l.due[i] <= at {
+// scheduleStep schedules a searcher's next internal event, unless one at least as early is scheduled.
+func (l *workload) scheduleStep(i int) {
+	at, ok := l.searchers[i].Next()
+	if !ok || l.nextStep[i] > l.sim.now && l.nextStep[i] <= at {
 		return
 	}
-	l.due[i] = max(at, l.w.now+1)
-	due := l.due[i]
-	l.w.after(due-l.w.now, func() {
-		if l.due[i] != due {
+	l.nextStep[i] = max(at, l.sim.now+1)
+	due := l.nextStep[i]
+	l.sim.schedule(due-l.sim.now, func() {
+		if l.nextStep[i] != due {
 			return
 		}
-		l.due[i] = 0
-		l.readers[i].Step(l.w.now, l.ended)
-		l.look(i)
+		l.nextStep[i] = 0
+		l.searchers[i].Step(l.sim.now, l.partEnded)
+		l.scheduleStep(i)
 	})
 }
--- a/fleet/fleetsim/node.go
+++ b/fleet/fleetsim/node.go
@@ -11,148 +11,150 @@
 	"peathollow/fleet/view"
 )
 
-// Node is one mixer: its deciding pieces, and the life that the script gives it.
+// Node is one simulated mixer: its decision code and the state of its process, which the script controls.
 type Node struct {
-	w    *World
-	i    int
-	Name string
-	Inc  uint64
-	life int
-
-	up     bool
-	asleep time.Duration // till then
-	held   []func()      // what came for it in its sleep
-	born   time.Duration // its clock's zero
-	jumped time.Duration // what its clock has jumped
+	sim        *Simulation
+	index      int
+	Name       string
+	Inc        uint64
+	generation int // number of starts; unlike Inc it grows with each start under every injected fault
+
+	up          bool
+	pausedUntil time.Duration
+	deferred    []func()      // events that arrived during a pause
+	startedAt   time.Duration // zero of its clock
+	clockOffset time.Duration // sum of the clock jumps
 
 	*fleet.Mind
-	Probe *overload.Budget
-	mix   *mixer
+	ProbeBudget *overload.Budget
+	host        *engineHost
 
-	wants  map[string]float64 // probes a second that it would make
-	owing  float64            // wished for and not spent yet
-	Probes float64            // spent
-	Mood   overload.Condition
-	lost   time.Duration // since when it has not heard a majority, in truth; -1 if it does
-	sums   map[string]uint64
-	said   uint64 // the number of its last word
+	probeDemand    map[string]float64 // probes per second that it would like to make
+	owedProbes     float64            // wanted and not spent yet
+	Probes         float64            // spent
+	Condition      overload.Condition
+	majorityLostAt time.Duration // when it really lost contact with a majority; -1 while it has contact
+	sums           map[string]uint64
+	lastSeq        uint64 // number of its last heartbeat
 }
 
-// start begins a new life of the mixer.
+// start starts a new incarnation of the mixer.
 func (n *Node) start() {
-	if !n.planted(plantLife) || n.Inc == 0 {
+	if !n.hasFault(faultLife) || n.Inc == 0 {
 		n.Inc++
 	}
-	n.life++
-	n.up, n.asleep, n.held, n.born, n.jumped = true, 0, nil, n.w.now, 0
-	n.owing, n.sums = 0, map[string]uint64{}
-	n.w.truth()
-	set, terms := n.w.mind(), n.w.terms()
-	set.Me, set.Inc = n.Name, n.Inc
-	if n.planted(plantFigure) && n.i == 0 {
-		terms.Instances = 1
+	n.generation++
+	n.up, n.pausedUntil, n.deferred, n.startedAt, n.clockOffset = true, 0, nil, n.sim.now, 0
+	n.owedProbes, n.sums = 0, map[string]uint64{}
+	n.sim.updateContact()
+	settings, budget := n.sim.fleetSettings(), n.sim.budgetConfig()
+	settings.Me, settings.Inc = n.Name, n.Inc
+	if n.hasFault(faultFigure) && n.index == 0 {
+		budget.Instances = 1
 	}
-	if n.planted(plantStale) && n.i == 0 {
-		set.Beat *= 10
+	if n.hasFault(faultStale) && n.index == 0 {
+		settings.Beat *= 10
 	}
 	var err error
-	if n.Mind, err = fleet.New(set, 0); err != nil {
-		panic(err) // the world's settings are checked before
+	if n.Mind, err = fleet.New(settings, 0); err != nil {
+		panic(err) // New has checked the simulation's settings
 	}
-	if n.Probe, err = overload.NewBudget(terms, n.Name, n.Inc, 0); err != nil {
+	if n.ProbeBudget, err = overload.NewBudget(budget, n.Name, n.Inc, 0); err != nil {
 		panic(err)
 	}
-	n.Mood = overload.Calm
-	if n.w.load != nil {
-		n.mix = newMixer(n)
+	n.Condition = overload.Calm
+	if n.sim.workload != nil {
+		n.host = newEngineHost(n)
 	}
-	if !n.w.set.Mute {
-		n.beat(n.life)
-		n.tick(n.life)
+	if !n.sim.settings.NoMessages {
+		n.runHeartbeats(n.generation)
+		n.runTicks(n.generation)
 	}
 }
 
-// do has the mixer do something now, or when it wakes.
-func (n *Node) do(f func()) {
-	if n.w.now < n.asleep {
-		n.held = append(n.held, f)
+// process runs an event of the mixer now, or at the end of its pause.
+func (n *Node) process(f func()) {
+	if n.sim.now < n.pausedUntil {
+		n.deferred = append(n.deferred, f)
 		return
 	}
-	n.clock()
+	n.advance()
 	f()
-	n.check()
+	n.checkInvariants()
 }
 
-// clock sets its pieces' time.
-func (n *Node) clock() {
-	at := n.w.now - n.born + n.jumped
+// advance advances the clocks of the mixer's parts.
+func (n *Node) advance() {
+	at := n.sim.now - n.startedAt + n.clockOffset
 	n.Mind.At(at)
-	n.Probe.Advance(at)
+	n.ProbeBudget.Advance(at)
 }
 
-// beat tells all others what there is to tell, and goes on doing so while this life lasts.
-func (n *Node) beat(life int) {
-	if !n.up || n.life != life {
+// runHeartbeats sends messages to all other mixers once per heartbeat interval, until the mixer stops.
+func (n *Node) runHeartbeats(generation int) {
+	if !n.up || n.generation != generation {
 		return
 	}
-	n.w.after(n.w.set.Beat, func() { n.beat(life) })
-	n.do(func() { n.speak(false) })
+	n.sim.schedule(n.sim.settings.HeartbeatInterval, func() { n.runHeartbeats(generation) })
+	n.process(func() { n.sendMessages(false) })
 }
 
-func (n *Node) speak(leaves bool) {
-	n.Store.SetFact("spare", number(n.Probe.Spare()))
-	if n.mix != nil {
-		n.report()
+func (n *Node) sendMessages(leaving bool) {
+	n.Store.SetFact("spare", encodeNumber(n.ProbeBudget.Spare()))
+	if n.host != nil {
+		n.publishReport()
 	}
 	var names []string
 	var others []*Node
-	for _, o := range n.w.Nodes {
+	for _, o := range n.sim.Nodes {
 		if o != n {
 			names, others = append(names, o.Name), append(others, o)
 		}
 	}
-	for i, msg := range n.Speak(leaves, names) {
-		n.said = msg.Word.No
-		n.w.send(n, others[i], len(msg.Append(nil)), func() { others[i].heard(msg) })
+	for i, message := range n.Speak(leaving, names) {
+		n.lastSeq = message.Word.No
+		n.sim.send(n, others[i], len(message.Append(nil)), func() { others[i].receive(message) })
 	}
 }
 
-// heard takes a message. Words late, doubled or from an earlier life are not believed, and that is as it should be.
-func (n *Node) heard(msg fleet.Message) {
-	if n.planted(plantEcho) {
-		msg.Word.Echo = view.Echo{Inc: n.Inc, No: n.said}
+// receive processes a message. A rejected heartbeat is no violation, as it may be delayed, duplicated or from an earlier
+// incarnation.
+func (n *Node) receive(message fleet.Message) {
+	if n.hasFault(faultEcho) {
+		message.Word.Echo = view.Echo{Inc: n.Inc, No: n.lastSeq}
 	}
-	if err := n.Heard(msg); errors.Is(err, fleet.ErrPiece) {
-		n.w.broke("%s can't read what %s tells: %v", n.Name, msg.Word.From, err)
+	if err := n.Heard(message); errors.Is(err, fleet.ErrPiece) {
+		n.sim.violation("%s rejects the shared state from %s: %v", n.Name, message.Word.From, err)
 	}
-	if n.planted(plantTwice) && n.w.probe.truth["seen"] > 0 {
+	if n.hasFault(faultTwice) && n.sim.truth.counts["seen"] > 0 {
 		n.Store.Add("seen", 0, 1)
 	}
 }
 
-// tick spends what may be spent, and looks for more where it lacks.
-func (n *Node) tick(life int) {
-	if !n.up || n.life != life {
+// runTicks spends probes and applies the fleet's advice at each tick, until the mixer stops.
+func (n *Node) runTicks(generation int) {
+	if !n.up || n.generation != generation {
 		return
 	}
 	const step = 100 * time.Millisecond
-	n.w.after(step, func() { n.tick(life) })
-	n.do(func() {
-		n.spend(step)
-		if n.mix != nil {
-			n.mix.advise()
+	n.sim.schedule(step, func() { n.runTicks(generation) })
+	n.process(func() {
+		n.spendProbes(step)
+		if n.host != nil {
+			n.host.applyAdvice()
 		}
 	})
 }
 
-func (n *Node) spend(step time.Duration) {
-	want := 0.0
-	for _, x := range n.wants {
-		want += x
+// spendProbes spends as many of the wanted probes as the budget allows, and requests loans for the rest.
+func (n *Node) spendProbes(step time.Duration) {
+	demand := 0.0
+	for _, x := range n.probeDemand {
+		demand += x
 	}
-	for n.owing = min(n.owing+want*step.Seconds(), want+1); n.owing >= 1 && n.Probe.Spend(1); n.owing-- {
+	for n.owedProbes = min(n.owedProbes+demand*step.Seconds(), demand+1); n.owedProbes >= 1 && n.ProbeBudget.Spend(1); n.owedProbes-- {
 		n.Probes++
-		n.w.probe.take(n.w, 1)
+		n.sim.truth.spend(n.sim, 1)
 	}
 	if !n.View.Allows(view.UseReports) {
 		return
@@ -164,34 +166,35 @@
 			spare[f.Owner] = overload.PeerSpare{Inc: inc, Rate: x}
 		}
 	})
-	for _, a := range n.Probe.LoanRequests(spare) {
-		if o, err := n.w.Find(a.To); err == nil {
-			n.w.send(n, o, len(encode(a)), func() { o.asked(a, n) })
+	for _, request := range n.ProbeBudget.LoanRequests(spare) {
+		if o, err := n.sim.Find(request.To); err == nil {
+			n.sim.send(n, o, len(encode(request)), func() { o.handleLoanRequest(request, n) })
 		}
 	}
 }
 
-func (n *Node) asked(a overload.LoanRequest, from *Node) {
-	may := n.View.Allows(view.Grant) || n.planted(plantGrant)
-	l, ok := n.Probe.HandleRequest(a, may)
+func (n *Node) handleLoanRequest(request overload.LoanRequest, from *Node) {
+	allowed := n.View.Allows(view.Grant) || n.hasFault(faultGrant)
+	loan, ok := n.ProbeBudget.HandleRequest(request, allowed)
 	if !ok {
 		return
 	}
-	if l.Rate > 0 {
-		n.granted()
+	if loan.Rate > 0 {
+		n.checkGrant()
 	}
-	n.w.send(n, from, len(encode(l)), func() { from.Probe.HandleLoan(l) })
+	n.sim.send(n, from, len(encode(loan)), func() { from.ProbeBudget.HandleLoan(loan) })
 }
 
-// Kill ends it outright; Restart begins a new life, with nothing of the old one.
+// Kill stops the mixer without an announcement.
 func (n *Node) Kill() {
 	n.up = false
-	n.w.truth()
-	if n.mix != nil {
-		n.mix.die()
+	n.sim.updateContact()
+	if n.host != nil {
+		n.host.dropScans()
 	}
 }
 
+// Restart starts a new incarnation, which keeps nothing of the one before, and kills that first if it is up.
 func (n *Node) Restart() {
 	if n.up {
 		n.Kill()
@@ -199,57 +202,57 @@
 	n.start()
 }
 
-// Leave has it say goodbye and end.
+// Leave has the mixer announce that it leaves, and stops it.
 func (n *Node) Leave() {
-	n.do(func() { n.speak(true) })
+	n.process(func() { n.sendMessages(true) })
 	n.Kill()
 }
 
-// Sleep stops it for a time; its clock goes on, and what comes for it waits.
-func (n *Node) Sleep(d time.Duration) {
-	n.asleep = n.w.now + d
-	if n.planted(plantClock) {
-		n.jumped -= d
+// Pause pauses the process for a time. Its clock continues, and events for it are deferred.
+func (n *Node) Pause(d time.Duration) {
+	n.pausedUntil = n.sim.now + d
+	if n.hasFault(faultClock) {
+		n.clockOffset -= d
 	}
-	life := n.life
-	n.w.truth()
-	n.w.after(d, func() {
-		if !n.up || n.life != life || n.w.now < n.asleep {
+	generation := n.generation
+	n.sim.updateContact()
+	n.sim.schedule(d, func() {
+		if !n.up || n.generation != generation || n.sim.now < n.pausedUntil {
 			return
 		}
-		n.w.truth()
-		held := n.held
-		n.held = nil
-		for _, f := range held {
-			n.do(f)
+		n.sim.updateContact()
+		deferred := n.deferred
+		n.deferred = nil
+		for _, f := range deferred {
+			n.process(f)
 		}
 	})
 }
 
-// Jump moves its clock.
-func (n *Node) Jump(d time.Duration) { n.jumped += d }
+// JumpClock moves the mixer's clock forwards, or backwards by a negative step.
+func (n *Node) JumpClock(d time.Duration) { n.clockOffset += d }
 
-// Want has it make so many probes a second, as far as it may.
-func (n *Node) Want(perSecond float64) { n.wants["story"] = perSecond }
+// SetProbeDemand sets how many probes per second the mixer makes if its budget allows.
+func (n *Node) SetProbeDemand(perSecond float64) { n.probeDemand["story"] = perSecond }
 
-// Up tells whether it runs.
+// Up reports whether the mixer is up.
 func (n *Node) Up() bool { return n.up }
 
-// Count adds under a topic; what it counted is known to the world, which checks what others make of it.
+// Count adds k to a counter. The simulation records the true total and checks the sums of all mixers against it.
 func (n *Node) Count(topic string, k uint64) {
-	n.do(func() {
+	n.process(func() {
 		if n.Store.Add(topic, 0, k) {
-			n.w.probe.counted(topic, k)
+			n.sim.truth.addCount(topic, k)
 		}
 	})
 }
 
-func number(x float64) []byte { return encode(x) }
+func encodeNumber(x float64) []byte { return encode(x) }
 
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain figures and names
+		panic(err) // numbers and names can always be encoded
 	}
 	return b
 }
