--- a/fleet/coordinator.go
+++ b/fleet/coordinator.go
@@ -12,13 +12,13 @@
 	"peathollow/fleet/view"
 )
 
-// Settings configures an instance. All fields but Me and Inc must be the same for all instances.
+// Settings configures an instance. All fields but Name and Inc must be the same for all instances.
 type Settings struct {
-	Me        string
-	Inc       uint64        // incarnation of this process, higher than that of the process before
-	Instances int           // the maximum number that run at the same time
-	Beat      time.Duration // time between rounds of heartbeats to all other instances
-	Kinds     overload.BinLayout
+	Name              string
+	Inc               uint64        // incarnation of this process, higher than that of the process before
+	Instances         int           // the maximum number that run at the same time
+	HeartbeatInterval time.Duration // time between rounds of heartbeats to all other instances
+	Layout            overload.BinLayout
 }
 
 // Times are multiples of the heartbeat interval. Several heartbeats may be lost before those of an instance count as
@@ -44,27 +44,27 @@
 
 // Check returns an error if no instance can work with the settings.
 func (s *Settings) Check() error {
-	if s.Beat < minInterval || s.Beat > maxInterval {
-		return fmt.Errorf("beat: %v; must be between %v and %v", s.Beat, minInterval, maxInterval)
+	if s.HeartbeatInterval < minInterval || s.HeartbeatInterval > maxInterval {
+		return fmt.Errorf("beat: %v; must be between %v and %v", s.HeartbeatInterval, minInterval, maxInterval)
 	}
 	return nil
 }
 
-// Stale returns the age at which a heartbeat is stale.
-func (s *Settings) Stale() time.Duration { return staleIntervals * s.Beat }
+// StaleAfter returns the age at which a heartbeat is stale.
+func (s *Settings) StaleAfter() time.Duration { return staleIntervals * s.HeartbeatInterval }
 
-// Leap returns the clock step beyond which the process counts as paused.
-func (s *Settings) Leap() time.Duration { return clockStepIntervals * s.Beat }
+// MaxClockStep returns the clock step beyond which the process counts as paused.
+func (s *Settings) MaxClockStep() time.Duration { return clockStepIntervals * s.HeartbeatInterval }
 
 // Message is what one instance sends another.
 type Message struct {
-	Word  view.Heartbeat  `json:"word"`
-	Piece json.RawMessage `json:"piece,omitempty"`
+	Heartbeat view.Heartbeat  `json:"word"`
+	Piece     json.RawMessage `json:"piece,omitempty"`
 }
 
-// Read decodes a message. Its encoding begins with a brace, which distinguishes it from the duties' messages that the same
-// group carries.
-func Read(b []byte) (m Message, err error) {
+// DecodeMessage decodes a message. Its encoding begins with a brace, which distinguishes it from the duties' messages that
+// the same group carries.
+func DecodeMessage(b []byte) (m Message, err error) {
 	if err = json.Unmarshal(b, &m); err != nil {
 		return m, fmt.Errorf("fleet message: %w", err)
 	}
@@ -82,12 +82,12 @@
 
 // The faults of a received message. A delayed or duplicate heartbeat is rejected too; that is normal and harmless.
 var (
-	ErrWord  = errors.New("fleet message: heartbeat rejected")
-	ErrPiece = errors.New("fleet message: invalid piece of shared state")
+	ErrHeartbeatRejected = errors.New("fleet message: heartbeat rejected")
+	ErrInvalidPiece      = errors.New("fleet message: invalid piece of shared state")
 )
 
-// Mind holds one instance's state of the fleet.
-type Mind struct {
+// Coordinator holds one instance's state of the fleet.
+type Coordinator struct {
 	View  *view.View
 	Store *factstore.Store
 
@@ -102,41 +102,41 @@
 }
 
 // New makes the coordinator of an instance that has not heard any other.
-func New(settings Settings, now time.Duration) (*Mind, error) {
+func New(settings Settings, now time.Duration) (*Coordinator, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	m := &Mind{settings: settings, now: now, capacity: overload.NewCapacity(now), reportedAt: now}
+	m := &Coordinator{settings: settings, now: now, capacity: overload.NewCapacity(now), reportedAt: now}
 	var err error
-	if m.View, err = view.New(view.Settings{Name: settings.Me, Inc: settings.Inc, Instances: settings.Instances, StaleAfter: settings.Stale(),
-		SettleTime: settleIntervals * settings.Beat, MaxClockStep: settings.Leap()}, now); err != nil {
+	if m.View, err = view.New(view.Settings{Name: settings.Name, Inc: settings.Inc, Instances: settings.Instances, StaleAfter: settings.StaleAfter(),
+		SettleTime: settleIntervals * settings.HeartbeatInterval, MaxClockStep: settings.MaxClockStep()}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if m.Store, err = factstore.New(factstore.Settings{Name: settings.Me, Inc: settings.Inc, MaxFacts: 8 * settings.Instances, MaxCounts: 16 * settings.Instances,
+	if m.Store, err = factstore.New(factstore.Settings{Name: settings.Name, Inc: settings.Inc, MaxFacts: 8 * settings.Instances, MaxCounts: 16 * settings.Instances,
 		MaxBodySize: maxFactSize}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if m.detector, err = overload.NewDetector(overload.DetectorConfig{Enter: enterIntervals * settings.Beat, Leave: leaveIntervals * settings.Beat}); err != nil {
+	if m.detector, err = overload.NewDetector(overload.DetectorConfig{Enter: enterIntervals * settings.HeartbeatInterval, Leave: leaveIntervals * settings.HeartbeatInterval}); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	return m, nil
 }
 
-// At advances the clock. It must be called at least every few heartbeat intervals, or the process counts as paused.
-func (m *Mind) At(now time.Duration) {
+// Advance advances the clock. It must be called at least every few heartbeat intervals, or the process counts as paused.
+func (m *Coordinator) Advance(now time.Duration) {
 	m.now = now
 	m.View.Advance(now)
 	m.Store.Advance(now)
 }
 
-// Speak begins a round and returns a message for each of the named instances. All of them get a heartbeat; a few, in
-// rotation over the rounds, also get a piece of the store. When leaving, the last round carries a piece to every instance.
-func (m *Mind) Speak(leaving bool, names []string) []Message {
+// NextMessages begins a round and returns a message for each of the named instances. All of them get a heartbeat; a few,
+// in rotation over the rounds, also get a piece of the store. When leaving, the last round carries a piece to every instance.
+func (m *Coordinator) NextMessages(leaving bool, names []string) []Message {
 	piece := m.Store.EncodePiece(maxPieceSize)
 	heartbeats := m.View.NextHeartbeats(leaving, names)
 	messages := make([]Message, len(heartbeats))
 	for i := range heartbeats {
-		messages[i].Word = heartbeats[i]
+		messages[i].Heartbeat = heartbeats[i]
 		if offset := (i - m.nextPieceTo%len(heartbeats) + len(heartbeats)) % len(heartbeats); offset < piecesPerRound || leaving {
 			messages[i].Piece = piece
 		}
@@ -145,30 +145,30 @@
 	return messages
 }
 
-// Heard processes a message. Its piece is merged only if the heartbeat is proven to be recent.
-func (m *Mind) Heard(message Message) error {
-	if !m.View.ReceiveHeartbeat(message.Word) {
+// Receive processes a message. Its piece is merged only if the heartbeat is proven to be recent.
+func (m *Coordinator) Receive(message Message) error {
+	if !m.View.ReceiveHeartbeat(message.Heartbeat) {
 		m.rejectedCount++
-		return ErrWord
+		return ErrHeartbeatRejected
 	}
-	if _, ok := m.View.ConfirmedIncarnation(message.Word.From); !ok || len(message.Piece) == 0 {
+	if _, ok := m.View.ConfirmedIncarnation(message.Heartbeat.From); !ok || len(message.Piece) == 0 {
 		return nil
 	}
 	if err := m.Store.Merge(message.Piece); err != nil {
 		m.rejectedCount++
-		return fmt.Errorf("%w: %w", ErrPiece, err)
+		return fmt.Errorf("%w: %w", ErrInvalidPiece, err)
 	}
 	return nil
 }
 
-// Due returns the time since the last load report, and whether it is long enough to compute rates for the next one.
-func (m *Mind) Due() (span time.Duration, ok bool) {
+// ReportDue returns the time since the last load report, and whether it is long enough to compute rates for the next one.
+func (m *Coordinator) ReportDue() (span time.Duration, ok bool) {
 	span = m.now - m.reportedAt
-	return span, span >= (reportIntervals-1)*m.settings.Beat+m.settings.Beat/2
+	return span, span >= (reportIntervals-1)*m.settings.HeartbeatInterval+m.settings.HeartbeatInterval/2
 }
 
-// Report sets this instance's load report, with rates since the last one, and publishes it to the other instances.
-func (m *Mind) Report(r overload.Report) error {
+// SetReport sets this instance's load report, with rates since the last one, and publishes it to the other instances.
+func (m *Coordinator) SetReport(r overload.Report) error {
 	m.ownReport, m.reportedAt = r, m.now
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -183,32 +183,33 @@
 // Advice returns the share of each bin of demand that the policy engine is to admit (see policy.Engine.SetAdmission), the
 // fleet's load condition and its capacity in parts per second. The shares are nil if nothing is known or if there is
 // capacity for all demand. An instance that is not in contact with a majority gets no advice and handles overload by itself.
-func (m *Mind) Advice() (admitted []float64, condition overload.Condition, capacity float64) {
+func (m *Coordinator) Advice() (admitted []float64, condition overload.Condition, capacity float64) {
 	if !m.View.Allows(view.UseReports) {
 		m.detector.Reset()
 		m.capacity = overload.NewCapacity(m.now)
 		return nil, overload.Calm, math.Inf(1)
 	}
-	sum := m.Sum()
+	sum := m.FleetReport()
 	condition = m.detector.Update(m.now, sum)
 	if capacity = m.capacity.Update(m.now, condition, sum); math.IsInf(capacity, 1) {
 		return nil, condition, capacity
 	}
-	return m.settings.Kinds.AdmittedShares(sum, capacity), condition, capacity
+	return m.settings.Layout.AdmittedShares(sum, capacity), condition, capacity
 }
 
-// Sum returns the sum of the load reports of this instance and of all instances whose heartbeats are proven to be recent.
-func (m *Mind) Sum() (sum overload.Report) {
+// FleetReport returns the sum of the load reports of this instance and of all instances whose heartbeats are proven to be
+// recent.
+func (m *Coordinator) FleetReport() (sum overload.Report) {
 	sum.Add(m.ownReport)
 	m.Store.EachFact(loadTopic, func(f factstore.Fact) {
 		var r overload.Report
 		inc, ok := m.View.ConfirmedIncarnation(f.Owner)
-		if ok && inc == f.Inc && f.Age <= 2*reportIntervals*m.settings.Beat+m.settings.Stale() && json.Unmarshal(f.Body, &r) == nil {
+		if ok && inc == f.Inc && f.Age <= 2*reportIntervals*m.settings.HeartbeatInterval+m.settings.StaleAfter() && json.Unmarshal(f.Body, &r) == nil {
 			sum.Add(r)
 		}
 	})
 	return sum
 }
 
-// Odd returns the number of rejected messages.
-func (m *Mind) Odd() int { return m.rejectedCount }
+// Rejected returns the number of rejected messages.
+func (m *Coordinator) Rejected() int { return m.rejectedCount }
--- a/fleet/coordinator_test.go
+++ b/fleet/coordinator_test.go
@@ -14,7 +14,7 @@
 
 // group is a set of coordinators that exchange messages once per heartbeat interval, without loss.
 type group struct {
-	coordinators []*Mind
+	coordinators []*Coordinator
 	names        []string
 	now          time.Duration
 }
@@ -22,7 +22,7 @@
 func newGroup(t *testing.T, n int, layout overload.BinLayout) *group {
 	g := &group{}
 	for i := range n {
-		m, err := New(Settings{Me: fmt.Sprint(i), Inc: 1, Instances: n, Beat: interval, Kinds: layout}, 0)
+		m, err := New(Settings{Name: fmt.Sprint(i), Inc: 1, Instances: n, HeartbeatInterval: interval, Layout: layout}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,21 +31,21 @@
 	return g
 }
 
-func (g *group) run(t *testing.T, rounds int, each func(i int, m *Mind)) {
+func (g *group) run(t *testing.T, rounds int, each func(i int, m *Coordinator)) {
 	t.Helper()
 	for range rounds {
 		g.now += interval
 		for i, m := range g.coordinators {
-			m.At(g.now)
+			m.Advance(g.now)
 			each(i, m)
-			for j, message := range m.Speak(false, g.names) {
-				decoded, err := Read(message.Append(nil))
+			for j, message := range m.NextMessages(false, g.names) {
+				decoded, err := DecodeMessage(message.Append(nil))
 				if err != nil {
 					t.Fatal(err)
 				}
 				if j != i {
-					g.coordinators[j].At(g.now)
-					if err := g.coordinators[j].Heard(decoded); err != nil {
+					g.coordinators[j].Advance(g.now)
+					if err := g.coordinators[j].Receive(decoded); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -59,17 +59,17 @@
 func TestAllInstancesGiveTheSameAdvice(t *testing.T) {
 	layout := overload.BinLayout{Benefit: []float64{1}, Quota: []float64{20, 20}}
 	g := newGroup(t, 3, layout)
-	g.run(t, 80, func(i int, m *Mind) {
-		if _, ok := m.Due(); !ok {
+	g.run(t, 80, func(i int, m *Coordinator) {
+		if _, ok := m.ReportDue(); !ok {
 			return
 		}
-		r := overload.Report{First: 5, Done: 5, Carried: 5, Pressure: 0.9, Scans: make([]float64, layout.Len()), Bins: make([]float64, layout.Len())}
-		r.Scans[layout.Bin(0, 1)], r.Bins[layout.Bin(0, 1)] = 5, 5
+		r := overload.Report{FirstAttempts: 5, Completed: 5, PartsServed: 5, Pressure: 0.9, Scans: make([]float64, layout.Len()), Parts: make([]float64, layout.Len())}
+		r.Scans[layout.Bin(0, 1)], r.Parts[layout.Bin(0, 1)] = 5, 5
 		if i == 0 && g.now > 3*time.Second {
-			r.First, r.Done, r.Turned, r.Carried = 105, 25, 80, 25
-			r.Scans[layout.Bin(0, 0)], r.Bins[layout.Bin(0, 0)] = 100, 100
+			r.FirstAttempts, r.Completed, r.Throttled, r.PartsServed = 105, 25, 80, 25
+			r.Scans[layout.Bin(0, 0)], r.Parts[layout.Bin(0, 0)] = 100, 100
 		}
-		if err := m.Report(r); err != nil {
+		if err := m.SetReport(r); err != nil {
 			t.Fatal(err)
 		}
 		m.Advice()
@@ -80,7 +80,7 @@
 			t.Errorf("instance %d: %v, capacity %.0f, admitted shares %v", i, condition, capacity, admitted)
 		}
 	}
-	g.coordinators[0].At(g.now + time.Minute) // a pause of the process
+	g.coordinators[0].Advance(g.now + time.Minute) // a pause of the process
 	if admitted, condition, _ := g.coordinators[0].Advice(); admitted != nil || condition != overload.Calm {
 		t.Errorf("after a pause the advice is %v, %v", admitted, condition)
 	}
@@ -88,26 +88,26 @@
 
 func TestInvalidMessagesAreRejected(t *testing.T) {
 	g := newGroup(t, 2, overload.BinLayout{})
-	g.run(t, 3, func(int, *Mind) {})
+	g.run(t, 3, func(int, *Coordinator) {})
 	m := g.coordinators[0]
-	if _, err := Read([]byte("{")); err == nil {
+	if _, err := DecodeMessage([]byte("{")); err == nil {
 		t.Error("a truncated message is decoded")
 	}
-	valid := g.coordinators[1].Speak(false, []string{"0"})[0]
-	if err := m.Heard(valid); err != nil {
+	valid := g.coordinators[1].NextMessages(false, []string{"0"})[0]
+	if err := m.Receive(valid); err != nil {
 		t.Error(err)
 	}
-	if err := m.Heard(valid); !errors.Is(err, ErrWord) {
+	if err := m.Receive(valid); !errors.Is(err, ErrHeartbeatRejected) {
 		t.Errorf("duplicate message: %v", err)
 	}
-	forged := g.coordinators[1].Speak(false, []string{"0"})[0]
-	if forged.Piece = []byte(`{"f":[{"o":"0","t":"load","i":1,"s":99}]}`); !errors.Is(m.Heard(forged), ErrPiece) {
+	forged := g.coordinators[1].NextMessages(false, []string{"0"})[0]
+	if forged.Piece = []byte(`{"f":[{"o":"0","t":"load","i":1,"s":99}]}`); !errors.Is(m.Receive(forged), ErrInvalidPiece) {
 		t.Error("a fact of this instance that it never wrote is accepted")
 	}
-	if m.Odd() != 2 || m.View.State("1") != view.Alive {
-		t.Errorf("%d messages rejected, state %v", m.Odd(), m.View.State("1"))
+	if m.Rejected() != 2 || m.View.State("1") != view.Alive {
+		t.Errorf("%d messages rejected, state %v", m.Rejected(), m.View.State("1"))
 	}
-	for _, settings := range []Settings{{}, {Me: "a", Instances: 1}, {Me: "", Instances: 1, Beat: interval}, {Me: "a", Beat: interval}} {
+	for _, settings := range []Settings{{}, {Name: "a", Instances: 1}, {Name: "", Instances: 1, HeartbeatInterval: interval}, {Name: "a", HeartbeatInterval: interval}} {
 		if _, err := New(settings, 0); err == nil {
 			t.Errorf("%+v is accepted", settings)
 		}
--- a/fleet/fleetsim/enginehost.go
+++ b/fleet/fleetsim/enginehost.go
@@ -223,11 +223,11 @@
 
 // publishReport publishes the load since the last report, as rates, when a report is due.
 func (n *Node) publishReport() {
-	span, ok := n.Due()
+	span, ok := n.ReportDue()
 	if !ok {
 		return
 	}
-	if err := n.Report(n.host.meter.TakeReport(span)); err != nil {
+	if err := n.SetReport(n.host.meter.TakeReport(span)); err != nil {
 		n.sim.violation("%s cannot publish its load report: %v", n.Name, err)
 	}
 }
--- a/fleet/fleetsim/node.go
+++ b/fleet/fleetsim/node.go
@@ -25,7 +25,7 @@
 	startedAt   time.Duration // zero of its clock
 	clockOffset time.Duration // sum of the clock jumps
 
-	*fleet.Mind
+	*fleet.Coordinator
 	ProbeBudget *overload.Budget
 	host        *engineHost
 
@@ -48,15 +48,15 @@
 	n.owedProbes, n.sums = 0, map[string]uint64{}
 	n.sim.updateContact()
 	settings, budget := n.sim.fleetSettings(), n.sim.budgetConfig()
-	settings.Me, settings.Inc = n.Name, n.Inc
+	settings.Name, settings.Inc = n.Name, n.Inc
 	if n.hasFault(faultFigure) && n.index == 0 {
 		budget.Instances = 1
 	}
 	if n.hasFault(faultStale) && n.index == 0 {
-		settings.Beat *= 10
+		settings.HeartbeatInterval *= 10
 	}
 	var err error
-	if n.Mind, err = fleet.New(settings, 0); err != nil {
+	if n.Coordinator, err = fleet.New(settings, 0); err != nil {
 		panic(err) // New has checked the simulation's settings
 	}
 	if n.ProbeBudget, err = overload.NewBudget(budget, n.Name, n.Inc, 0); err != nil {
@@ -86,7 +86,7 @@
 // advance advances the clocks of the mixer's parts.
 func (n *Node) advance() {
 	at := n.sim.now - n.startedAt + n.clockOffset
-	n.Mind.At(at)
+	n.Coordinator.Advance(at)
 	n.ProbeBudget.Advance(at)
 }
 
@@ -111,8 +111,8 @@
 			names, others = append(names, o.Name), append(others, o)
 		}
 	}
-	for i, message := range n.Speak(leaving, names) {
-		n.lastSeq = message.Word.No
+	for i, message := range n.NextMessages(leaving, names) {
+		n.lastSeq = message.Heartbeat.Seq
 		n.sim.send(n, others[i], len(message.Append(nil)), func() { others[i].receive(message) })
 	}
 }
@@ -121,10 +121,10 @@
 // incarnation.
 func (n *Node) receive(message fleet.Message) {
 	if n.hasFault(faultEcho) {
-		message.Word.Echo = view.Echo{Inc: n.Inc, No: n.lastSeq}
+		message.Heartbeat.Echo = view.Echo{Inc: n.Inc, Seq: n.lastSeq}
 	}
-	if err := n.Heard(message); errors.Is(err, fleet.ErrPiece) {
-		n.sim.violation("%s rejects the shared state from %s: %v", n.Name, message.Word.From, err)
+	if err := n.Receive(message); errors.Is(err, fleet.ErrInvalidPiece) {
+		n.sim.violation("%s rejects the shared state from %s: %v", n.Name, message.Heartbeat.From, err)
 	}
 	if n.hasFault(faultTwice) && n.sim.truth.counts["seen"] > 0 {
 		n.Store.Add("seen", 0, 1)
--- a/fleet/fleetsim/simulation.go
+++ b/fleet/fleetsim/simulation.go
@@ -75,7 +75,7 @@
 		sim.workload = newWorkload(sim)
 	}
 	f := sim.fleetSettings()
-	sim.staleAfter, sim.maxClockStep = f.Stale(), f.Leap()
+	sim.staleAfter, sim.maxClockStep = f.StaleAfter(), f.MaxClockStep()
 	sim.truth.budget = sim.budgetConfig()
 	for _, n := range sim.Nodes {
 		sim.schedule(time.Duration(sim.rng.Float64()*float64(settings.HeartbeatInterval)), n.start)
@@ -85,9 +85,9 @@
 
 // fleetSettings returns the settings that all mixers have in common.
 func (sim *Simulation) fleetSettings() fleet.Settings {
-	settings := fleet.Settings{Instances: sim.settings.Mixers, Beat: sim.settings.HeartbeatInterval}
+	settings := fleet.Settings{Instances: sim.settings.Mixers, HeartbeatInterval: sim.settings.HeartbeatInterval}
 	if sim.workload != nil {
-		settings.Kinds = sim.workload.layout
+		settings.Layout = sim.workload.layout
 	}
 	return settings
 }
--- a/fleet/overload/detector.go
+++ b/fleet/overload/detector.go
@@ -8,15 +8,15 @@
 // Report holds what one instance observed over about a second, as rates per second. Each instance counts its own traffic
 // only.
 type Report struct {
-	First    float64   `json:"f"` // scans sent for the first time
-	Again    float64   `json:"a"` // scans that clients mark as sent again
-	Done     float64   `json:"d"` // completed scans
-	Turned   float64   `json:"t"` // scans throttled, on arrival or later
-	Failed   float64   `json:"x"` // scans abandoned, or given up by their clients
-	Pressure float64   `json:"p"` // time that scans took, as a multiple of the allowed time; above 1 they are late
-	Scans    []float64 `json:"s"` // scans requested, by bin (see BinLayout)
-	Bins     []float64 `json:"b"` // parts requested, by bin: the work
-	Carried  float64   `json:"c"` // parts that searchers served
+	FirstAttempts float64   `json:"f"` // scans sent for the first time
+	Retries       float64   `json:"a"` // scans that clients mark as sent again
+	Completed     float64   `json:"d"` // completed scans
+	Throttled     float64   `json:"t"` // scans throttled, on arrival or later
+	Failed        float64   `json:"x"` // scans abandoned, or given up by their clients
+	Pressure      float64   `json:"p"` // time that scans took, as a multiple of the allowed time; above 1 they are late
+	Scans         []float64 `json:"s"` // scans requested, by bin (see BinLayout)
+	Parts         []float64 `json:"b"` // parts requested, by bin: the work
+	PartsServed   float64   `json:"c"` // parts that searchers served
 }
 
 // Add adds another report to r. The combined pressure is the mean weighted by the scans requested.
@@ -24,9 +24,9 @@
 	if all := r.Requested() + o.Requested(); all > 0 {
 		r.Pressure = (r.Pressure*r.Requested() + o.Pressure*o.Requested()) / all
 	}
-	r.First, r.Again, r.Done = r.First+o.First, r.Again+o.Again, r.Done+o.Done
-	r.Turned, r.Failed, r.Carried = r.Turned+o.Turned, r.Failed+o.Failed, r.Carried+o.Carried
-	r.Scans, r.Bins = sum(r.Scans, o.Scans), sum(r.Bins, o.Bins)
+	r.FirstAttempts, r.Retries, r.Completed = r.FirstAttempts+o.FirstAttempts, r.Retries+o.Retries, r.Completed+o.Completed
+	r.Throttled, r.Failed, r.PartsServed = r.Throttled+o.Throttled, r.Failed+o.Failed, r.PartsServed+o.PartsServed
+	r.Scans, r.Parts = sum(r.Scans, o.Scans), sum(r.Parts, o.Parts)
 }
 
 func sum(a, b []float64) []float64 {
@@ -46,9 +46,9 @@
 }
 
 // Requested returns the rate of all scans requested, first attempts and retries.
-func (r *Report) Requested() float64 { return r.First + r.Again }
+func (r *Report) Requested() float64 { return r.FirstAttempts + r.Retries }
 
-func (r *Report) lost() float64 { return r.Turned + r.Failed }
+func (r *Report) lost() float64 { return r.Throttled + r.Failed }
 
 // Condition is the load condition of the fleet.
 type Condition uint8
@@ -121,12 +121,12 @@
 	if indicated != d.condition && now-d.candidateSince >= wait {
 		d.condition = indicated
 	}
-	if d.condition == Calm && indicated == Calm && r.First > 0 {
+	if d.condition == Calm && indicated == Calm && r.FirstAttempts > 0 {
 		if d.baselineFirst == 0 {
-			d.baselineFirst, d.baselineCompleted = r.First, r.Done
+			d.baselineFirst, d.baselineCompleted = r.FirstAttempts, r.Completed
 		}
-		d.baselineFirst += baselineWeight * (r.First - d.baselineFirst)
-		d.baselineCompleted += baselineWeight * (r.Done - d.baselineCompleted)
+		d.baselineFirst += baselineWeight * (r.FirstAttempts - d.baselineFirst)
+		d.baselineCompleted += baselineWeight * (r.Completed - d.baselineCompleted)
 	}
 	return d.condition
 }
@@ -150,10 +150,10 @@
 	}
 	troubled := d.condition == Outage || d.condition == RetryStorm || d.condition == Recovery
 	lost := r.lost() > bound(lossThreshold, d.condition != Calm)*asked
-	retryRatio := r.Again / max(r.First, 1e-9)
-	fresh := d.baselineFirst > 0 && r.First > freshDemandRatio*d.baselineFirst
+	retryRatio := r.Retries / max(r.FirstAttempts, 1e-9)
+	fresh := d.baselineFirst > 0 && r.FirstAttempts > freshDemandRatio*d.baselineFirst
 	switch {
-	case lost && r.Done < minCompleted*min(asked, max(d.baselineCompleted, r.Done)) || lost && r.Done == 0:
+	case lost && r.Completed < minCompleted*min(asked, max(d.baselineCompleted, r.Completed)) || lost && r.Completed == 0:
 		return Outage
 	case lost && retryRatio > bound(stormRetryRatio, d.condition == RetryStorm) && !fresh:
 		return RetryStorm
--- a/fleet/overload/detector_test.go
+++ b/fleet/overload/detector_test.go
@@ -13,7 +13,7 @@
 // Each condition is recognized by its symptoms. Fresh demand is not a storm, one bad second changes nothing, and the last
 // retries after a storm are recovery.
 func TestConditions(t *testing.T) {
-	calm := Report{First: 100, Done: 99, Turned: 1}
+	calm := Report{FirstAttempts: 100, Completed: 99, Throttled: 1}
 	for _, c := range []struct {
 		name    string
 		reports []Report
@@ -21,13 +21,13 @@
 	}{
 		{"calm", []Report{calm}, Calm},
 		{"no demand", []Report{{}}, Calm},
-		{"twice the demand, first attempts", []Report{{First: 200, Again: 30, Done: 120, Turned: 110}}, Overload},
-		{"twice the demand, and all lost scans are retried", []Report{{First: 200, Again: 150, Done: 120, Turned: 230}}, Overload},
-		{"the usual demand, and lost scans are retried", []Report{{First: 100, Again: 120, Done: 80, Turned: 140}}, RetryStorm},
-		{"hardly anything completes", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}}, Outage},
-		{"back, with retries to come", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}, {First: 100, Again: 40, Done: 138, Turned: 2}}, Recovery},
-		{"after the recovery", []Report{{First: 100, Again: 60, Done: 5, Failed: 155}, {First: 100, Again: 40, Done: 138, Turned: 2}, calm}, Calm},
-		{"late, though all complete", []Report{{First: 100, Done: 100, Pressure: 1.4}}, Overload},
+		{"twice the demand, first attempts", []Report{{FirstAttempts: 200, Retries: 30, Completed: 120, Throttled: 110}}, Overload},
+		{"twice the demand, and all lost scans are retried", []Report{{FirstAttempts: 200, Retries: 150, Completed: 120, Throttled: 230}}, Overload},
+		{"the usual demand, and lost scans are retried", []Report{{FirstAttempts: 100, Retries: 120, Completed: 80, Throttled: 140}}, RetryStorm},
+		{"hardly anything completes", []Report{{FirstAttempts: 100, Retries: 60, Completed: 5, Failed: 155}}, Outage},
+		{"back, with retries to come", []Report{{FirstAttempts: 100, Retries: 60, Completed: 5, Failed: 155}, {FirstAttempts: 100, Retries: 40, Completed: 138, Throttled: 2}}, Recovery},
+		{"after the recovery", []Report{{FirstAttempts: 100, Retries: 60, Completed: 5, Failed: 155}, {FirstAttempts: 100, Retries: 40, Completed: 138, Throttled: 2}, calm}, Calm},
+		{"late, though all complete", []Report{{FirstAttempts: 100, Completed: 100, Pressure: 1.4}}, Overload},
 	} {
 		d, err := NewDetector(DetectorConfig{Enter: 2 * s, Leave: 4 * s})
 		if err != nil {
@@ -59,7 +59,7 @@
 	changes, last := 0, Calm
 	for now := time.Duration(0); now < 600*s; now += s {
 		lost := 4 + 3*rng.Float64()
-		if m := d.Update(now, Report{First: 100, Done: 100 - lost, Turned: lost}); m != last {
+		if m := d.Update(now, Report{FirstAttempts: 100, Completed: 100 - lost, Throttled: lost}); m != last {
 			changes, last = changes+1, m
 		}
 	}
@@ -104,7 +104,7 @@
 	now := time.Duration(0)
 	settle := func() {
 		for end := now + 60*s; now < end; now += s / 4 {
-			admitted = min(300, r.Update(now, Overload, Report{Carried: min(admitted, servable), Pressure: 0.5 + 0.5*min(1, admitted/servable), Bins: []float64{200, 100}}))
+			admitted = min(300, r.Update(now, Overload, Report{PartsServed: min(admitted, servable), Pressure: 0.5 + 0.5*min(1, admitted/servable), Parts: []float64{200, 100}}))
 		}
 	}
 	settle()
@@ -118,13 +118,13 @@
 	// By chance slightly less is served than admitted, and all of it quickly.
 	servable = 1000
 	for end := now + 30*s; now < end; now += s / 4 {
-		admitted = min(300, r.Update(now, RetryStorm, Report{Carried: 0.9 * admitted, Pressure: 0.3, Bins: []float64{200, 100}}))
+		admitted = min(300, r.Update(now, RetryStorm, Report{PartsServed: 0.9 * admitted, Pressure: 0.3, Parts: []float64{200, 100}}))
 	}
 	if admitted < 300 {
 		t.Errorf("%g admitted of 300, and capacity is not short", admitted)
 	}
 	for _, m := range []Condition{Outage, Calm} {
-		if x := r.Update(now, m, Report{Bins: []float64{300}}); !math.IsInf(x, 1) {
+		if x := r.Update(now, m, Report{Parts: []float64{300}}); !math.IsInf(x, 1) {
 			t.Errorf("%g in %v", x, m)
 		}
 	}
@@ -170,9 +170,9 @@
 // part.
 func TestAdmittedShares(t *testing.T) {
 	layout := BinLayout{Benefit: []float64{2, 3}, Quota: []float64{10, 10}}
-	sum := Report{Scans: make([]float64, layout.Len()), Bins: make([]float64, layout.Len())}
+	sum := Report{Scans: make([]float64, layout.Len()), Parts: make([]float64, layout.Len())}
 	set := func(class, tenant int, scans, parts float64) {
-		sum.Scans[layout.Bin(class, tenant)], sum.Bins[layout.Bin(class, tenant)] = scans, scans*parts
+		sum.Scans[layout.Bin(class, tenant)], sum.Parts[layout.Bin(class, tenant)] = scans, scans*parts
 	}
 	set(0, 0, 40, 1) // ten of these are within the quota; class 0 has a value of 2 per part, class 1 of 1
 	set(1, 0, 10, 3)
@@ -186,7 +186,7 @@
 	if admitted = layout.AdmittedShares(sum, 10+24+35); admitted[layout.Bin(0, 0)] != 1 || admitted[layout.Bin(0, -1)] != 1 || admitted[layout.Bin(1, 0)] != 0 {
 		t.Errorf("%v", admitted)
 	}
-	if admitted = layout.AdmittedShares(Report{Scans: []float64{math.NaN(), -1}, Bins: []float64{math.Inf(-1)}}, 5); len(admitted) != layout.Len() {
+	if admitted = layout.AdmittedShares(Report{Scans: []float64{math.NaN(), -1}, Parts: []float64{math.Inf(-1)}}, 5); len(admitted) != layout.Len() {
 		t.Errorf("%v", admitted)
 	}
 }
--- a/fleet/overload/meter.go
+++ b/fleet/overload/meter.go
@@ -27,28 +27,28 @@
 }
 
 func (m *Meter) reset() {
-	m.pressureSamples, m.counts = 0, Report{Scans: make([]float64, m.layout.Len()), Bins: make([]float64, m.layout.Len())}
+	m.pressureSamples, m.counts = 0, Report{Scans: make([]float64, m.layout.Len()), Parts: make([]float64, m.layout.Len())}
 }
 
 // ScanArrived counts an arriving scan. A tenant below 0 stands for no known tenant.
 func (m *Meter) ScanArrived(class, tenant, parts int, retry bool) {
 	if retry {
-		m.counts.Again++
+		m.counts.Retries++
 	} else {
-		m.counts.First++
+		m.counts.FirstAttempts++
 	}
 	bin := m.layout.Bin(class, tenant)
 	m.counts.Scans[bin]++
-	m.counts.Bins[bin] += float64(parts)
+	m.counts.Parts[bin] += float64(parts)
 }
 
 // ScanEnded counts the end of a scan, with the time since its arrival and its target latency.
 func (m *Meter) ScanEnded(outcome ScanOutcome, took, target time.Duration) {
 	switch outcome {
 	case Completed:
-		m.counts.Done++
+		m.counts.Completed++
 	case Throttled:
-		m.counts.Turned++
+		m.counts.Throttled++
 	case Failed:
 		m.counts.Failed++
 	}
@@ -59,17 +59,17 @@
 }
 
 // PartServed counts a part that a searcher served.
-func (m *Meter) PartServed() { m.counts.Carried++ }
+func (m *Meter) PartServed() { m.counts.PartsServed++ }
 
 // TakeReport returns what was counted over a span as rates, and resets the counts.
 func (m *Meter) TakeReport(span time.Duration) Report {
 	r, s := m.counts, span.Seconds()
-	for _, x := range []*float64{&r.First, &r.Again, &r.Done, &r.Turned, &r.Failed, &r.Carried} {
+	for _, x := range []*float64{&r.FirstAttempts, &r.Retries, &r.Completed, &r.Throttled, &r.Failed, &r.PartsServed} {
 		*x /= s
 	}
-	for i := range r.Bins {
+	for i := range r.Parts {
 		r.Scans[i] /= s
-		r.Bins[i] /= s
+		r.Parts[i] /= s
 	}
 	r.Pressure /= max(m.pressureSamples, 1)
 	m.reset()
--- a/fleet/overload/shedding.go
+++ b/fleet/overload/shedding.go
@@ -64,7 +64,7 @@
 	for c := range order {
 		scans, parts := 0.0, 0.0
 		for t := -1; t < len(l.Quota); t++ {
-			scans, parts = scans+rateAt(sum.Scans, l.Bin(c, t)), parts+rateAt(sum.Bins, l.Bin(c, t))
+			scans, parts = scans+rateAt(sum.Scans, l.Bin(c, t)), parts+rateAt(sum.Parts, l.Bin(c, t))
 		}
 		if order[c] = c; parts > 0 {
 			value[c] = l.Benefit[c] * scans / parts
@@ -79,7 +79,7 @@
 		}
 		for _, c := range order {
 			i := l.Bin(c, t)
-			scans, parts := rateAt(sum.Scans, i), rateAt(sum.Bins, i)
+			scans, parts := rateAt(sum.Scans, i), rateAt(sum.Parts, i)
 			within := parts
 			if scans > quotaLeft {
 				within = parts * quotaLeft / scans
@@ -127,15 +127,15 @@
 	dt := min(1, max(0, (now-c.now).Seconds()))
 	c.now = now
 	demand := 0.0
-	for _, x := range sum.Bins {
+	for _, x := range sum.Parts {
 		demand += x
 	}
 	admitted := min(c.limit, demand)
 	switch {
 	case condition == Calm || condition == Outage:
 		c.limit = math.Inf(1)
-	case condition != Recovery && sum.Carried < servedInFull*admitted && sum.Pressure > highPressure:
-		c.limit = max(minAdmittedShare*demand, admitted-shrinkRate*dt*(admitted-sum.Carried))
+	case condition != Recovery && sum.PartsServed < servedInFull*admitted && sum.Pressure > highPressure:
+		c.limit = max(minAdmittedShare*demand, admitted-shrinkRate*dt*(admitted-sum.PartsServed))
 	default:
 		// By chance alone, less is sometimes served than admitted. As long as scans are quick, capacity is not short: scans
 		// shed then would only be retried, and shedding itself would keep the storm going.
--- a/fleet/view/view.go
+++ b/fleet/view/view.go
@@ -98,13 +98,13 @@
 // Heartbeat is the message by which an instance shows that it is alive. It sends one to each of the others in every round.
 // Each is made for its receiver, so that its size does not depend on the number of instances.
 type Heartbeat struct {
-	From      string `json:"from"`
-	Inc       uint64 `json:"inc"`
-	No        uint64 `json:"no"` // increases with each round
-	Instances int    `json:"instances"`
-	Hears     int    `json:"hears"` // number of other instances whose heartbeats are fresh to the sender
-	Echo      Echo   `json:"echo"`  // the last heartbeat from the receiver; zero if that is not fresh
-	Leaves    bool   `json:"leaves,omitempty"`
+	From       string `json:"from"`
+	Inc        uint64 `json:"inc"`
+	Seq        uint64 `json:"no"` // increases with each round
+	Instances  int    `json:"instances"`
+	PeersHeard int    `json:"hears"` // number of other instances whose heartbeats are fresh to the sender
+	Echo       Echo   `json:"echo"`  // the last heartbeat from the receiver; zero if that is not fresh
+	Leaving    bool   `json:"leaves,omitempty"`
 }
 
 // Echo identifies the last heartbeat that the sender received from the receiver. It proves to the receiver that this
@@ -112,7 +112,7 @@
 // network or in front of a paused process.
 type Echo struct {
 	Inc uint64 `json:"i"`
-	No  uint64 `json:"n"`
+	Seq uint64 `json:"n"`
 }
 
 type peer struct {
@@ -173,11 +173,11 @@
 func (v *View) ReceiveHeartbeat(w Heartbeat) bool {
 	p := v.peers[w.From]
 	switch {
-	case w.From == v.settings.Name, w.From == "", w.Instances != v.settings.Instances, w.Hears < 0, w.Hears >= v.settings.Instances,
+	case w.From == v.settings.Name, w.From == "", w.Instances != v.settings.Instances, w.PeersHeard < 0, w.PeersHeard >= v.settings.Instances,
 		p != nil && w.Inc < p.incarnation, p != nil && w.Inc == p.incarnation && p.left:
 		v.rejected++
 		return false
-	case p != nil && w.Inc == p.incarnation && w.No <= p.number:
+	case p != nil && w.Inc == p.incarnation && w.Seq <= p.number:
 		return false // delayed or duplicate
 	case p == nil:
 		if len(v.peers) >= 2*v.settings.Instances && !v.evictPeer() {
@@ -193,12 +193,12 @@
 	}
 	if e := w.Echo; e.Inc == v.settings.Inc {
 		for _, x := range v.sent {
-			if x.number == e.No {
+			if x.number == e.Seq {
 				sentAfter = max(sentAfter, x.at)
 			}
 		}
 	}
-	*p = peer{incarnation: w.Inc, number: w.No, receivedAt: v.now, sentAfter: sentAfter, hears: w.Hears, left: w.Leaves}
+	*p = peer{incarnation: w.Inc, number: w.Seq, receivedAt: v.now, sentAfter: sentAfter, hears: w.PeersHeard, left: w.Leaving}
 	v.updateMajority()
 	return true
 }
@@ -278,10 +278,10 @@
 	v.sent = slices.DeleteFunc(append(v.sent, sentRound{v.round, v.now}), func(x sentRound) bool {
 		return v.now-x.at > v.settings.StaleAfter
 	})
-	w := Heartbeat{From: v.settings.Name, Inc: v.settings.Inc, No: v.round, Instances: v.settings.Instances, Leaves: leaving}
+	w := Heartbeat{From: v.settings.Name, Inc: v.settings.Inc, Seq: v.round, Instances: v.settings.Instances, Leaving: leaving}
 	for _, p := range v.peers {
-		if v.fresh(p) && w.Hears < v.settings.Instances-1 {
-			w.Hears++
+		if v.fresh(p) && w.PeersHeard < v.settings.Instances-1 {
+			w.PeersHeard++
 		}
 	}
 	heartbeats := make([]Heartbeat, len(names))
--- a/fleet/view/view_test.go
+++ b/fleet/view/view_test.go
@@ -22,11 +22,11 @@
 // receiveFrom receives a heartbeat from another instance that hears the given ones. If this instance is among them, the
 // heartbeat echoes its last round.
 func (c *View) receiveFrom(from string, hears ...string) bool {
-	w := Heartbeat{From: from, Inc: 7, Instances: 5, Hears: len(hears)}
+	w := Heartbeat{From: from, Inc: 7, Instances: 5, PeersHeard: len(hears)}
 	if p := c.peers[from]; p != nil {
-		w.No = p.number
+		w.Seq = p.number
 	}
-	w.No++
+	w.Seq++
 	if slices.Contains(hears, c.settings.Name) {
 		w.Echo = Echo{c.settings.Inc, c.round}
 	}
@@ -91,7 +91,7 @@
 	if !v.Advance(4*s + 1) {
 		t.Error("the pause is not noticed")
 	}
-	if v.Connectivity() != Isolated || len(v.ConfirmedPeers()) > 0 || v.NextHeartbeats(false, []string{"b"})[0] != (Heartbeat{From: "a", Inc: 7, No: v.round, Instances: 5}) {
+	if v.Connectivity() != Isolated || len(v.ConfirmedPeers()) > 0 || v.NextHeartbeats(false, []string{"b"})[0] != (Heartbeat{From: "a", Inc: 7, Seq: v.round, Instances: 5}) {
 		t.Errorf("after the pause: %v, hears %v", v.Connectivity(), v.ConfirmedPeers())
 	}
 	v.round-- // queued heartbeats echo a round from before the pause
@@ -109,11 +109,11 @@
 func TestInvalidHeartbeatsAreRejected(t *testing.T) {
 	v := newViewOfFive(t, "a")
 	heartbeat := func(from string, inc, no uint64) Heartbeat {
-		return Heartbeat{From: from, Inc: inc, No: no, Instances: 5}
+		return Heartbeat{From: from, Inc: inc, Seq: no, Instances: 5}
 	}
 	v.ReceiveHeartbeat(heartbeat("b", 7, 2))
 	leaving, otherSize, tooMany := heartbeat("d", 7, 1), heartbeat("c", 7, 1), heartbeat("e", 7, 1)
-	leaving.Leaves, otherSize.Instances, tooMany.Hears = true, 4, 5
+	leaving.Leaving, otherSize.Instances, tooMany.PeersHeard = true, 4, 5
 	v.ReceiveHeartbeat(leaving)
 	for _, w := range []Heartbeat{heartbeat("b", 6, 9), heartbeat("b", 7, 2), heartbeat("b", 7, 1), otherSize, heartbeat("a", 9, 9), heartbeat("", 1, 1), heartbeat("d", 7, 2), tooMany} {
 		if v.ReceiveHeartbeat(w) {
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -153,7 +153,7 @@
 		b := m.Append(nil)
 		old := golden(t, "fleet-message.json", b)
 		must.Eq(t, string(old), string(b))
-		got, err := fleet.Read(old)
+		got, err := fleet.DecodeMessage(old)
 		must.NoError(t, err)
 		must.Eq(t, *m, got)
 	})
--- a/mixer/ally.go
+++ b/mixer/ally.go
@@ -30,7 +30,7 @@
 	start time.Time
 
 	mu     sync.Mutex
-	mind   *fleet.Mind
+	mind   *fleet.Coordinator
 	meter  *overload.Meter
 	others []string
 	stands view.Connectivity // as last logged
@@ -46,7 +46,7 @@
 	}
 	a.meter = overload.NewMeter(kinds)
 	var err error
-	a.mind, err = fleet.New(fleet.Settings{Me: c.Name, Inc: inc, Instances: c.Ours.Fleet.Instances, Beat: a.beat, Kinds: kinds}, 0)
+	a.mind, err = fleet.New(fleet.Settings{Name: c.Name, Inc: inc, Instances: c.Ours.Fleet.Instances, HeartbeatInterval: a.beat, Layout: kinds}, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -96,14 +96,14 @@
 }
 
 func (a *ally) Message(b []byte) {
-	msg, err := fleet.Read(b)
+	msg, err := fleet.DecodeMessage(b)
 	if err == nil {
 		a.mu.Lock()
-		a.mind.At(a.now())
-		err = a.mind.Heard(msg)
+		a.mind.Advance(a.now())
+		err = a.mind.Receive(msg)
 		a.mu.Unlock()
 	}
-	if err != nil && !errors.Is(err, fleet.ErrWord) {
+	if err != nil && !errors.Is(err, fleet.ErrHeartbeatRejected) {
 		a.log.Warn("message not believed", zap.Error(err))
 	}
 }
@@ -118,14 +118,14 @@
 
 func (a *ally) speak(leaves bool) {
 	a.mu.Lock()
-	a.mind.At(a.now())
-	if span, ok := a.mind.Due(); ok {
-		if err := a.mind.Report(a.meter.TakeReport(span)); err != nil {
+	a.mind.Advance(a.now())
+	if span, ok := a.mind.ReportDue(); ok {
+		if err := a.mind.SetReport(a.meter.TakeReport(span)); err != nil {
 			a.log.Error("load not told", zap.Error(err))
 		}
 	}
 	to := a.others
-	msgs := a.mind.Speak(leaves, to)
+	msgs := a.mind.NextMessages(leaves, to)
 	a.mu.Unlock()
 	for i := range msgs {
 		a.send(to[i], msgs[i].Append(nil))
