--- a/fleet/coordinator.go
+++ b/fleet/coordinator.go
@@ -106,75 +106,75 @@
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	m := &Coordinator{settings: settings, now: now, capacity: overload.NewCapacity(now), reportedAt: now}
+	c := &Coordinator{settings: settings, now: now, capacity: overload.NewCapacity(now), reportedAt: now}
 	var err error
-	if m.View, err = view.New(view.Settings{Name: settings.Name, Inc: settings.Inc, Instances: settings.Instances, StaleAfter: settings.StaleAfter(),
+	if c.View, err = view.New(view.Settings{Name: settings.Name, Inc: settings.Inc, Instances: settings.Instances, StaleAfter: settings.StaleAfter(),
 		SettleTime: settleIntervals * settings.HeartbeatInterval, MaxClockStep: settings.MaxClockStep()}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if m.Store, err = factstore.New(factstore.Settings{Name: settings.Name, Inc: settings.Inc, MaxFacts: 8 * settings.Instances, MaxCounts: 16 * settings.Instances,
+	if c.Store, err = factstore.New(factstore.Settings{Name: settings.Name, Inc: settings.Inc, MaxFacts: 8 * settings.Instances, MaxCounts: 16 * settings.Instances,
 		MaxBodySize: maxFactSize}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if m.detector, err = overload.NewDetector(overload.DetectorConfig{Enter: enterIntervals * settings.HeartbeatInterval, Leave: leaveIntervals * settings.HeartbeatInterval}); err != nil {
+	if c.detector, err = overload.NewDetector(overload.DetectorConfig{Enter: enterIntervals * settings.HeartbeatInterval, Leave: leaveIntervals * settings.HeartbeatInterval}); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	return m, nil
+	return c, nil
 }
 
 // Advance advances the clock. It must be called at least every few heartbeat intervals, or the process counts as paused.
-func (m *Coordinator) Advance(now time.Duration) {
-	m.now = now
-	m.View.Advance(now)
-	m.Store.Advance(now)
+func (c *Coordinator) Advance(now time.Duration) {
+	c.now = now
+	c.View.Advance(now)
+	c.Store.Advance(now)
 }
 
 // NextMessages begins a round and returns a message for each of the named instances. All of them get a heartbeat; a few,
 // in rotation over the rounds, also get a piece of the store. When leaving, the last round carries a piece to every instance.
-func (m *Coordinator) NextMessages(leaving bool, names []string) []Message {
-	piece := m.Store.EncodePiece(maxPieceSize)
-	heartbeats := m.View.NextHeartbeats(leaving, names)
+func (c *Coordinator) NextMessages(leaving bool, names []string) []Message {
+	piece := c.Store.EncodePiece(maxPieceSize)
+	heartbeats := c.View.NextHeartbeats(leaving, names)
 	messages := make([]Message, len(heartbeats))
 	for i := range heartbeats {
 		messages[i].Heartbeat = heartbeats[i]
-		if offset := (i - m.nextPieceTo%len(heartbeats) + len(heartbeats)) % len(heartbeats); offset < piecesPerRound || leaving {
+		if offset := (i - c.nextPieceTo%len(heartbeats) + len(heartbeats)) % len(heartbeats); offset < piecesPerRound || leaving {
 			messages[i].Piece = piece
 		}
 	}
-	m.nextPieceTo += piecesPerRound
+	c.nextPieceTo += piecesPerRound
 	return messages
 }
 
 // Receive processes a message. Its piece is merged only if the heartbeat is proven to be recent.
-func (m *Coordinator) Receive(message Message) error {
-	if !m.View.ReceiveHeartbeat(message.Heartbeat) {
-		m.rejectedCount++
+func (c *Coordinator) Receive(message Message) error {
+	if !c.View.ReceiveHeartbeat(message.Heartbeat) {
+		c.rejectedCount++
 		return ErrHeartbeatRejected
 	}
-	if _, ok := m.View.ConfirmedIncarnation(message.Heartbeat.From); !ok || len(message.Piece) == 0 {
+	if _, ok := c.View.ConfirmedIncarnation(message.Heartbeat.From); !ok || len(message.Piece) == 0 {
 		return nil
 	}
-	if err := m.Store.Merge(message.Piece); err != nil {
-		m.rejectedCount++
+	if err := c.Store.Merge(message.Piece); err != nil {
+		c.rejectedCount++
 		return fmt.Errorf("%w: %w", ErrInvalidPiece, err)
 	}
 	return nil
 }
 
 // ReportDue returns the time since the last load report, and whether it is long enough to compute rates for the next one.
-func (m *Coordinator) ReportDue() (span time.Duration, ok bool) {
-	span = m.now - m.reportedAt
-	return span, span >= (reportIntervals-1)*m.settings.HeartbeatInterval+m.settings.HeartbeatInterval/2
+func (c *Coordinator) ReportDue() (span time.Duration, ok bool) {
+	span = c.now - c.reportedAt
+	return span, span >= (reportIntervals-1)*c.settings.HeartbeatInterval+c.settings.HeartbeatInterval/2
 }
 
 // SetReport sets this instance's load report, with rates since the last one, and publishes it to the other instances.
-func (m *Coordinator) SetReport(r overload.Report) error {
-	m.ownReport, m.reportedAt = r, m.now
+func (c *Coordinator) SetReport(r overload.Report) error {
+	c.ownReport, c.reportedAt = r, c.now
 	body, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("fleet: report: %w", err)
 	}
-	if err := m.Store.SetFact(loadTopic, body); err != nil {
+	if err := c.Store.SetFact(loadTopic, body); err != nil {
 		return fmt.Errorf("fleet: report: %w", err)
 	}
 	return nil
@@ -183,28 +183,28 @@
 // Advice returns the share of each bin of demand that the policy engine is to admit (see policy.Engine.SetAdmission), the
 // fleet's load condition and its capacity in parts per second. The shares are nil if nothing is known or if there is
 // capacity for all demand. An instance that is not in contact with a majority gets no advice and handles overload by itself.
-func (m *Coordinator) Advice() (admitted []float64, condition overload.Condition, capacity float64) {
-	if !m.View.Allows(view.UseReports) {
-		m.detector.Reset()
-		m.capacity = overload.NewCapacity(m.now)
+func (c *Coordinator) Advice() (admitted []float64, condition overload.Condition, capacity float64) {
+	if !c.View.Allows(view.UseReports) {
+		c.detector.Reset()
+		c.capacity = overload.NewCapacity(c.now)
 		return nil, overload.Calm, math.Inf(1)
 	}
-	sum := m.FleetReport()
-	condition = m.detector.Update(m.now, sum)
-	if capacity = m.capacity.Update(m.now, condition, sum); math.IsInf(capacity, 1) {
+	sum := c.FleetReport()
+	condition = c.detector.Update(c.now, sum)
+	if capacity = c.capacity.Update(c.now, condition, sum); math.IsInf(capacity, 1) {
 		return nil, condition, capacity
 	}
-	return m.settings.Layout.AdmittedShares(sum, capacity), condition, capacity
+	return c.settings.Layout.AdmittedShares(sum, capacity), condition, capacity
 }
 
 // FleetReport returns the sum of the load reports of this instance and of all instances whose heartbeats are proven to be
 // recent.
-func (m *Coordinator) FleetReport() (sum overload.Report) {
-	sum.Add(m.ownReport)
-	m.Store.EachFact(loadTopic, func(f factstore.Fact) {
+func (c *Coordinator) FleetReport() (sum overload.Report) {
+	sum.Add(c.ownReport)
+	c.Store.EachFact(loadTopic, func(f factstore.Fact) {
 		var r overload.Report
-		inc, ok := m.View.ConfirmedIncarnation(f.Owner)
-		if ok && inc == f.Inc && f.Age <= 2*reportIntervals*m.settings.HeartbeatInterval+m.settings.StaleAfter() && json.Unmarshal(f.Body, &r) == nil {
+		inc, ok := c.View.ConfirmedIncarnation(f.Owner)
+		if ok && inc == f.Inc && f.Age <= 2*reportIntervals*c.settings.HeartbeatInterval+c.settings.StaleAfter() && json.Unmarshal(f.Body, &r) == nil {
 			sum.Add(r)
 		}
 	})
@@ -212,4 +212,4 @@
 }
 
 // Rejected returns the number of rejected messages.
-func (m *Coordinator) Rejected() int { return m.rejectedCount }
+func (c *Coordinator) Rejected() int { return c.rejectedCount }
--- a/fleet/coordinator_test.go
+++ b/fleet/coordinator_test.go
@@ -22,23 +22,23 @@
 func newGroup(t *testing.T, n int, layout overload.BinLayout) *group {
 	g := &group{}
 	for i := range n {
-		m, err := New(Settings{Name: fmt.Sprint(i), Inc: 1, Instances: n, HeartbeatInterval: interval, Layout: layout}, 0)
+		c, err := New(Settings{Name: fmt.Sprint(i), Inc: 1, Instances: n, HeartbeatInterval: interval, Layout: layout}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.coordinators, g.names = append(g.coordinators, m), append(g.names, fmt.Sprint(i))
+		g.coordinators, g.names = append(g.coordinators, c), append(g.names, fmt.Sprint(i))
 	}
 	return g
 }
 
-func (g *group) run(t *testing.T, rounds int, each func(i int, m *Coordinator)) {
+func (g *group) run(t *testing.T, rounds int, each func(i int, c *Coordinator)) {
 	t.Helper()
 	for range rounds {
 		g.now += interval
-		for i, m := range g.coordinators {
-			m.Advance(g.now)
-			each(i, m)
-			for j, message := range m.NextMessages(false, g.names) {
+		for i, c := range g.coordinators {
+			c.Advance(g.now)
+			each(i, c)
+			for j, message := range c.NextMessages(false, g.names) {
 				decoded, err := DecodeMessage(message.Append(nil))
 				if err != nil {
 					t.Fatal(err)
@@ -59,8 +59,8 @@
 func TestAllInstancesGiveTheSameAdvice(t *testing.T) {
 	layout := overload.BinLayout{Benefit: []float64{1}, Quota: []float64{20, 20}}
 	g := newGroup(t, 3, layout)
-	g.run(t, 80, func(i int, m *Coordinator) {
-		if _, ok := m.ReportDue(); !ok {
+	g.run(t, 80, func(i int, c *Coordinator) {
+		if _, ok := c.ReportDue(); !ok {
 			return
 		}
 		r := overload.Report{FirstAttempts: 5, Completed: 5, PartsServed: 5, Pressure: 0.9, Scans: make([]float64, layout.Len()), Parts: make([]float64, layout.Len())}
@@ -69,13 +69,13 @@
 			r.FirstAttempts, r.Completed, r.Throttled, r.PartsServed = 105, 25, 80, 25
 			r.Scans[layout.Bin(0, 0)], r.Parts[layout.Bin(0, 0)] = 100, 100
 		}
-		if err := m.SetReport(r); err != nil {
+		if err := c.SetReport(r); err != nil {
 			t.Fatal(err)
 		}
-		m.Advice()
+		c.Advice()
 	})
-	for i, m := range g.coordinators {
-		admitted, condition, capacity := m.Advice()
+	for i, c := range g.coordinators {
+		admitted, condition, capacity := c.Advice()
 		if condition != overload.Overload || len(admitted) != layout.Len() || admitted[layout.Bin(0, 1)] < 0.99 || admitted[layout.Bin(0, 0)] > 0.5 {
 			t.Errorf("instance %d: %v, capacity %.0f, admitted shares %v", i, condition, capacity, admitted)
 		}
@@ -89,23 +89,23 @@
 func TestInvalidMessagesAreRejected(t *testing.T) {
 	g := newGroup(t, 2, overload.BinLayout{})
 	g.run(t, 3, func(int, *Coordinator) {})
-	m := g.coordinators[0]
+	c := g.coordinators[0]
 	if _, err := DecodeMessage([]byte("{")); err == nil {
 		t.Error("a truncated message is decoded")
 	}
 	valid := g.coordinators[1].NextMessages(false, []string{"0"})[0]
-	if err := m.Receive(valid); err != nil {
+	if err := c.Receive(valid); err != nil {
 		t.Error(err)
 	}
-	if err := m.Receive(valid); !errors.Is(err, ErrHeartbeatRejected) {
+	if err := c.Receive(valid); !errors.Is(err, ErrHeartbeatRejected) {
 		t.Errorf("duplicate message: %v", err)
 	}
 	forged := g.coordinators[1].NextMessages(false, []string{"0"})[0]
-	if forged.Piece = []byte(`{"f":[{"o":"0","t":"load","i":1,"s":99}]}`); !errors.Is(m.Receive(forged), ErrInvalidPiece) {
+	if forged.Piece = []byte(`{"f":[{"o":"0","t":"load","i":1,"s":99}]}`); !errors.Is(c.Receive(forged), ErrInvalidPiece) {
 		t.Error("a fact of this instance that it never wrote is accepted")
 	}
-	if m.Rejected() != 2 || m.View.State("1") != view.Alive {
-		t.Errorf("%d messages rejected, state %v", m.Rejected(), m.View.State("1"))
+	if c.Rejected() != 2 || c.View.State("1") != view.Alive {
+		t.Errorf("%d messages rejected, state %v", c.Rejected(), c.View.State("1"))
 	}
 	for _, settings := range []Settings{{}, {Name: "a", Instances: 1}, {Name: "", Instances: 1, HeartbeatInterval: interval}, {Name: "a", HeartbeatInterval: interval}} {
 		if _, err := New(settings, 0); err == nil {
