--- a/fleet/coordinator.go
+++ b/fleet/coordinator.go
@@ -108,15 +108,17 @@
 	}
 	c := &Coordinator{settings: settings, now: now, capacity: overload.NewCapacity(now), reportedAt: now}
 	var err error
-	if c.View, err = view.New(view.Settings{Name: settings.Name, Inc: settings.Inc, Instances: settings.Instances, StaleAfter: settings.StaleAfter(),
-		SettleTime: settleIntervals * settings.HeartbeatInterval, MaxClockStep: settings.MaxClockStep()}, now); err != nil {
+	if c.View, err = view.New(view.Settings{Name: settings.Name, Inc: settings.Inc, Instances: settings.Instances,
+		StaleAfter: settings.StaleAfter(), SettleTime: settleIntervals * settings.HeartbeatInterval,
+		MaxClockStep: settings.MaxClockStep()}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if c.Store, err = factstore.New(factstore.Settings{Name: settings.Name, Inc: settings.Inc, MaxFacts: 8 * settings.Instances, MaxCounts: 16 * settings.Instances,
-		MaxBodySize: maxFactSize}, now); err != nil {
+	if c.Store, err = factstore.New(factstore.Settings{Name: settings.Name, Inc: settings.Inc, MaxFacts: 8 * settings.Instances,
+		MaxCounts: 16 * settings.Instances, MaxBodySize: maxFactSize}, now); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if c.detector, err = overload.NewDetector(overload.DetectorConfig{Enter: enterIntervals * settings.HeartbeatInterval, Leave: leaveIntervals * settings.HeartbeatInterval}); err != nil {
+	if c.detector, err = overload.NewDetector(overload.DetectorConfig{Enter: enterIntervals * settings.HeartbeatInterval,
+		Leave: leaveIntervals * settings.HeartbeatInterval}); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	return c, nil
@@ -204,7 +206,8 @@
 	c.Store.EachFact(loadTopic, func(f factstore.Fact) {
 		var r overload.Report
 		inc, ok := c.View.ConfirmedIncarnation(f.Owner)
-		if ok && inc == f.Inc && f.Age <= 2*reportIntervals*c.settings.HeartbeatInterval+c.settings.StaleAfter() && json.Unmarshal(f.Body, &r) == nil {
+		if ok && inc == f.Inc && f.Age <= 2*reportIntervals*c.settings.HeartbeatInterval+c.settings.StaleAfter() &&
+			json.Unmarshal(f.Body, &r) == nil {
 			sum.Add(r)
 		}
 	})
--- a/fleet/coordinator_test.go
+++ b/fleet/coordinator_test.go
@@ -63,7 +63,8 @@
 		if _, ok := c.ReportDue(); !ok {
 			return
 		}
-		r := overload.Report{FirstAttempts: 5, Completed: 5, PartsServed: 5, Pressure: 0.9, Scans: make([]float64, layout.Len()), Parts: make([]float64, layout.Len())}
+		r := overload.Report{FirstAttempts: 5, Completed: 5, PartsServed: 5, Pressure: 0.9,
+			Scans: make([]float64, layout.Len()), Parts: make([]float64, layout.Len())}
 		r.Scans[layout.Bin(0, 1)], r.Parts[layout.Bin(0, 1)] = 5, 5
 		if i == 0 && g.now > 3*time.Second {
 			r.FirstAttempts, r.Completed, r.Throttled, r.PartsServed = 105, 25, 80, 25
@@ -76,7 +77,8 @@
 	})
 	for i, c := range g.coordinators {
 		admitted, condition, capacity := c.Advice()
-		if condition != overload.Overload || len(admitted) != layout.Len() || admitted[layout.Bin(0, 1)] < 0.99 || admitted[layout.Bin(0, 0)] > 0.5 {
+		if condition != overload.Overload || len(admitted) != layout.Len() || admitted[layout.Bin(0, 1)] < 0.99 ||
+			admitted[layout.Bin(0, 0)] > 0.5 {
 			t.Errorf("instance %d: %v, capacity %.0f, admitted shares %v", i, condition, capacity, admitted)
 		}
 	}
@@ -107,7 +109,8 @@
 	if c.Rejected() != 2 || c.View.State("1") != view.Alive {
 		t.Errorf("%d messages rejected, state %v", c.Rejected(), c.View.State("1"))
 	}
-	for _, settings := range []Settings{{}, {Name: "a", Instances: 1}, {Name: "", Instances: 1, HeartbeatInterval: interval}, {Name: "a", HeartbeatInterval: interval}} {
+	for _, settings := range []Settings{{}, {Name: "a", Instances: 1}, {Name: "", Instances: 1, HeartbeatInterval: interval},
+		{Name: "a", HeartbeatInterval: interval}} {
 		if _, err := New(settings, 0); err == nil {
 			t.Errorf("%+v is accepted", settings)
 		}
--- a/fleet/fleetsim/check.go
+++ b/fleet/fleetsim/check.go
@@ -60,9 +60,11 @@
 // checkInvariants runs after every event of a mixer.
 func (n *Node) checkInvariants() {
 	sim := n.sim
-	separated := n.majorityLostAt >= 0 && sim.now-n.majorityLostAt > sim.staleAfter+sim.settings.HeartbeatInterval+oneWayDelay+sim.network.maxDelay
+	separated := n.majorityLostAt >= 0 &&
+		sim.now-n.majorityLostAt > sim.staleAfter+sim.settings.HeartbeatInterval+oneWayDelay+sim.network.maxDelay
 	if separated && (n.View.Allows(view.Grant) || n.View.Allows(view.Raise)) {
-		sim.violation("views: %s may grant or raise (%v), but has had no contact with a majority for %v", n.Name, n.View.Connectivity(), sim.now-n.majorityLostAt)
+		sim.violation("views: %s may grant or raise (%v), but has had no contact with a majority for %v",
+			n.Name, n.View.Connectivity(), sim.now-n.majorityLostAt)
 	}
 	if !n.View.Allows(view.UseOwnShare) || !n.View.Allows(view.Lower) {
 		sim.violation("views: %s may not use its own share, or may not lower", n.Name)
--- a/fleet/fleetsim/cold_test.go
+++ b/fleet/fleetsim/cold_test.go
@@ -20,7 +20,7 @@
 
 // All mixers together must not send a cold searcher more than it withstands, whatever each mixer knows: with the list
 // up to date or late, half of the load at one mixer, restarted mixers, in an overload, with 20 to 300 mixers. The
-// delays of the list are distributed evenly up to the maximum. The maximum load, as a share of what overloads a searcher,
+// delays of the list are distributed uniformly up to the maximum. The maximum load, as a share of what overloads a searcher,
 // is logged.
 func TestMixersTogetherDoNotOverloadColdSearchers(t *testing.T) {
 	cases := []coldCase{
@@ -58,8 +58,9 @@
 	settings := Default(c.mixers, 5)
 	settings.NoMessages, settings.Shared = true, false
 	settings.Load = Load{Searchers: 24, PartsPerSecond: 40, ObeyShare: 0.5, Retries: 2, Uneven: c.uneven,
-		Tenants:   []Tenant{{Name: "acme", Quota: 400, Demand: c.demand}},
-		ColdStart: ColdStart{WarmUp: 10 * s, Share: 0.3, Multiple: c.multiple, Span: 1500 * time.Millisecond, UnknownToMixers: unknownToMixers}}
+		Tenants: []Tenant{{Name: "acme", Quota: 400, Demand: c.demand}},
+		ColdStart: ColdStart{WarmUp: 10 * s, Share: 0.3, Multiple: c.multiple, Span: 1500 * time.Millisecond,
+			UnknownToMixers: unknownToMixers}}
 	sim, err := New(settings)
 	if err != nil {
 		t.Error(err)
--- a/fleet/fleetsim/enginehost.go
+++ b/fleet/fleetsim/enginehost.go
@@ -45,11 +45,13 @@
 
 func newEngineHost(n *Node) *engineHost {
 	l := n.sim.workload
-	h := &engineHost{n: n, generation: n.generation, scans: map[uint64]*scan{}, parts: map[uint64]*part{}, capacity: math.Inf(1), meter: overload.NewMeter(l.layout)}
-	settings := policy.Settings{Seed: n.sim.settings.Seed*1000 + n.Inc, Instance: n.index, Mixers: n.sim.settings.Mixers, Shards: l.config.Searchers, ShardSpan: 2,
-		PartsPerCall: 1, MaxAttempts: 3, MayHedge: true, RetryAdvice: true, MaxRetryAfter: 5 * time.Second, MayCancel: true,
-		Granularity: 5 * time.Millisecond, ListInterval: 10 * time.Second, WarmUp: l.config.ColdStart.WarmUp, OverloadSpan: l.config.ColdStart.Span,
-		ColdShare: l.config.ColdStart.Share, OverloadMultiple: l.config.ColdStart.Multiple}
+	h := &engineHost{n: n, generation: n.generation, scans: map[uint64]*scan{}, parts: map[uint64]*part{},
+		capacity: math.Inf(1), meter: overload.NewMeter(l.layout)}
+	settings := policy.Settings{Seed: n.sim.settings.Seed*1000 + n.Inc, Instance: n.index, Mixers: n.sim.settings.Mixers,
+		Shards: l.config.Searchers, ShardSpan: 2, PartsPerCall: 1, MaxAttempts: 3, MayHedge: true,
+		RetryAdvice: true, MaxRetryAfter: 5 * time.Second, MayCancel: true,
+		Granularity: 5 * time.Millisecond, ListInterval: 10 * time.Second, WarmUp: l.config.ColdStart.WarmUp,
+		OverloadSpan: l.config.ColdStart.Span, ColdShare: l.config.ColdStart.Share, OverloadMultiple: l.config.ColdStart.Multiple}
 	if l.config.ColdStart.UnknownToMixers {
 		settings.WarmUp, settings.OverloadSpan = 0, 0
 	}
@@ -141,8 +143,8 @@
 	h.n.sim.schedule(oneWayDelay/2, func() {
 		var ok bool
 		a.id, ok = l.sendPart(searcher, a.deadline, func(outcome reader.Outcome) {
-			h.attemptEnded(id, number, map[reader.Outcome]policy.Outcome{reader.Served: policy.Succeeded, reader.Rejected: policy.Overloaded, reader.Expired: policy.TimedOut,
-				reader.Lost: policy.ConnectionLost}[outcome])
+			h.attemptEnded(id, number, map[reader.Outcome]policy.Outcome{reader.Served: policy.Succeeded, reader.Rejected: policy.Overloaded,
+				reader.Expired: policy.TimedOut, reader.Lost: policy.ConnectionLost}[outcome])
 		})
 		if !ok {
 			h.n.sim.schedule(oneWayDelay/2, func() { h.attemptEnded(id, number, policy.Unreachable) })
--- a/fleet/fleetsim/load.go
+++ b/fleet/fleetsim/load.go
@@ -17,7 +17,7 @@
 	Searchers      int
 	PartsPerSecond float64 // capacity of one searcher
 	Tenants        []Tenant
-	ObeyShare      float64 // share of clients that retry when the mixer tells them to; the others retry soon
+	ObeyShare      float64 // share of clients that follow the mixer's retry advice; the others retry soon
 	Retries        int     // the maximum number of retries of a client
 	Uneven         bool    // half of the clients use the first mixer
 	ColdStart      ColdStart
@@ -30,7 +30,7 @@
 	Share           float64       // share of the full speed right after a start
 	Multiple        float64       // multiple of its present capacity that a searcher withstands
 	Span            time.Duration // span over which the parts are counted
-	UnknownToMixers bool          // an injected fault: mixers are not told about cold starts
+	UnknownToMixers bool          // an injected fault: mixers do not know of cold starts
 }
 
 // Tenant sends scans. Scans within its quota have priority.
@@ -76,12 +76,13 @@
 
 func newWorkload(sim *Simulation) *workload {
 	config := sim.settings.Load
-	l := &workload{sim: sim, config: config, inFlight: map[uint64]func(reader.Outcome){}, rng: rand.New(rand.NewPCG(sim.settings.Seed, 99)),
-		nextStep: make([]time.Duration, config.Searchers), results: map[string]*TenantResult{}, starts: make([]searcherStart, config.Searchers)}
+	l := &workload{sim: sim, config: config, inFlight: map[uint64]func(reader.Outcome){},
+		rng: rand.New(rand.NewPCG(sim.settings.Seed, 99)), nextStep: make([]time.Duration, config.Searchers),
+		results: map[string]*TenantResult{}, starts: make([]searcherStart, config.Searchers)}
 	for i := range config.Searchers {
 		l.starts[i].startedAt = policy.LongAgo
-		r, err := reader.New(reader.Settings{Cores: 2, QueueCapacity: int(3 * config.PartsPerSecond), RestartDelay: restartDelay, WarmUp: config.ColdStart.WarmUp,
-			ColdShare: config.ColdStart.Share})
+		r, err := reader.New(reader.Settings{Cores: 2, QueueCapacity: int(3 * config.PartsPerSecond), RestartDelay: restartDelay,
+			WarmUp: config.ColdStart.WarmUp, ColdShare: config.ColdStart.Share})
 		if err != nil {
 			panic(err) // the settings come from constants
 		}
--- a/fleet/fleetsim/node.go
+++ b/fleet/fleetsim/node.go
@@ -202,7 +202,7 @@
 	n.start()
 }
 
-// Leave has the mixer announce that it leaves, and stops it.
+// Leave makes the mixer announce that it leaves, and stops it.
 func (n *Node) Leave() {
 	n.process(func() { n.sendMessages(true) })
 	n.Kill()
--- a/fleet/fleetsim/scenario_test.go
+++ b/fleet/fleetsim/scenario_test.go
@@ -108,7 +108,8 @@
 }
 
 func (r *scenarioRunner) expectPermission(list, name string, want bool) error {
-	permission, ok := map[string]view.Permission{"keep": view.UseOwnShare, "lower": view.Lower, "count": view.UseReports, "grant": view.Grant, "raise": view.Raise}[name]
+	permission, ok := map[string]view.Permission{"keep": view.UseOwnShare, "lower": view.Lower, "count": view.UseReports,
+		"grant": view.Grant, "raise": view.Raise}[name]
 	if !ok {
 		return fmt.Errorf("no permission %q", name)
 	}
@@ -322,7 +323,9 @@
 			r.sim.CrashSearcher(i)
 		}
 	})
-	sc.Step(`^all searchers take twice as long$`, func() { r.sim.EachSearcher(func(_ int, searcher *reader.Reader) { searcher.SetSlowdown(2) }) })
+	sc.Step(`^all searchers take twice as long$`, func() {
+		r.sim.EachSearcher(func(_ int, searcher *reader.Reader) { searcher.SetSlowdown(2) })
+	})
 
 	// The invariants are checked at the end of each scenario, whatever its steps.
 	sc.After(func(ctx context.Context, _ *godog.Scenario, err error) (context.Context, error) {
--- a/fleet/fleetsim/simulation.go
+++ b/fleet/fleetsim/simulation.go
@@ -25,7 +25,8 @@
 
 // Default returns the settings of a healthy fleet of a given number of mixers.
 func Default(mixers int, seed uint64) Settings {
-	return Settings{Mixers: mixers, Seed: seed, HeartbeatInterval: 250 * time.Millisecond, Lease: 6 * time.Second, ProbeRate: 10 * float64(mixers), Shared: true}
+	return Settings{Mixers: mixers, Seed: seed, HeartbeatInterval: 250 * time.Millisecond, Lease: 6 * time.Second,
+		ProbeRate: 10 * float64(mixers), Shared: true}
 }
 
 const (
@@ -61,7 +62,8 @@
 // New makes a fleet whose mixers start at different moments within the first heartbeat interval.
 func New(settings Settings) (*Simulation, error) {
 	if settings.Mixers < 1 || settings.HeartbeatInterval <= 0 {
-		return nil, fmt.Errorf("fleet: %d mixers, heartbeat interval %v; must be at least 1 and above 0", settings.Mixers, settings.HeartbeatInterval)
+		return nil, fmt.Errorf("fleet: %d mixers, heartbeat interval %v; must be at least 1 and above 0",
+			settings.Mixers, settings.HeartbeatInterval)
 	}
 	sim := &Simulation{settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 17)), network: network{blocked: map[[2]int]bool{}}}
 	if _, ok := faults[settings.Fault]; !ok && settings.Fault != "" {
@@ -93,7 +95,8 @@
 }
 
 func (sim *Simulation) budgetConfig() overload.BudgetConfig {
-	return overload.BudgetConfig{Rate: sim.settings.ProbeRate, Burst: burst, Instances: sim.settings.Mixers, ReservedShare: 0.25, Lease: sim.settings.Lease, MaxClockStep: sim.maxClockStep}
+	return overload.BudgetConfig{Rate: sim.settings.ProbeRate, Burst: burst, Instances: sim.settings.Mixers,
+		ReservedShare: 0.25, Lease: sim.settings.Lease, MaxClockStep: sim.maxClockStep}
 }
 
 func (sim *Simulation) schedule(d time.Duration, f func()) { sim.events.Put(sim.now+d, f) }
@@ -204,5 +207,6 @@
 // connected reports whether two mixers are up, not paused, and can reach each other in both directions.
 func (sim *Simulation) connected(a, b *Node) bool {
 	running := sim.now >= a.pausedUntil && sim.now >= b.pausedUntil
-	return a.up && b.up && running && !sim.network.blocked[[2]int{a.index, b.index}] && !sim.network.blocked[[2]int{b.index, a.index}]
+	return a.up && b.up && running &&
+		!sim.network.blocked[[2]int{a.index, b.index}] && !sim.network.blocked[[2]int{b.index, a.index}]
 }
--- a/fleet/fleetsim/simulation_test.go
+++ b/fleet/fleetsim/simulation_test.go
@@ -80,7 +80,8 @@
 // The same settings and script must give the same run.
 func TestSameSeedGivesSameRun(t *testing.T) {
 	a, b := runScript("", 3), runScript("", 3)
-	if fmt.Sprint(a.Events, a.network.messages, a.TakeResults(), a.truth.spent) != fmt.Sprint(b.Events, b.network.messages, b.TakeResults(), b.truth.spent) {
+	if fmt.Sprint(a.Events, a.network.messages, a.TakeResults(), a.truth.spent) !=
+		fmt.Sprint(b.Events, b.network.messages, b.TakeResults(), b.truth.spent) {
 		t.Errorf("%d events and %d messages, then %d and %d", a.Events, a.network.messages, b.Events, b.network.messages)
 	}
 }
--- a/lab/reader/reader.go
+++ b/lab/reader/reader.go
@@ -30,9 +30,11 @@
 	case s.QueueCapacity < 0:
 		return fmt.Errorf("queue capacity: %d; must not be negative", s.QueueCapacity)
 	case s.WarmUp < 0 || s.WarmUp > 0 && (s.ColdShare <= 0 || s.ColdShare > 1):
-		return fmt.Errorf("warm-up: from a share of %g over %v; the share must be above 0 and at most 1, the time not negative", s.ColdShare, s.WarmUp)
+		return fmt.Errorf("warm-up: from a share of %g over %v; the share must be above 0 and at most 1, the time not negative",
+			s.ColdShare, s.WarmUp)
 	case s.OverloadWait < 0 || s.OverloadSpan < 0 || s.RestartDelay < 0:
-		return fmt.Errorf("overload wait %v, overload span %v, restart delay %v: must not be negative", s.OverloadWait, s.OverloadSpan, s.RestartDelay)
+		return fmt.Errorf("overload wait %v, overload span %v, restart delay %v: must not be negative",
+			s.OverloadWait, s.OverloadSpan, s.RestartDelay)
 	}
 	return nil
 }
--- a/lab/reader/reader_test.go
+++ b/lab/reader/reader_test.go
@@ -15,8 +15,9 @@
 // wait as the queue holds.
 func TestEachPartEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), QueueCapacity: rapid.IntRange(0, 5).Draw(t, "room"), WarmUp: time.Second, ColdShare: 0.25,
-			OverloadWait: 30 * time.Millisecond, OverloadSpan: 20 * time.Millisecond, RestartDelay: 50 * time.Millisecond}
+		settings := Settings{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), QueueCapacity: rapid.IntRange(0, 5).Draw(t, "room"),
+			WarmUp: time.Second, ColdShare: 0.25, OverloadWait: 30 * time.Millisecond, OverloadSpan: 20 * time.Millisecond,
+			RestartDelay: 50 * time.Millisecond}
 		r, err := New(settings)
 		if err != nil {
 			t.Fatal(err)
@@ -123,8 +124,8 @@
 		interval time.Duration
 		crashes  bool
 	}{{8 * time.Millisecond, true}, {50 * time.Millisecond, false}} {
-		r, err := New(Settings{Cores: 1, QueueCapacity: 1000, WarmUp: 5 * time.Second, ColdShare: 0.2, OverloadWait: 200 * time.Millisecond,
-			OverloadSpan: 300 * time.Millisecond, RestartDelay: time.Second})
+		r, err := New(Settings{Cores: 1, QueueCapacity: 1000, WarmUp: 5 * time.Second, ColdShare: 0.2,
+			OverloadWait: 200 * time.Millisecond, OverloadSpan: 300 * time.Millisecond, RestartDelay: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -145,7 +146,8 @@
 }
 
 func TestInvalidSettingsAreRejected(t *testing.T) {
-	for _, s := range []Settings{{}, {Cores: 1, QueueCapacity: -1}, {Cores: 1, WarmUp: 1}, {Cores: 1, WarmUp: 1, ColdShare: 2}, {Cores: 1, RestartDelay: -1}} {
+	for _, s := range []Settings{{}, {Cores: 1, QueueCapacity: -1}, {Cores: 1, WarmUp: 1}, {Cores: 1, WarmUp: 1, ColdShare: 2},
+		{Cores: 1, RestartDelay: -1}} {
 		if _, err := New(s); err == nil {
 			t.Errorf("%+v is accepted", s)
 		}
