--- a/attempt/admit.go
+++ b/attempt/admit.go
@@ -7,93 +7,94 @@
 	"peathollow/policy"
 )
 
-// The second stage: a scan that fits the settings and the open count goes to the module.
+// admit.go validates scans and passes them to the policy.
 
-// Admit takes a scan that its client sent so long ago.
-func (o *Life) Admit(s *Scan, ago time.Duration) {
-	ty, err := o.fits(s)
+// Admit takes a scan that its client sent sentAgo ago.
+func (c *Life) Admit(s *Scan, sentAgo time.Duration) {
+	class, err := c.validate(s)
 	if err != nil {
-		o.book.tally.Scans[Unfit]++
+		c.pending.counters.Scans[Unfit]++
 		s.Reply(Answer{Kind: Unfit, Fault: err})
 		return
 	}
-	tenant, ok := o.set.Tenants[s.Query.Tenant]
+	tenant, ok := c.settings.Tenants[s.Query.Tenant]
 	if !ok {
 		tenant = -1
 	}
-	if s.class = ty; o.sees != nil {
-		o.sees.Came(ty, tenant, len(s.Query.Parts), s.Query.Retry)
+	if s.class = class; c.observer != nil {
+		c.observer.Came(class, tenant, len(s.Query.Parts), s.Query.Retry)
 	}
-	// So many are held as the settings allow; what comes beyond never reaches the module.
-	if o.book.open >= o.lim.Open {
-		o.book.tally.Full++
-		o.refuse(s)
+	// Scans beyond the limit never reach the policy.
+	if c.pending.open >= c.limits.Open {
+		c.pending.counters.Full++
+		c.reject(s)
 		return
 	}
-	left := s.Query.Wait - ago
-	if o.stopAt > 0 {
-		left = min(left, o.stopAt-o.now)
+	remaining := s.Query.Wait - sentAgo
+	if c.stopAt > 0 {
+		remaining = min(remaining, c.stopAt-c.now)
 	}
-	if left <= 0 {
-		o.refuse(s)
+	if remaining <= 0 {
+		c.reject(s)
 		return
 	}
 	var work time.Duration
-	for _, p := range s.Query.Parts {
-		work += p.Hint
+	for _, part := range s.Query.Parts {
+		work += part.Hint
 	}
-	s.at = o.now
-	o.book.addScan(s)
-	o.m.Scan(s.id, s.no, ty, tenant, left, work, len(s.Query.Parts), s.Query.Retry)
-	for _, p := range s.Query.Parts {
-		o.m.Part(o.book.addPart(s, p.Shard, fmt.Sprintf("%s.%d", s.Query.ID, p.Shard)).id, s.no, p.Shard, p.Weight)
+	s.admittedAt = c.now
+	c.pending.addScan(s)
+	c.policy.Scan(s.id, s.number, class, tenant, remaining, work, len(s.Query.Parts), s.Query.Retry)
+	for _, part := range s.Query.Parts {
+		c.policy.Part(c.pending.addPart(s, part.Shard, fmt.Sprintf("%s.%d", s.Query.ID, part.Shard)).id, s.number, part.Shard,
+			part.Weight)
 	}
 }
 
-// refuse answers a scan that never gets to the module.
-func (o *Life) refuse(s *Scan) {
-	if o.sees != nil {
-		o.sees.Ended(Throttled, s.class, 0)
+// reject throttles a scan that does not reach the policy.
+func (c *Life) reject(s *Scan) {
+	if c.observer != nil {
+		c.observer.Ended(Throttled, s.class, 0)
 	}
 	s.Reply(Answer{Kind: Throttled})
 }
 
-// fits checks what only the settings can tell.
-func (o *Life) fits(s *Scan) (int, error) {
-	ty, ok := o.set.Types[s.Query.Class]
+// validate checks a scan against the settings and returns the index of its table type.
+func (c *Life) validate(s *Scan) (int, error) {
+	class, ok := c.settings.Types[s.Query.Class]
 	if !ok {
 		return 0, fmt.Errorf("path: unknown class %.60q", s.Query.Class)
 	}
-	if o.set.Brain.Types[ty].Effect == policy.IdempotentByKey && s.Query.Key == "" {
+	if c.settings.Brain.Types[class].Effect == policy.IdempotentByKey && s.Query.Key == "" {
 		return 0, fmt.Errorf("Idempotency-Key: missing")
 	}
-	if _, ok := o.book.byReq[s.Query.ID]; ok {
+	if _, ok := c.pending.byRequestID[s.Query.ID]; ok {
 		return 0, fmt.Errorf("Req-Id: %.60q is in hand already", s.Query.ID)
 	}
 	seen := make(map[int]bool, len(s.Query.Parts))
 	for _, p := range s.Query.Parts {
-		if p.Shard >= o.set.Shards {
-			return 0, fmt.Errorf("body: part %d is outside the %d shards", p.Shard, o.set.Shards)
+		if p.Shard >= c.settings.Shards {
+			return 0, fmt.Errorf("body: part %d is outside the %d shards", p.Shard, c.settings.Shards)
 		}
 		if seen[p.Shard] {
 			return 0, fmt.Errorf("body: part %d comes twice", p.Shard)
 		}
 		seen[p.Shard] = true
 	}
-	return ty, nil
+	return class, nil
 }
 
-// Left ends a scan whose client is gone.
-func (o *Life) Left(s *Scan) {
-	if o.book.scans[s.id] == s {
-		o.book.tally.Left++
-		o.m.ClientLeft(s.id)
-		o.end(s, Answer{Kind: Abandoned})
+// Left ends a scan whose client has disconnected.
+func (c *Life) Left(s *Scan) {
+	if c.pending.scans[s.id] == s {
+		c.pending.counters.Left++
+		c.policy.ClientLeft(s.id)
+		c.end(s, Answer{Kind: Abandoned})
 	}
 }
 
-// Stop makes everything end by then: new scans get no more time than that, and what is left is Abandoned.
-func (o *Life) Stop(by time.Duration) {
-	o.stopAt = o.now + by
-	o.timers.add(o.stopAt, task{what: leaveAll})
+// Stop ends all scans within the given time: new scans get no more time than that, and those left then are Abandoned.
+func (c *Life) Stop(within time.Duration) {
+	c.stopAt = c.now + within
+	c.timers.add(c.stopAt, task{kind: abandonAll})
 }
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -13,60 +13,62 @@
 	"peathollow/policy"
 )
 
-// wires is the outside as a test plays it: connections whose events come when the test says so.
-type wires struct {
-	o     *Life
-	conns []*wire
-	lost  int
-	doubt int
+// fakeTransport is a Port whose connections report events only when the test calls for them.
+type fakeTransport struct {
+	coordinator *Life
+	conns       []*fakeConn
+	lost        int
+	unconfirmed int
 }
 
-type wire struct {
-	l       *Lane
+// fakeConn is a Conn that queues frames until writeAll.
+type fakeConn struct {
+	conn    *Lane
 	last    uint64
 	written uint64
-	queue   []queued
-	why     error
+	queue   []queuedFrame
+	cause   error
 }
 
-type queued struct {
+// queuedFrame is a frame that is not written yet, with the wire ids of its parts.
+type queuedFrame struct {
 	seq uint64
 	ids []string
 }
 
-func (w *wires) Open(_ string, l *Lane) Conn {
-	c := &wire{l: l}
+func (w *fakeTransport) Open(_ string, conn *Lane) Conn {
+	c := &fakeConn{conn: conn}
 	w.conns = append(w.conns, c)
 	return c
 }
 
-func (w *wires) Ask()                              {}
-func (w *wires) Lost(_ string, parts int, _ error) { w.lost += parts }
-func (w *wires) InDoubt(_ string, parts int)       { w.doubt += parts }
-func (w *wires) Listed(proto.List)                 {}
-func (w *wires) Silent()                           {}
-func (w *wires) Tally(Tally)                       {}
+func (w *fakeTransport) Ask()                              {}
+func (w *fakeTransport) Lost(_ string, parts int, _ error) { w.lost += parts }
+func (w *fakeTransport) InDoubt(_ string, parts int)       { w.unconfirmed += parts }
+func (w *fakeTransport) Listed(proto.List)                 {}
+func (w *fakeTransport) Silent()                           {}
+func (w *fakeTransport) Tally(Tally)                       {}
 
-func (c *wire) Send(calls []proto.Call) (uint64, bool) {
+func (c *fakeConn) Send(calls []proto.Call) (uint64, bool) {
 	ids := []string{}
 	for _, k := range calls {
 		ids = append(ids, k.ID)
 	}
-	return c.put(ids)
+	return c.enqueue(ids)
 }
 
-func (c *wire) GiveUp(id string, _ bool) (uint64, bool) { return c.put([]string{"K " + id}) }
+func (c *fakeConn) GiveUp(id string, _ bool) (uint64, bool) { return c.enqueue([]string{"K " + id}) }
 
-func (c *wire) put(ids []string) (uint64, bool) {
-	if c.why != nil {
+func (c *fakeConn) enqueue(wireIDs []string) (uint64, bool) {
+	if c.cause != nil {
 		return 0, false
 	}
 	c.last++
-	c.queue = append(c.queue, queued{c.last, ids})
+	c.queue = append(c.queue, queuedFrame{c.last, wireIDs})
 	return c.last, true
 }
 
-func (c *wire) Recall(seq uint64, id string) bool {
+func (c *fakeConn) Recall(seq uint64, id string) bool {
 	for i, q := range c.queue {
 		if q.seq == seq && len(q.ids) == 1 && q.ids[0] == id {
 			c.queue = append(c.queue[:i], c.queue[i+1:]...)
@@ -76,51 +78,52 @@
 	return false
 }
 
-func (c *wire) Ran(seq uint64) bool { return seq <= c.written }
-func (c *wire) Begun(seq uint64) bool {
-	return !slices.ContainsFunc(c.queue, func(q queued) bool { return q.seq == seq })
+func (c *fakeConn) Ran(seq uint64) bool { return seq <= c.written }
+func (c *fakeConn) Begun(seq uint64) bool {
+	return !slices.ContainsFunc(c.queue, func(q queuedFrame) bool { return q.seq == seq })
 }
 
-func (c *wire) Shut() bool { return c.why != nil }
-func (c *wire) Close()     { c.Fail(fmt.Errorf("closed by this mixer")) }
+func (c *fakeConn) Shut() bool { return c.cause != nil }
+func (c *fakeConn) Close()     { c.Fail(fmt.Errorf("closed by this mixer")) }
 
-func (c *wire) Fail(why error) {
-	if c.why == nil {
-		c.why = why
+func (c *fakeConn) Fail(cause error) {
+	if c.cause == nil {
+		c.cause = cause
 	}
 }
 
-// write has all that is queued written.
-func (w *wires) write() {
+// writeAll marks all queued frames as written.
+func (w *fakeTransport) writeAll() {
 	for _, c := range w.conns {
 		c.queue, c.written = nil, c.last
 	}
 }
 
-// closing and closed tell the end of connections that were ended.
-func (w *wires) closing() {
+// reportClosing and reportClosed deliver the closing events of the connections that were closed or failed.
+func (w *fakeTransport) reportClosing() {
 	for _, c := range w.conns {
-		if c.why != nil && !c.l.ended {
-			w.o.Closing(c.l, c.why)
+		if c.cause != nil && !c.conn.closing {
+			w.coordinator.Closing(c.conn, c.cause)
 		}
 	}
 }
 
-func (w *wires) closed(heard bool) {
+func (w *fakeTransport) reportClosed(confirmed bool) {
 	left := w.conns[:0]
 	for _, c := range w.conns {
-		if c.why == nil {
+		if c.cause == nil {
 			left = append(left, c)
 			continue
 		}
-		w.o.Closed(c.l, heard)
+		w.coordinator.Closed(c.conn, confirmed)
 	}
 	w.conns = left
 }
 
-func (w *wires) end(heard bool) { w.closing(); w.closed(heard) }
+func (w *fakeTransport) reportEnd(confirmed bool) { w.reportClosing(); w.reportClosed(confirmed) }
 
-func begin(t *testing.T, edit func(*config.Settings)) (*Life, *wires) {
+// newCoordinator returns a Life for a fleet of four searchers, with its transport. edit may change the settings.
+func newCoordinator(t *testing.T, edit func(*config.Settings)) (*Life, *fakeTransport) {
 	t.Helper()
 	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{} }, nil)
 	if err != nil {
@@ -135,22 +138,22 @@
 	if edit != nil {
 		edit(&c.Settings)
 	}
-	w := &wires{}
-	w.o = New(&c.Settings, Limits{Open: 200, PerSearcher: 25, Lanes: 500, Parts: 8, Past: 16, LaneIdle: 12 * time.Second, LogEvery: 10 * time.Second},
+	w := &fakeTransport{}
+	w.coordinator = New(&c.Settings, Limits{Open: 200, PerSearcher: 25, Lanes: 500, Parts: 8, Past: 16, LaneIdle: 12 * time.Second, LogEvery: 10 * time.Second},
 		w, time.Unix(1e9, 0))
-	return w.o, w
+	return w.coordinator, w
 }
 
-// onePart is a scan of shard 1 alone.
-func onePart(id string) *Scan {
+// onePartScan returns a scan of shard 1 alone.
+func onePartScan(id string) *Scan {
 	return &Scan{Query: proto.Query{ID: id, Class: "narrow", Wait: time.Second, Parts: []proto.Part{{Shard: 1, Weight: 1}}},
 		Reply: func(Answer) {}}
 }
 
-// Only parts still waited for count as held. Against turning away, in a burst, scans there was room for: those in
-// hand had most of their parts, and the second step took the place of the first.
-func TestWhatIsInIsNotHeld(t *testing.T) {
-	o, _ := begin(t, nil)
+// Only parts without a value count as open. Otherwise a burst of scans is rejected although there is room: most parts of
+// the scans in flight had returned, and the second step had replaced the first.
+func TestAnsweredPartsDoNotCountAsOpen(t *testing.T) {
+	c, _ := newCoordinator(t, nil)
 	q := proto.Query{ID: "x", Class: "wide", Wait: time.Second}
 	for s := range 4 {
 		q.Parts = append(q.Parts, proto.Part{Shard: s, Weight: 0.25})
@@ -159,216 +162,218 @@
 	for i := range 4 {
 		hosts = append(hosts, proto.Host{Name: fmt.Sprint(i), Addr: "nowhere", Cell: i, Weight: 1})
 	}
-	o.List(policy.Full, proto.List{Hosts: hosts})
+	c.List(policy.Full, proto.List{Hosts: hosts})
 	s := &Scan{Query: q, Reply: func(Answer) {}}
-	o.Admit(s, 0)
-	o.flush()
-	pass := func(wire string) {
-		p := o.book.byWire[wire]
-		o.Answered(p.tries[0].lane, proto.Answer{ID: wire, End: policy.Succeeded}, false)
+	c.Admit(s, 0)
+	c.flush()
+	succeed := func(wireID string) {
+		p := c.pending.byWireID[wireID]
+		c.Answered(p.attempts[0].conn, proto.Answer{ID: wireID, End: policy.Succeeded}, false)
 	}
 	for i, want := range []int{4, 3, 2} {
-		if pass(fmt.Sprintf("x.%d", i)); o.book.open != want {
-			t.Errorf("%d held with %d parts in", o.book.open, i+1)
+		if succeed(fmt.Sprintf("x.%d", i)); c.pending.open != want {
+			t.Errorf("%d open with %d parts answered", c.pending.open, i+1)
 		}
 	}
-	pass("x.3")
-	for _, f := range o.later {
-		o.do(f)
+	succeed("x.3")
+	for _, f := range c.deferred {
+		c.do(f)
 	}
-	if o.book.open != 3 {
-		t.Errorf("%d held in the second step", o.book.open)
+	if c.pending.open != 3 {
+		t.Errorf("%d open in the second step", c.pending.open)
 	}
-	o.Left(s)
-	if o.book.open != 0 {
-		t.Errorf("%d held after the end", o.book.open)
+	c.Left(s)
+	if c.pending.open != 0 {
+		t.Errorf("%d open after the end", c.pending.open)
 	}
 }
 
-// What waits to leave, in the batch or on a connection that does not come up, must not leave after its scan's end.
-func TestNothingLeavesAfterTheEnd(t *testing.T) {
+// An attempt that is not written yet, in the batch or on a connection that does not open, must not be sent after its scan
+// has ended.
+func TestNothingIsSentAfterTheScanEnds(t *testing.T) {
 	for _, sent := range []bool{false, true} {
-		o, _ := begin(t, nil)
-		s := onePart("x")
-		o.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 1, Weight: 1}}})
-		o.Admit(s, 0)
-		if len(o.out) != 1 {
-			t.Fatalf("%d parts sent", len(o.out))
+		c, _ := newCoordinator(t, nil)
+		s := onePartScan("x")
+		c.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 1, Weight: 1}}})
+		c.Admit(s, 0)
+		if len(c.unsent) != 1 {
+			t.Fatalf("%d parts sent", len(c.unsent))
 		}
 		if sent {
-			o.flush()
+			c.flush()
 		}
-		p := o.book.byWire["x.1"]
-		o.Left(s)
-		o.flush()
-		if l := p.tries[0].lane; sent != (l != nil) || sent && l.conn.Recall(p.tries[0].seq, "x.1") {
-			t.Error("a part waits to leave after the end")
+		p := c.pending.byWireID["x.1"]
+		c.Left(s)
+		c.flush()
+		if conn := p.attempts[0].conn; sent != (conn != nil) || sent && conn.transport.Recall(p.attempts[0].seq, "x.1") {
+			t.Error("a part is still queued after the end of its scan")
 		}
-		for _, f := range o.later {
-			o.do(f)
+		for _, f := range c.deferred {
+			c.do(f)
 		}
-		if len(o.book.parts) > 0 || len(o.book.byWire) > 0 || o.book.open > 0 {
-			t.Errorf("still held: %v", o.book)
+		if len(c.pending.parts) > 0 || len(c.pending.byWireID) > 0 || c.pending.open > 0 {
+			t.Errorf("still pending: %v", c.pending)
 		}
 	}
 }
 
-// Searchers that are replaced all day under new names: places are used again, and the module starts them as new.
-func TestPlacesOfSearchersThatAreGone(t *testing.T) {
-	o, w := begin(t, nil)
-	dice := rand.New(rand.NewSource(4))
+// Searchers are replaced continuously under new names. Indexes of removed searchers must be reused, and the policy must
+// treat their new owners as new.
+func TestIndexesOfRemovedSearchersAreReused(t *testing.T) {
+	c, w := newCoordinator(t, nil)
+	rng := rand.New(rand.NewSource(4))
 	addr := "nowhere"
 	for i := range 300 {
-		o.now += time.Second
-		o.m.Advance(o.now)
-		l := proto.List{Whole: dice.Intn(2) == 0}
+		c.now += time.Second
+		c.policy.Advance(c.now)
+		l := proto.List{Whole: rng.Intn(2) == 0}
 		for j := range 4 {
 			l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i+1, ".", j), Addr: addr, Cell: j, Weight: 1})
 			if !l.Whole {
 				l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i, ".", j), State: policy.Gone})
 			}
 		}
-		o.List(map[bool]policy.ListMode{false: policy.Changes, true: policy.Full}[l.Whole], l)
-		s := onePart(fmt.Sprint(i))
-		o.Admit(s, 0)
-		if o.flush(); len(o.fleet.srvs) > 16 || len(o.fleet.byName) > 12 {
-			t.Fatalf("%d places, %d names after %d rounds", len(o.fleet.srvs), len(o.fleet.byName), i)
+		c.List(map[bool]policy.ListMode{false: policy.Changes, true: policy.Full}[l.Whole], l)
+		s := onePartScan(fmt.Sprint(i))
+		c.Admit(s, 0)
+		if c.flush(); len(c.searchers.entries) > 16 || len(c.searchers.byName) > 12 {
+			t.Fatalf("%d indexes, %d names after %d rounds", len(c.searchers.entries), len(c.searchers.byName), i)
 		}
-		if o.fleet.lanes > 8 {
-			t.Fatalf("%d connections", o.fleet.lanes)
+		if c.searchers.connections > 8 {
+			t.Fatalf("%d connections", c.searchers.connections)
 		}
-		o.Left(s)
-		for _, f := range o.later {
-			o.do(f)
+		c.Left(s)
+		for _, f := range c.deferred {
+			c.do(f)
 		}
-		o.later = nil
-		if dice.Intn(3) == 0 {
+		c.deferred = nil
+		if rng.Intn(3) == 0 {
 			continue
 		}
-		for _, srv := range o.fleet.srvs {
-			for _, l := range srv.lanes {
-				l.conn.Close()
+		for _, srv := range c.searchers.entries {
+			for _, conn := range srv.connections {
+				conn.transport.Close()
 			}
 		}
-		w.end(true)
-		if o.fleet.lanes > 0 {
-			t.Fatalf("%d connections are left", o.fleet.lanes)
+		w.reportEnd(true)
+		if c.searchers.connections > 0 {
+			t.Fatalf("%d connections are left after they were closed", c.searchers.connections)
 		}
 	}
 }
 
-// An answer that was never asked for on its connection ends that; late ones and second copies end nothing, and bytes
-// behind the last answer let it take nothing new.
-func TestAnswersOutOfStep(t *testing.T) {
-	o, w := begin(t, nil)
-	o.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1}, {Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
-	ask := func(id string) (*Scan, *Lane) {
-		s := onePart(id)
-		o.Admit(s, 0)
-		o.flush()
-		return s, s.parts[0].tries[0].lane
+// An answer to a part that was never sent on its connection closes the connection. Late and duplicate answers do not.
+// Extra bytes behind the last answer due stop the connection from accepting new attempts.
+func TestUnsolicitedAnswers(t *testing.T) {
+	c, w := newCoordinator(t, nil)
+	c.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1}, {Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
+	admit := func(id string) (*Scan, *Lane) {
+		s := onePartScan(id)
+		c.Admit(s, 0)
+		c.flush()
+		return s, s.parts[0].attempts[0].conn
 	}
-	_, l := ask("x")
-	pass := proto.Answer{ID: "x.1", End: policy.Succeeded, Value: "v"}
-	o.Answered(l, pass, false)
-	o.Answered(l, pass, false)
-	if l.retired || len(l.out) > 0 {
-		t.Error("a second copy counts against the connection")
+	_, conn := admit("x")
+	answer := proto.Answer{ID: "x.1", End: policy.Succeeded, Value: "v"}
+	c.Answered(conn, answer, false)
+	c.Answered(conn, answer, false)
+	if conn.retired || len(conn.inFlight) > 0 {
+		t.Error("a duplicate answer retired the connection")
 	}
-	_, l = ask("y")
-	_, l2 := ask("z")
-	if l != l2 {
+	_, conn = admit("y")
+	_, conn2 := admit("z")
+	if conn != conn2 {
 		t.Fatal("two connections")
 	}
-	pass.ID = "y.1"
-	if o.Answered(l, pass, true); l.retired {
-		t.Error("bytes behind an answer while another is due")
+	answer.ID = "y.1"
+	if c.Answered(conn, answer, true); conn.retired {
+		t.Error("extra bytes retired the connection while another answer was due")
 	}
-	pass.ID = "z.1"
-	if o.Answered(l, pass, true); !l.retired {
-		t.Error("bytes behind the last answer")
+	answer.ID = "z.1"
+	if c.Answered(conn, answer, true); !conn.retired {
+		t.Error("extra bytes behind the last answer did not retire the connection")
 	}
-	w.end(true)
-	s, l := ask("w")
-	pass.ID = "nobody.1"
-	o.Answered(l, pass, false)
-	w.end(true)
-	if len(l.out) > 0 || o.fleet.lanes > 0 {
-		t.Errorf("still out: %v", s.parts)
+	w.reportEnd(true)
+	s, conn := admit("w")
+	answer.ID = "nobody.1"
+	c.Answered(conn, answer, false)
+	w.reportEnd(true)
+	if len(conn.inFlight) > 0 || c.searchers.connections > 0 {
+		t.Errorf("still in flight: %v", s.parts)
 	}
 }
 
-// A quick searcher's answer is read before the write of its part has returned. It counts, whatever it says; against
-// dropping it, so that its scan waits for an answer that was given. Only where an earlier dispatch of the part is
-// still to be answered on the connection is it taken for the answer to that.
-func TestAnAnswerOvertakesItsWrite(t *testing.T) {
-	for _, end := range []policy.Outcome{policy.Succeeded, policy.Failed, policy.Overloaded} {
-		o, w := begin(t, nil)
-		o.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
-		s := onePart("x")
+// The answer of a fast searcher is read before the write of its part returns. It counts, whatever its outcome. If it were
+// dropped, the scan would wait for an answer that was already given. Only if an earlier attempt of the part is still to be
+// answered on the connection is it taken for that attempt's answer.
+func TestAnswerBeforeWriteReturns(t *testing.T) {
+	for _, outcome := range []policy.Outcome{policy.Succeeded, policy.Failed, policy.Overloaded} {
+		c, w := newCoordinator(t, nil)
+		c.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
+		s := onePartScan("x")
 		var got *Answer
 		s.Reply = func(a Answer) { got = &a }
-		o.Admit(s, 0)
-		o.flush()
+		c.Admit(s, 0)
+		c.flush()
 		p := s.parts[0]
-		w.conns[0].queue = nil // taken up; the write has not returned
-		o.Answered(p.tries[0].lane, proto.Answer{ID: "x.1", End: end, Value: "v"}, false)
-		if p.tries[0].out || end == policy.Succeeded && (got == nil || got.Kind != Completed) {
-			t.Errorf("outcome %d: still out %v, answered %+v", end, p.tries[0].out, got)
+		w.conns[0].queue = nil // the write has begun and has not returned
+		c.Answered(p.attempts[0].conn, proto.Answer{ID: "x.1", End: outcome, Value: "v"}, false)
+		if p.attempts[0].inFlight || outcome == policy.Succeeded && (got == nil || got.Kind != Completed) {
+			t.Errorf("outcome %d: still in flight %v, answered %+v", outcome, p.attempts[0].inFlight, got)
 		}
 	}
 }
 
-// What ends without its searcher's word stays out till its scan has ended, and is then let go; with that word it
-// ends at once. What is left with copies allowed, or once its scan is over, waits for nobody.
-func TestInDoubtTillTheScanEnds(t *testing.T) {
-	for _, c := range []struct {
-		name                  string
-		heard, copies, isOver bool
-		outAfter              [2]bool // after this mixer's end of the connection, and after the connection is gone
+// An attempt whose searcher does not confirm its end stays in flight until its scan ends, and is then released; with a
+// confirmation it ends at once. If hedging is allowed, or the scan is over, it does not wait for a confirmation.
+func TestUnconfirmedAttemptsStayInFlightUntilTheScanEnds(t *testing.T) {
+	for _, tc := range []struct {
+		name                      string
+		confirmed, hedging, ended bool
+		inFlightAfter             [2]bool // once this mixer closes the connection, and once the connection is closed
 	}{
 		{"no word", false, false, false, [2]bool{true, true}},
 		{"word", true, false, false, [2]bool{true, false}},
 		{"copies", false, true, false, [2]bool{}},
 		{"over", false, false, true, [2]bool{}},
 	} {
-		o, w := begin(t, func(set *config.Settings) { set.Brain.MayHedge = c.copies })
-		o.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
-		s := onePart("x")
-		o.Admit(s, 0)
-		o.flush()
-		w.write()
+		c, w := newCoordinator(t, func(set *config.Settings) { set.Brain.MayHedge = tc.hedging })
+		c.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
+		s := onePartScan("x")
+		c.Admit(s, 0)
+		c.flush()
+		w.writeAll()
 		p := s.parts[0]
-		if c.isOver {
-			o.Left(s)
+		if tc.ended {
+			c.Left(s)
 		}
-		p.tries[0].lane.conn.Fail(errNeverAsked)
-		var out [2]bool
-		w.closing()
-		out[0] = p.tries[0].out
-		w.closed(c.heard)
-		out[1] = p.tries[0].out
-		if out != c.outAfter || o.fleet.lanes != 0 {
-			t.Errorf("%s: out %v, %d connections", c.name, out, o.fleet.lanes)
+		p.attempts[0].conn.transport.Fail(errUnsolicited)
+		var inFlight [2]bool
+		w.reportClosing()
+		inFlight[0] = p.attempts[0].inFlight
+		w.reportClosed(tc.confirmed)
+		inFlight[1] = p.attempts[0].inFlight
+		if inFlight != tc.inFlightAfter || c.searchers.connections != 0 {
+			t.Errorf("%s: in flight %v, %d connections", tc.name, inFlight, c.searchers.connections)
 		}
-		if !c.isOver {
-			o.Left(s)
+		if !tc.ended {
+			c.Left(s)
 		}
-		for _, f := range o.later {
-			o.do(f)
+		for _, f := range c.deferred {
+			c.do(f)
 		}
-		if len(o.book.parts) > 0 || p.tries[0].out || p.live != 0 {
-			t.Errorf("%s: parts are left", c.name)
+		if len(c.pending.parts) > 0 || p.attempts[0].inFlight || p.inFlight != 0 {
+			t.Errorf("%s: parts are left after the scan", tc.name)
 		}
 	}
 }
 
 func TestTimersAreOrdered(t *testing.T) {
-	dice := rand.New(rand.NewSource(3))
+	rng := rand.New(rand.NewSource(3))
 	var q timers
 	last, n := time.Duration(-1), 0
 	for range 500 {
-		at := time.Duration(dice.Intn(50))
+		at := time.Duration(rng.Intn(50))
 		q.add(at, task{token: uint64(at)})
 	}
 	for f, ok := q.due(50); ok; f, ok = q.due(50) {
--- /dev/null
+++ b/attempt/coordinator.go
@@ -0,0 +1,249 @@
+package attempt
+
+import (
+	"time"
+
+	"peathollow/internal/config"
+	"peathollow/internal/proto"
+	"peathollow/policy"
+)
+
+// Limits bound the state in flight.
+type Limits struct {
+	Open        int           // scans, plus parts without a value
+	PerSearcher int           // connections to one searcher
+	Lanes       int           // connections to all searchers together
+	Parts       int           // parts in flight on one connection
+	Past        int           // entries of a connection's answer history
+	LaneIdle    time.Duration // idle time after which a connection is closed; shorter than the searchers' own
+	LogEvery    time.Duration // interval between logs of the counters
+}
+
+// Conn is a connection to a searcher, possibly still being opened. Its methods do not block; its events are reported through
+// the methods of Life.
+type Conn interface {
+	Send(calls []proto.Call) (seq uint64, ok bool)      // queues a frame; false if no more frames are accepted
+	GiveUp(id string, proof bool) (seq uint64, ok bool) // queues a cancel; Told follows, with proof once the searcher has read it
+	Recall(seq uint64, id string) bool                  // removes a part from a frame whose write has not begun
+	Ran(seq uint64) bool                                // the frame is known to be written completely
+	Begun(seq uint64) bool                              // its write has begun: its answer may arrive before Ran reports true
+	Shut() bool                                         // no more frames are accepted
+	Close()                                             // Closing and Closed follow
+	Fail(why error)                                     // like Close, after an error
+}
+
+// Port opens connections and receives requests for the searcher list and reports for the log and metrics.
+type Port interface {
+	Open(addr string, conn *Lane) Conn
+	Ask()                                       // requests the searcher list
+	Lost(searcher string, parts int, why error) // parts were in flight on a connection that failed
+	InDoubt(searcher string, parts int)         // a connection closed without confirmation that its parts had ended
+	Listed(l proto.List)                        // a list was applied
+	Silent()                                    // the list could not be had
+	Tally(t Tally)                              // logs the counters
+}
+
+// Kind is the kind of a scan's final answer.
+type Kind uint8
+
+const (
+	Completed Kind = iota
+	Throttled      // never ran, or may safely be retried
+	Abandoned      // may have run
+	Unfit          // the request itself is invalid
+)
+
+// Answer is the final answer to a scan.
+type Answer struct {
+	Kind  Kind
+	Body  []byte
+	After time.Duration // when the client may retry
+	Fault error
+}
+
+// Decider decides which attempts are made and how scans end. It is policy.Engine, or a replacement in package explore. It
+// acts only within these calls, through the policy.Actions it was given.
+type Decider interface {
+	Advance(now time.Duration)
+	ListBegin(mode policy.ListMode)
+	ListEntry(i int, st policy.SearcherState, weight float64, started time.Duration, cell int)
+	ListEnd(mode policy.ListMode)
+	Scan(id, no uint64, class, tenant int, left, work time.Duration, parts int, repeat bool)
+	Part(id, no uint64, shard int, weight float64)
+	Returned(id uint64, index int, out policy.Outcome, took time.Duration)
+	ClientLeft(id uint64)
+	Woke(token uint64)
+	Forget(i int)
+	Probed(i int, ago time.Duration, answered bool)
+	SetAdmission(shares []float64)
+}
+
+// Witness observes the arrival and the end of scans, for state that is shared with other mixers. Its methods are called
+// within a batch and must not block.
+type Witness interface {
+	Came(class, tenant, parts int, again bool) // tenant is negative if it is not known
+	Ended(kind Kind, class int, took time.Duration)
+	Carried() // a part succeeded
+}
+
+// Life holds all scans, parts and connections in flight and passes events to the policy that decides on them.
+type Life struct {
+	limits    Limits
+	settings  *config.Settings
+	transport Port
+	start     time.Time // times are relative to it; never read as a clock
+	now       time.Duration
+	newPolicy func(policy.Actions, time.Duration) Decider
+	policy    Decider
+
+	current     []task // results deferred by the previous batch, while this one opens
+	deferred    []task // results for the next batch, where they are handled like outside events
+	timers      timers
+	nextTask    task   // the task that runNext runs
+	runNext     func() // runs nextTask; a func value made once to avoid allocations
+	pending     pending
+	searchers   searcherTable
+	unsent      []queuedAttempt // attempts dispatched in this batch
+	flushUnsent func()          // flush, as a func value made once: a batch allocates nothing for it
+	stopAt      time.Duration
+	observer    Witness // nil if there is none
+
+	listVersion int64 // version of the list last applied
+}
+
+// New returns an empty Life that is driven by policy.Engine. Times are counted from start.
+func New(settings *config.Settings, limits Limits, transport Port, start time.Time) *Life {
+	return NewWith(settings, limits, transport, start, func(act policy.Actions, now time.Duration) Decider {
+		return policy.New(settings.Brain, act, now)
+	})
+}
+
+// NewWith returns an empty Life with another policy. newPolicy is called again after a panic.
+func NewWith(settings *config.Settings, limits Limits, transport Port, start time.Time,
+	newPolicy func(act policy.Actions, now time.Duration) Decider) *Life {
+	c := &Life{limits: limits, settings: settings, transport: transport, start: start, newPolicy: newPolicy,
+		pending: newPending(), searchers: newSearcherTable()}
+	c.flushUnsent = c.flush
+	c.runNext = func() { c.do(c.nextTask) }
+	c.policy = newPolicy(c, 0)
+	return c
+}
+
+// Watch sets the observer of the scans from now on.
+func (c *Life) Watch(observer Witness) { c.observer = observer }
+
+// Let passes the admitted shares of the traffic to the policy, see policy.Engine.SetAdmission.
+func (c *Life) Let(shares []float64) { c.policy.SetAdmission(shares) }
+
+// Begin starts the periodic tasks. The last known list must have been applied before.
+func (c *Life) Begin() {
+	c.closeIdle()
+	c.logCounters()
+}
+
+// At opens a batch: everything until Due happens at that time. Results deferred by the previous batch are handled first.
+func (c *Life) At(now time.Duration, guard func(func())) {
+	c.now = now
+	c.policy.Advance(now)
+	c.current, c.deferred = c.deferred, c.current[:0]
+	for len(c.current) > 0 { // Restart, after a panic in one of them, discards the rest
+		c.nextTask, c.current = c.current[0], c.current[1:]
+		guard(c.runNext)
+	}
+}
+
+// Due runs the tasks that are due and then sends the attempts that the policy dispatched. It closes a batch.
+func (c *Life) Due(guard func(func())) {
+	for t, ok := c.timers.due(c.now); ok; t, ok = c.timers.due(c.now) {
+		c.nextTask = t
+		guard(c.runNext)
+	}
+	guard(c.flushUnsent)
+}
+
+// Next returns the time until the next task, if nothing happens before.
+func (c *Life) Next(now time.Duration) time.Duration {
+	if len(c.deferred) > 0 {
+		return 0
+	}
+	return c.timers.next(now)
+}
+
+// Now returns the time of the batch.
+func (c *Life) Now() time.Duration { return c.now }
+
+// Restart recovers from a panic: it answers every scan in flight and starts a new policy with the known list.
+func (c *Life) Restart() {
+	c.current, c.deferred, c.unsent, c.timers = nil, nil, nil, timers{}
+	for _, s := range c.pending.scansInOrder() {
+		s.Reply(Answer{Kind: Abandoned})
+	}
+	lastID := c.pending.lastID // events with old ids may still arrive
+	c.pending = newPending()
+	c.pending.lastID = lastID
+	for _, s := range c.searchers.entries {
+		s.inFlight = 0
+		for _, conn := range s.connections {
+			clear(conn.inFlight)
+			clear(conn.cancels) // confirming them later would decrement counts that were reset
+			conn.retire()
+		}
+	}
+	c.policy = c.newPolicy(c, c.now)
+	c.policy.Advance(c.now)
+	c.passFullList()
+	c.Begin()
+	if c.stopAt > 0 {
+		c.Stop(c.stopAt - c.now)
+	}
+}
+
+// Wake implements policy.Actions.
+func (c *Life) Wake(at time.Duration, token uint64) {
+	c.timers.add(at, task{kind: policyWake, token: token})
+}
+
+// Subscribe implements policy.Actions.
+func (c *Life) Subscribe() { c.transport.Ask() }
+
+// Hosts returns the listed searchers, in the order of their indexes.
+func (c *Life) Hosts() (hosts []proto.Host) {
+	for _, s := range c.searchers.entries {
+		if s.host.Name != "" && s.host.State != policy.Gone {
+			hosts = append(hosts, s.host)
+		}
+	}
+	return hosts
+}
+
+// Version returns the version of the list last applied.
+func (c *Life) Version() int64 { return c.listVersion }
+
+// Beside lets send put something other than a part on a connection to a searcher, preferably one that is already open. It
+// reports whether send succeeded.
+func (c *Life) Beside(name string, send func(Conn) bool) bool {
+	i, ok := c.searchers.byName[name]
+	if !ok || c.searchers.entries[i].host.State == policy.Gone {
+		return false
+	}
+	s := c.searchers.entries[i]
+	for _, conn := range s.connections {
+		if !conn.retired && send(conn.transport) {
+			conn.lastUsed = c.now
+			return true
+		}
+	}
+	conn := c.connectionFor(s, 1)
+	if conn == nil || !send(conn.transport) {
+		return false
+	}
+	conn.lastUsed = c.now
+	return true
+}
+
+// Probed reports the result of a probe to the policy.
+func (c *Life) Probed(name string, ago time.Duration, answered bool) {
+	if i, ok := c.searchers.byName[name]; ok {
+		c.policy.Probed(i, ago, answered)
+	}
+}
--- a/attempt/copy.go
+++ b/attempt/copy.go
@@ -8,140 +8,146 @@
 	"peathollow/policy"
 )
 
-// Rest is what a copy of a life has in place of what the first is bound to.
+// Rest replaces what the original is bound to.
 type Rest struct {
 	Port  Port
-	Fresh func(policy.Actions, time.Duration) Decider
-	Conn  func(was Conn, l *Lane) Conn
-	Scan  func(was, is *Scan) func(Answer) // gives the copy's Reply
+	Fresh func(policy.Actions, time.Duration) Decider // makes a policy after a panic
+	Conn  func(was Conn, conn *Lane) Conn             // returns the copy's counterpart of a connection
+	Scan  func(was, is *Scan) func(Answer)            // returns the Reply of the copied scan
 }
 
-// Copy makes a second life that has gone through the same, and shares nothing with the first but the settings. Its
-// decider comes from m, which is handed the copy to act on. The explorer goes on from a copy in as many ways as there
-// are; that a copy behaves as what was copied is checked there, by playing the whole way again.
-func (o *Life) Copy(r Rest, m func(act policy.Actions) Decider) *Life {
-	n := &Life{lim: o.lim, set: o.set, port: r.Port, start: o.start, now: o.now, fresh: r.Fresh, stopAt: o.stopAt, version: o.version}
-	n.leave = n.flush
-	n.run = func() { n.do(n.next) }
-	c := &copier{n: n, r: r, parts: map[*part]*part{}, lanes: map[*Lane]*Lane{}, srvs: map[*searcher]*searcher{}, scans: map[*Scan]*Scan{}}
-	n.fleet = fleet{byName: maps.Clone(o.fleet.byName), free: slices.Clone(o.fleet.free), lanes: o.fleet.lanes}
-	for _, s := range o.fleet.srvs {
-		n.fleet.srvs = append(n.fleet.srvs, c.searcher(s))
-	}
-	n.book = newBook()
-	n.book.lastID, n.book.lastNo, n.book.open, n.book.tally = o.book.lastID, o.book.lastNo, o.book.open, o.book.tally
-	for id, s := range o.book.scans {
-		n.book.scans[id] = c.scan(s)
-	}
-	for id, s := range o.book.byReq {
-		n.book.byReq[id] = c.scan(s)
-	}
-	for id, p := range o.book.parts {
-		n.book.parts[id] = c.part(p)
-	}
-	for id, p := range o.book.byWire {
-		n.book.byWire[id] = c.part(p)
-	}
-	for _, t := range o.later {
-		n.later = append(n.later, c.task(t))
-	}
-	n.timers.n = o.timers.n
-	for _, t := range o.timers.heap {
-		n.timers.heap = append(n.timers.heap, timer{t.at, t.n, c.task(t.task)})
-	}
-	for _, s := range o.out {
-		n.out = append(n.out, sending{c.part(s.p), s.no})
-	}
-	n.m = m(n)
-	return n
+// Copy returns an independent copy of the state, which shares only the settings with the original. newPolicy makes its
+// policy, which acts on the copy. Package explore continues from copies with every possible next event, and checks that a
+// copy behaves like the original by replaying the whole run.
+func (c *Life) Copy(bindings Rest, newPolicy func(act policy.Actions) Decider) *Life {
+	clone := &Life{limits: c.limits, settings: c.settings, transport: bindings.Port, start: c.start, now: c.now,
+		newPolicy: bindings.Fresh, stopAt: c.stopAt, listVersion: c.listVersion}
+	clone.flushUnsent = clone.flush
+	clone.runNext = func() { clone.do(clone.nextTask) }
+	cp := &copier{clone: clone, bindings: bindings, parts: map[*part]*part{},
+		connections: map[*Lane]*Lane{}, searchers: map[*searcher]*searcher{}, scans: map[*Scan]*Scan{}}
+	clone.searchers = searcherTable{byName: maps.Clone(c.searchers.byName),
+		freeIndexes: slices.Clone(c.searchers.freeIndexes), connections: c.searchers.connections}
+	for _, s := range c.searchers.entries {
+		clone.searchers.entries = append(clone.searchers.entries, cp.searcher(s))
+	}
+	clone.pending = newPending()
+	clone.pending.lastID, clone.pending.lastScanNumber, clone.pending.open, clone.pending.counters =
+		c.pending.lastID, c.pending.lastScanNumber, c.pending.open, c.pending.counters
+	for id, s := range c.pending.scans {
+		clone.pending.scans[id] = cp.scan(s)
+	}
+	for id, s := range c.pending.byRequestID {
+		clone.pending.byRequestID[id] = cp.scan(s)
+	}
+	for id, p := range c.pending.parts {
+		clone.pending.parts[id] = cp.part(p)
+	}
+	for id, p := range c.pending.byWireID {
+		clone.pending.byWireID[id] = cp.part(p)
+	}
+	for _, t := range c.deferred {
+		clone.deferred = append(clone.deferred, cp.task(t))
+	}
+	clone.timers.lastNumber = c.timers.lastNumber
+	for _, t := range c.timers.heap {
+		clone.timers.heap = append(clone.timers.heap, timer{t.at, t.number, cp.task(t.task)})
+	}
+	for _, q := range c.unsent {
+		clone.unsent = append(clone.unsent, queuedAttempt{cp.part(q.part), q.index})
+	}
+	clone.policy = newPolicy(clone)
+	return clone
 }
 
+// copier maps the objects of the original to their copies, so that each is copied once.
 type copier struct {
-	n     *Life
-	r     Rest
-	parts map[*part]*part
-	lanes map[*Lane]*Lane
-	srvs  map[*searcher]*searcher
-	scans map[*Scan]*Scan
+	clone       *Life
+	bindings    Rest
+	parts       map[*part]*part
+	connections map[*Lane]*Lane
+	searchers   map[*searcher]*searcher
+	scans       map[*Scan]*Scan
 }
 
-func (c *copier) task(t task) task {
-	t.p, t.s = c.part(t.p), c.scan(t.s)
+func (cp *copier) task(t task) task {
+	t.part, t.scan = cp.part(t.part), cp.scan(t.scan)
 	return t
 }
 
-func (c *copier) all(ps []*part) (all []*part) {
-	for _, p := range ps {
-		all = append(all, c.part(p))
+func (cp *copier) partList(parts []*part) (copied []*part) {
+	for _, p := range parts {
+		copied = append(copied, cp.part(p))
 	}
-	return all
+	return copied
 }
 
-func (c *copier) scan(s *Scan) *Scan {
+func (cp *copier) scan(s *Scan) *Scan {
 	if s == nil {
 		return nil
 	}
-	if is := c.scans[s]; is != nil {
-		return is
+	if copied := cp.scans[s]; copied != nil {
+		return copied
 	}
-	is := new(Scan)
-	*is = *s
-	c.scans[s] = is
-	is.Reply = c.r.Scan(s, is)
-	is.parts, is.chosen, is.from = c.all(s.parts), c.all(s.chosen), slices.Clone(s.from)
-	return is
+	copied := new(Scan)
+	*copied = *s
+	cp.scans[s] = copied
+	copied.Reply = cp.bindings.Scan(s, copied)
+	copied.parts, copied.secondStepParts, copied.firstStepShards =
+		cp.partList(s.parts), cp.partList(s.secondStepParts), slices.Clone(s.firstStepShards)
+	return copied
 }
 
-func (c *copier) part(p *part) *part {
+func (cp *copier) part(p *part) *part {
 	if p == nil {
 		return nil
 	}
-	if is := c.parts[p]; is != nil {
-		return is
+	if copied := cp.parts[p]; copied != nil {
+		return copied
 	}
-	is := new(part)
-	*is = *p
-	c.parts[p] = is
-	is.scan = c.scan(p.scan)
-	is.tries = slices.Clone(p.tries)
-	for i := range is.tries {
-		t := &is.tries[i]
-		t.srv, t.lane = c.searcher(t.srv), c.lane(t.lane)
+	copied := new(part)
+	*copied = *p
+	cp.parts[p] = copied
+	copied.scan = cp.scan(p.scan)
+	copied.attempts = slices.Clone(p.attempts)
+	for i := range copied.attempts {
+		a := &copied.attempts[i]
+		a.searcher, a.conn = cp.searcher(a.searcher), cp.connection(a.conn)
 	}
-	return is
+	return copied
 }
 
-func (c *copier) searcher(s *searcher) *searcher {
-	if is := c.srvs[s]; is != nil {
-		return is
+func (cp *copier) searcher(s *searcher) *searcher {
+	if copied := cp.searchers[s]; copied != nil {
+		return copied
 	}
-	is := &searcher{host: s.host, live: s.live}
-	c.srvs[s] = is
-	for _, l := range s.lanes {
-		is.lanes = append(is.lanes, c.lane(l))
+	copied := &searcher{host: s.host, inFlight: s.inFlight}
+	cp.searchers[s] = copied
+	for _, conn := range s.connections {
+		copied.connections = append(copied.connections, cp.connection(conn))
 	}
-	return is
+	return copied
 }
 
-func (c *copier) lane(l *Lane) *Lane {
-	if l == nil {
+func (cp *copier) connection(conn *Lane) *Lane {
+	if conn == nil {
 		return nil
 	}
-	if is := c.lanes[l]; is != nil {
-		return is
+	if copied := cp.connections[conn]; copied != nil {
+		return copied
 	}
-	is := new(Lane)
-	*is = *l
-	c.lanes[l] = is
-	is.o, is.s = c.n, c.searcher(l.s)
-	is.conn = c.r.Conn(l.conn, is)
-	is.out, is.kills = make(map[*part]int, len(l.out)), make(map[uint64]killed, len(l.kills))
-	for p, no := range l.out {
-		is.out[c.part(p)] = no
+	copied := new(Lane)
+	*copied = *conn
+	cp.connections[conn] = copied
+	copied.coordinator, copied.searcher = cp.clone, cp.searcher(conn.searcher)
+	copied.transport = cp.bindings.Conn(conn.transport, copied)
+	copied.inFlight, copied.cancels = make(map[*part]int, len(conn.inFlight)), make(map[uint64]cancelledAttempt, len(conn.cancels))
+	for p, index := range conn.inFlight {
+		copied.inFlight[cp.part(p)] = index
 	}
-	for seq, k := range l.kills {
-		is.kills[seq] = killed{c.part(k.p), k.no}
+	for seq, cancelled := range conn.cancels {
+		copied.cancels[seq] = cancelledAttempt{cp.part(cancelled.part), cancelled.index}
 	}
-	is.past.last = slices.Clone(l.past.last)
-	return is
+	copied.history.recent = slices.Clone(conn.history.recent)
+	return copied
 }
--- a/attempt/doc.go
+++ b/attempt/doc.go
@@ -1,7 +1,8 @@
-// Package attempt is the life of a scan's parts and of the connections they go out on, from the moment a scan is
-// admitted till all that was sent for it has ended. It is what serves, and free of I/O, clock and goroutines: time is
-// handed in, connections stand behind a port, events come one at a time and in any order the outside can think of. The
-// module decides what goes where and when; this package keeps what is believed out equal to what passes on the wires,
-// and holds the rules that no decision may break: one final answer, nothing after it, no second copy where copies are
-// barred. mixer drives it with sockets, attempt/explore with choices.
+// Package attempt coordinates the parts of scans and the connections on which they are sent, from the admission of a scan
+// until every attempt made for it has ended. It is the code that serves requests, but does no I/O, reads no clock and starts
+// no goroutines: the time is passed in, connections are behind an interface, and events arrive one at a time and in any
+// possible order. The policy decides what is sent where and when. This package keeps the attempts recorded as in flight equal
+// to those on the connections, and enforces the rules that no decision may break: a scan gets one final answer, nothing is
+// sent for it after that, and no second copy of a part is in flight where hedging is off. Package mixer drives it with
+// sockets, package attempt/explore with enumerated choices.
 package attempt
--- a/attempt/send.go
+++ b/attempt/send.go
@@ -9,183 +9,189 @@
 	"peathollow/policy"
 )
 
-// The fourth stage: dispatches leave as frames, and are given up.
+// send.go sends attempts in frames and cancels them.
 
-type sending struct {
-	p  *part
-	no int
+// queuedAttempt is an attempt that waits for the end of the batch to be sent.
+type queuedAttempt struct {
+	part  *part
+	index int
 }
 
-func (s sending) srv() *searcher { return s.p.tries[s.no].srv }
+func (q queuedAttempt) searcher() *searcher { return q.part.attempts[q.index].searcher }
 
-// Dispatch is an action of the module; the frame leaves when the batch is done, with all that share its call.
-func (o *Life) Dispatch(id uint64, srv int, until time.Duration) {
-	p := o.book.parts[id]
+// Dispatch implements policy.Actions. The attempt is sent at the end of the batch, in one frame with others to the searcher.
+func (c *Life) Dispatch(id uint64, searcherIndex int, deadline time.Duration) {
+	p := c.pending.parts[id]
 	if p == nil {
 		return
 	}
-	s := o.fleet.srvs[srv]
-	p.tries = append(p.tries, try{srv: s, at: o.now, until: until, out: true, end: policy.Expired})
-	p.live++
-	s.live++
-	o.out = append(o.out, sending{p, len(p.tries) - 1})
+	s := c.searchers.entries[searcherIndex]
+	p.attempts = append(p.attempts, attempt{searcher: s, startedAt: c.now, deadline: deadline, inFlight: true,
+		outcome: policy.Expired})
+	p.inFlight++
+	s.inFlight++
+	c.unsent = append(c.unsent, queuedAttempt{p, len(p.attempts) - 1})
 }
 
-func (o *Life) flush() {
-	for len(o.out) > 0 {
-		srv := o.out[0].srv()
-		var call []sending
-		o.out = slices.DeleteFunc(o.out, func(s sending) bool {
-			if s.srv() != srv || len(call) >= max(1, o.set.Brain.PartsPerCall) {
+// flush sends the attempts of the batch, grouped by searcher into frames of at most PartsPerCall parts.
+func (c *Life) flush() {
+	for len(c.unsent) > 0 {
+		target := c.unsent[0].searcher()
+		var batch []queuedAttempt
+		c.unsent = slices.DeleteFunc(c.unsent, func(q queuedAttempt) bool {
+			if q.searcher() != target || len(batch) >= max(1, c.settings.Brain.PartsPerCall) {
 				return false
 			}
-			call = append(call, s)
+			batch = append(batch, q)
 			return true
 		})
-		o.send(srv, slices.DeleteFunc(call, func(s sending) bool { return s.p.unwanted(s.no) }))
+		c.send(target, slices.DeleteFunc(batch, func(q queuedAttempt) bool { return q.part.obsolete(q.index) }))
 	}
 }
 
-// unwanted tells that a dispatch was overtaken by the end of its scan or was called off within its batch.
-func (p *part) unwanted(no int) bool {
-	t := &p.tries[no]
-	return !t.out || t.end != policy.Expired || p.over
+// obsolete reports whether an attempt was cancelled, or its step ended, within the batch that dispatched it.
+func (p *part) obsolete(index int) bool {
+	a := &p.attempts[index]
+	return !a.inFlight || a.outcome != policy.Expired || p.ended
 }
 
-func (o *Life) send(srv *searcher, call []sending) {
-	if len(call) == 0 {
+// send hands a group of attempts at one searcher to a connection, in one frame.
+func (c *Life) send(target *searcher, batch []queuedAttempt) {
+	if len(batch) == 0 {
 		return
 	}
-	l := o.lane(srv, len(call))
-	for l != nil && slices.ContainsFunc(call, func(c sending) bool { return l.mistakes(c.p) }) {
-		l.retire()
-		l = o.lane(srv, len(call))
-	}
-	calls := make([]proto.Call, len(call))
-	for i, c := range call {
-		q := &c.p.scan.Query
-		calls[i] = proto.Call{ID: c.p.wire, Shard: c.p.shard, Text: q.Text,
-			Until: o.start.Add(c.p.tries[c.no].until)}
-		if o.set.Brain.Types[c.p.scan.class].Effect == policy.IdempotentByKey {
-			calls[i].Key = q.Key
+	conn := c.connectionFor(target, len(batch))
+	for conn != nil && slices.ContainsFunc(batch, func(q queuedAttempt) bool { return conn.mayMisattribute(q.part) }) {
+		conn.retire()
+		conn = c.connectionFor(target, len(batch))
+	}
+	calls := make([]proto.Call, len(batch))
+	for i, q := range batch {
+		query := &q.part.scan.Query
+		calls[i] = proto.Call{ID: q.part.wireID, Shard: q.part.shard, Text: query.Text,
+			Until: c.start.Add(q.part.attempts[q.index].deadline)}
+		if c.settings.Brain.Types[q.part.scan.class].Effect == policy.IdempotentByKey {
+			calls[i].Key = query.Key
 		}
-		if c.p.scan.step > 0 {
-			calls[i].From, calls[i].Whole = c.p.scan.from, c.p.scan.whole
+		if q.part.scan.step > 0 {
+			calls[i].From, calls[i].Whole = q.part.scan.firstStepShards, q.part.scan.firstStepComplete
 		}
 	}
 	var seq uint64
 	ok := false
-	if l != nil {
-		seq, ok = l.conn.Send(calls)
+	if conn != nil {
+		seq, ok = conn.transport.Send(calls)
 	}
-	for _, c := range call {
-		if !ok { // no connection may be had, or this one takes no more: it never left
-			o.returnLater(c.p, c.no, policy.Unreachable)
+	for _, q := range batch {
+		if !ok { // no connection is available, or this one accepts no more frames: never sent
+			c.deferReturned(q.part, q.index, policy.Unreachable)
 			continue
 		}
-		t := &c.p.tries[c.no]
-		t.lane, t.seq = l, seq
-		l.out[c.p], l.used = c.no, o.now
-		o.timers.add(t.until, task{what: tooSlow, p: c.p, no: int32(c.no)})
-		if by, ok := o.windowEnd(c.p, c.no); ok {
-			o.timers.add(by, task{what: tooLate, p: c.p, no: int32(c.no)})
+		a := &q.part.attempts[q.index]
+		a.conn, a.seq = conn, seq
+		conn.inFlight[q.part], conn.lastUsed = q.index, c.now
+		c.timers.add(a.deadline, task{kind: attemptTimeout, part: q.part, index: int32(q.index)})
+		if windowEnd, ok := c.windowEnd(q.part, q.index); ok {
+			c.timers.add(windowEnd, task{kind: keyWindowEnd, part: q.part, index: int32(q.index)})
 		}
 	}
 }
 
-// Cancel is an action of the module.
-func (o *Life) Cancel(id uint64, no int) {
-	if p := o.book.parts[id]; p != nil && no < len(p.tries) {
-		o.giveUp(p, no, policy.Cancelled)
+// Cancel implements policy.Actions.
+func (c *Life) Cancel(id uint64, index int) {
+	if p := c.pending.parts[id]; p != nil && index < len(p.attempts) {
+		c.cancel(p, index, policy.Cancelled)
 	}
 }
 
-// giveUp stops waiting for a dispatch. Its end is told once the searcher is known to have heard, where the part may
-// go elsewhere and copies are barred: nothing orders what is written on two connections, and what goes out elsewhere
-// before that may be a second copy.
-func (o *Life) giveUp(p *part, no int, end policy.Outcome) {
-	t := &p.tries[no]
-	if !t.out || t.end != policy.Expired {
+// cancel stops waiting for an attempt. Where the part may be sent again and hedging is off, the attempt ends only once the
+// searcher is known to have read the cancel: writes on two connections are not ordered, so that an attempt sent elsewhere
+// before that could run as a second copy.
+func (c *Life) cancel(p *part, index int, outcome policy.Outcome) {
+	a := &p.attempts[index]
+	if !a.inFlight || a.outcome != policy.Expired {
 		return
 	}
-	t.end = end
+	a.outcome = outcome
 	switch {
-	case t.takeBack(p):
-		o.returnLater(p, no, policy.Expired)
-	case !o.set.Brain.MayCancel:
-		o.returnLater(p, no, end)
-	case t.lane.ended:
-		// Its end is awaited already.
+	case a.withdraw(p):
+		c.deferReturned(p, index, policy.Expired)
+	case !c.settings.Brain.MayCancel:
+		c.deferReturned(p, index, outcome)
+	case a.conn.closing:
+		// The attempt ends when the connection does.
 	default:
-		// With nothing heard since the part went out the connection itself is in doubt, and asked for the sake of
-		// those that follow.
-		proof := o.single(p) || t.lane.heard < t.at
-		if seq, ok := t.lane.conn.GiveUp(p.wire, proof); ok {
-			t.lane.kills[seq] = killed{p, no}
+		// If nothing was received since the part was sent, the connection itself is suspect. It is asked for a confirmation
+		// for the sake of the attempts that follow.
+		proof := c.exclusive(p) || a.conn.lastReceived < a.startedAt
+		if seq, ok := a.conn.transport.GiveUp(p.wireID, proof); ok {
+			a.conn.cancels[seq] = cancelledAttempt{p, index}
 		} else {
-			t.lane.conn.Close()
+			a.conn.transport.Close()
 		}
 	}
 }
 
-// windowEnd is when a further dispatch of a keyed part must have left, if an earlier one may have run.
-func (o *Life) windowEnd(p *part, no int) (by time.Duration, ok bool) {
-	ty := &o.set.Brain.Types[p.scan.class]
-	if ty.Effect != policy.IdempotentByKey {
+// windowEnd returns the time by which a retry of an idempotent-by-key part must be sent, if an earlier attempt may have run.
+func (c *Life) windowEnd(p *part, index int) (deadline time.Duration, ok bool) {
+	tableType := &c.settings.Brain.Types[p.scan.class]
+	if tableType.Effect != policy.IdempotentByKey {
 		return 0, false
 	}
-	for i := range no {
-		if t := &p.tries[i]; !t.never {
-			return t.at + ty.RepeatWindow, true
+	for i := range index {
+		if a := &p.attempts[i]; !a.neverRan {
+			return a.startedAt + tableType.RepeatWindow, true
 		}
 	}
 	return 0, false
 }
 
-// overWindow keeps a dispatch that waits to leave from leaving outside its window: what decided on it knew nothing of
-// a connection slow to come up, or to take what is written. Where the frame has begun, its connection ends before the
-// frame does.
-func (o *Life) overWindow(p *part, no int) {
-	t := &p.tries[no]
-	if !t.out || t.lane == nil || t.lane.ended || t.lane.conn.Ran(t.seq) {
+// enforceWindow stops an unsent attempt from being sent after its repeat window. The policy, when it decided, could not know
+// that the connection would be slow to open or to write. If the write has begun, the connection is closed before the frame
+// is complete.
+func (c *Life) enforceWindow(p *part, index int) {
+	a := &p.attempts[index]
+	if !a.inFlight || a.conn == nil || a.conn.closing || a.conn.transport.Ran(a.seq) {
 		return
 	}
-	if !t.takeBack(p) {
-		t.lane.conn.Fail(errWindow)
+	if !a.withdraw(p) {
+		a.conn.transport.Fail(errKeyWindow)
 		return
 	}
-	if t.end == policy.Expired {
-		t.end = policy.Cancelled
-		o.returnLater(p, no, policy.Expired)
+	if a.outcome == policy.Expired {
+		a.outcome = policy.Cancelled
+		c.deferReturned(p, index, policy.Expired)
 	}
 }
 
-var errWindow = errors.New("a keyed part would arrive outside its window")
+var errKeyWindow = errors.New("a keyed part would be sent outside its repeat window")
 
-// single tells that a part may go out again, and then only when no dispatch of it is out.
-func (o *Life) single(p *part) bool { return !p.over && !o.set.Brain.MayHedge }
+// exclusive reports whether the part may be sent again, but only while none of its attempts is in flight.
+func (c *Life) exclusive(p *part) bool { return !p.ended && !c.settings.Brain.MayHedge }
 
-// recall takes back what has not left when a step ends: nothing of a scan goes out after its final answer.
-func (o *Life) recall(p *part) {
-	for no := range p.tries {
-		if t := &p.tries[no]; t.out && t.takeBack(p) {
-			o.returnLater(p, no, policy.Expired)
+// withdrawUnsent withdraws unsent attempts when a step ends, so that nothing of a scan is sent after its final answer.
+func (c *Life) withdrawUnsent(p *part) {
+	for index := range p.attempts {
+		if a := &p.attempts[index]; a.inFlight && a.withdraw(p) {
+			c.deferReturned(p, index, policy.Expired)
 		}
 	}
 }
 
-// takeBack tells that a dispatch has not begun to leave, and now never will: its batch's end passes it over, or it
-// is out of its connection's queue.
-func (t *try) takeBack(p *part) bool { return t.lane == nil || t.lane.conn.Recall(t.seq, p.wire) }
+// withdraw reports whether the write of an attempt has not begun and now never will: either it is not queued yet and the end
+// of its batch skips it, or it was removed from its connection's queue.
+func (a *attempt) withdraw(p *part) bool {
+	return a.conn == nil || a.conn.transport.Recall(a.seq, p.wireID)
+}
 
-// Told follows when frames that give parts up have ended. Those of one write share a clock reading: parts called
-// off together must read as one failure of their searcher, or it would be kept off for far too long.
-func (o *Life) Told(l *Lane, seqs []uint64) {
+// Told ends the attempts whose cancel frames were written or confirmed. Cancels of one write share one clock reading, since
+// parts cancelled together must count as one failure of their searcher. Otherwise it would be ejected for far too long.
+func (c *Life) Told(conn *Lane, seqs []uint64) {
 	for _, seq := range seqs {
-		k, ok := l.kills[seq]
-		delete(l.kills, seq)
-		if ok && k.p.tries[k.no].out {
-			o.returned(k.p, k.no, k.p.tries[k.no].end)
+		cancelled, ok := conn.cancels[seq]
+		delete(conn.cancels, seq)
+		if ok && cancelled.part.attempts[cancelled.index].inFlight {
+			c.returned(cancelled.part, cancelled.index, cancelled.part.attempts[cancelled.index].outcome)
 		}
 	}
 }
--- a/attempt/state.go
+++ b/attempt/state.go
@@ -10,85 +10,88 @@
 	"peathollow/policy"
 )
 
-// What is in hand, told from outside: for the explorer, which must know two states that behave alike as one, and for
-// checks of what is believed against what passed on the wires. Nothing here changes anything.
+// state.go exposes the state in flight to package explore, which must recognize two states that behave alike as the same,
+// and to checks that compare the state with what passed on the connections. Nothing in this file changes the state.
 
-// Names order what a state names. Two states that differ only in which searcher or shard is which have the same form
-// under some order.
+// Names gives the searchers, shards, scans and connections of a state canonical labels. Two states that differ only in which
+// searcher or shard is which have the same encoding under some labelling.
 type Names struct {
-	Searchers []string // in the order in which they are told
-	Addr      func(addr string) byte
-	Shard     func(shard int) int
-	Scan      func(s *Scan) int
-	Conn      func(b []byte, c Conn) []byte                        // what a connection adds of its own
-	Past      func(c Conn, wire string, out uint64, due bool) bool // whether an answer may yet be told by it; out: the frame now out, or 0
-	Value     func(p string, shard int, s *Scan, step int) bool    // whether a value came for a part
-	Took      bool                                                 // the decider looks at how long a dispatch took
+	Searchers []string                                             // in the order in which they are encoded
+	Addr      func(addr string) byte                               // label of an address
+	Shard     func(shard int) int                                  // label of a shard
+	Scan      func(s *Scan) int                                    // label of a scan
+	Conn      func(b []byte, c Conn) []byte                        // appends the state of the connection itself
+	Past      func(c Conn, wire string, out uint64, due bool) bool // an answer may still arrive; out: the frame in flight, or 0
+	Value     func(p string, shard int, s *Scan, step int) bool    // whether the value p was received for the part
+	Took      bool                                                 // whether the policy uses the latency of attempts
 }
 
-// State appends all that what happens later depends on, and nothing else: times count from the present one, what has no
-// effect any more is left out, and so is the order of what is held as a set. Two things are not told: since when a
-// connection lies idle, and how often it was tallied; who relies on those must add them.
-func (o *Life) State(b []byte, now time.Duration, n *Names) []byte {
-	e := &encoder{b: b, now: now, o: o, n: n}
-	for _, name := range n.Searchers {
-		i, ok := o.fleet.byName[name]
+// State appends an encoding of everything that affects later behaviour, and nothing else. Times are relative to now; what no
+// longer has an effect is left out, and so is the order of elements kept as a set. Two things are not encoded: since when a
+// connection is idle, and the counters for the log. Callers that depend on those must add them.
+func (c *Life) State(b []byte, now time.Duration, labels *Names) []byte {
+	e := &encoder{buf: b, now: now, coordinator: c, labels: labels}
+	for _, name := range labels.Searchers {
+		i, ok := c.searchers.byName[name]
 		if e.flag(ok); !ok {
 			continue
 		}
-		s := o.fleet.srvs[i]
+		s := c.searchers.entries[i]
 		e.byte(byte(s.host.State))
-		e.byte(e.n.Addr(s.host.Addr))
-		e.int(s.live)
-		e.byte(byte(len(s.lanes)))
-		for _, l := range s.lanes {
-			e.lane(l)
+		e.byte(e.labels.Addr(s.host.Addr))
+		e.int(s.inFlight)
+		e.byte(byte(len(s.connections)))
+		for _, conn := range s.connections {
+			e.connection(conn)
 		}
 	}
-	scans := slices.SortedFunc(maps.Values(o.book.scans), func(x, y *Scan) int { return cmp.Compare(n.Scan(x), n.Scan(y)) })
+	scans := slices.SortedFunc(maps.Values(c.pending.scans), func(x, y *Scan) int {
+		return cmp.Compare(labels.Scan(x), labels.Scan(y))
+	})
 	e.byte(byte(len(scans)))
 	for _, s := range scans {
-		e.byte(byte(n.Scan(s)))
+		e.byte(byte(labels.Scan(s)))
 		e.byte(byte(s.step))
-		e.flag(s.whole)
-		var from uint64
-		for _, shard := range s.from {
-			from |= 1 << n.Shard(shard)
+		e.flag(s.firstStepComplete)
+		var firstStep uint64
+		for _, shard := range s.firstStepShards {
+			firstStep |= 1 << labels.Shard(shard)
 		}
-		e.int(int(from))
+		e.int(int(firstStep))
 	}
-	parts := slices.SortedFunc(maps.Values(o.book.parts), e.order)
+	parts := slices.SortedFunc(maps.Values(c.pending.parts), e.comparePartsByLabel)
 	e.byte(byte(len(parts)))
 	for _, p := range parts {
 		e.part(p)
 	}
-	e.byte(byte(len(o.out)))
-	for _, s := range o.out {
-		e.ref(s.p)
-		e.byte(byte(s.no))
+	e.byte(byte(len(c.unsent)))
+	for _, q := range c.unsent {
+		e.ref(q.part)
+		e.byte(byte(q.index))
 	}
-	e.byte(byte(len(o.later)))
-	for _, t := range o.later {
+	e.byte(byte(len(c.deferred)))
+	for _, t := range c.deferred {
 		e.task(t)
 	}
 	e.timers()
-	e.int(o.book.open)
-	if e.flag(o.stopAt > 0); o.stopAt > 0 {
-		e.time(o.stopAt)
+	e.int(c.pending.open)
+	if e.flag(c.stopAt > 0); c.stopAt > 0 {
+		e.time(c.stopAt)
 	}
-	return e.b
+	return e.buf
 }
 
+// encoder writes the canonical encoding of a state.
 type encoder struct {
-	b   []byte
-	now time.Duration // the last batch may have been earlier
-	o   *Life
-	n   *Names
+	buf         []byte
+	now         time.Duration // may be later than the last batch
+	coordinator *Life
+	labels      *Names
 }
 
-func (e *encoder) byte(x byte)          { e.b = append(e.b, x) }
-func (e *encoder) int(x int)            { e.b = binary.AppendVarint(e.b, int64(x)) }
-func (e *encoder) time(t time.Duration) { e.b = binary.AppendVarint(e.b, int64(t-e.now)) }
+func (e *encoder) byte(x byte)          { e.buf = append(e.buf, x) }
+func (e *encoder) int(x int)            { e.buf = binary.AppendVarint(e.buf, int64(x)) }
+func (e *encoder) time(t time.Duration) { e.buf = binary.AppendVarint(e.buf, int64(t-e.now)) }
 
 func (e *encoder) flag(x bool) {
 	if x {
@@ -98,75 +101,78 @@
 	}
 }
 
-// order and ref tell a part by its scan, its step and its shard.
-func (e *encoder) order(a, b *part) int {
-	return cmp.Or(cmp.Compare(e.n.Scan(a.scan), e.n.Scan(b.scan)), cmp.Compare(len(a.wire), len(b.wire)),
-		cmp.Compare(e.n.Shard(a.shard), e.n.Shard(b.shard)))
+// comparePartsByLabel and ref identify a part by its scan, its step and its shard.
+func (e *encoder) comparePartsByLabel(a, b *part) int {
+	return cmp.Or(cmp.Compare(e.labels.Scan(a.scan), e.labels.Scan(b.scan)), cmp.Compare(len(a.wireID), len(b.wireID)),
+		cmp.Compare(e.labels.Shard(a.shard), e.labels.Shard(b.shard)))
 }
 
 func (e *encoder) ref(p *part) {
-	e.byte(byte(e.n.Scan(p.scan)))
-	e.byte(byte(len(p.wire)))
-	e.byte(byte(e.n.Shard(p.shard)))
+	e.byte(byte(e.labels.Scan(p.scan)))
+	e.byte(byte(len(p.wireID)))
+	e.byte(byte(e.labels.Shard(p.shard)))
 }
 
-func (e *encoder) lane(l *Lane) {
+func (e *encoder) connection(conn *Lane) {
 	var bits byte
-	for i, f := range []bool{l.retired, l.ended, l.gone} {
-		if f {
+	for i, set := range []bool{conn.retired, conn.closing, conn.closed} {
+		if set {
 			bits |= 1 << i
 		}
 	}
 	e.byte(bits)
-	e.byte(byte(l.lost))
-	out := slices.SortedFunc(maps.Keys(l.out), e.order)
-	e.byte(byte(len(out)))
-	for _, p := range out {
+	e.byte(byte(conn.lossOutcome))
+	inFlight := slices.SortedFunc(maps.Keys(conn.inFlight), e.comparePartsByLabel)
+	e.byte(byte(len(inFlight)))
+	for _, p := range inFlight {
 		e.ref(p)
-		e.byte(byte(l.out[p]))
+		e.byte(byte(conn.inFlight[p]))
 	}
-	// Its last word counts against those out; what goes out from now on is later, or at the same instant.
-	for _, p := range out {
-		e.flag(l.heard < p.tries[l.out[p]].at)
+	// The time of the last data received matters only compared with the start of attempts in flight; later attempts start
+	// after it or at the same instant.
+	for _, p := range inFlight {
+		e.flag(conn.lastReceived < p.attempts[conn.inFlight[p]].startedAt)
 	}
-	e.flag(l.heard == e.now)
-	kills := slices.Sorted(maps.Keys(l.kills))
-	e.byte(byte(len(kills)))
-	for _, seq := range kills {
-		k := l.kills[seq]
-		t := &k.p.tries[k.no]
-		e.ref(k.p)
-		e.byte(byte(k.no))
-		e.flag(t.out)
-		e.byte(byte(t.end))
+	e.flag(conn.lastReceived == e.now)
+	cancels := slices.Sorted(maps.Keys(conn.cancels))
+	e.byte(byte(len(cancels)))
+	for _, seq := range cancels {
+		cancelled := conn.cancels[seq]
+		a := &cancelled.part.attempts[cancelled.index]
+		e.ref(cancelled.part)
+		e.byte(byte(cancelled.index))
+		e.flag(a.inFlight)
+		e.byte(byte(a.outcome))
 	}
-	// Till the ring is full it is a set: what leaves it first does not matter.
-	last := slices.Clone(l.past.last)
-	last = slices.DeleteFunc(last, func(d dispatched) bool {
+	// Until the ring is full it is a set: the order in which entries are replaced does not matter yet.
+	recent := slices.Clone(conn.history.recent)
+	recent = slices.DeleteFunc(recent, func(past pastPart) bool {
 		var seq uint64
-		if p, no, ok := l.namesake(d.id); ok {
-			seq = p.tries[no].seq
+		if p, index, ok := conn.findByWireID(past.wireID); ok {
+			seq = p.attempts[index].seq
 		}
-		return !e.n.Past(l.conn, d.id, seq, d.due)
+		return !e.labels.Past(conn.transport, past.wireID, seq, past.answerDue)
 	})
-	if len(l.past.last) < e.o.lim.Past {
-		slices.SortFunc(last, func(x, y dispatched) int {
-			return cmp.Or(cmp.Compare(e.wire(x.id), e.wire(y.id)), cmp.Compare(b2i(x.due), b2i(y.due)))
+	if len(conn.history.recent) < e.coordinator.limits.Past {
+		slices.SortFunc(recent, func(x, y pastPart) int {
+			return cmp.Or(cmp.Compare(e.wireNumber(x.wireID), e.wireNumber(y.wireID)),
+				cmp.Compare(boolToInt(x.answerDue), boolToInt(y.answerDue)))
 		})
 	}
-	e.byte(byte(len(last)))
-	for _, d := range last {
-		e.int(e.wire(d.id))
-		e.flag(d.due)
-		e.flag(e.o.book.scans[d.scan] != nil)
+	e.byte(byte(len(recent)))
+	for _, past := range recent {
+		e.int(e.wireNumber(past.wireID))
+		e.flag(past.answerDue)
+		e.flag(e.coordinator.pending.scans[past.scanID] != nil)
 	}
-	e.b = e.n.Conn(e.b, l.conn)
+	e.buf = e.labels.Conn(e.buf, conn.transport)
 }
 
-// wire is a number for a part's id on the wire that follows its shard: "scan.shard", with ".fetch" in a second step.
-func (e *encoder) wire(id string) int {
+// wireNumber returns a number for a wire id that follows the label of its shard. A wire id is "scan.shard", with ".fetch"
+// appended in a second step.
+func (e *encoder) wireNumber(wireID string) int {
 	scan, shard, dots := 0, 0, 0
-	for _, c := range []byte(id) {
+	for _, c := range []byte(wireID) {
 		switch {
 		case c == '.':
 			dots++
@@ -176,10 +182,10 @@
 			shard = shard*10 + int(c-'0')
 		}
 	}
-	return (scan%10007*4+dots)*64 + e.n.Shard(shard)
+	return (scan%10007*4+dots)*64 + e.labels.Shard(shard)
 }
 
-func b2i(x bool) int {
+func boolToInt(x bool) int {
 	if x {
 		return 1
 	}
@@ -188,139 +194,142 @@
 
 func (e *encoder) part(p *part) {
 	e.ref(p)
-	e.flag(p.in)
-	e.flag(p.over)
-	e.flag(p.in && !p.over && e.n.Value(p.value, p.shard, p.scan, p.scan.step))
-	e.flag(e.o.book.byWire[p.wire] == p)
-	e.byte(byte(len(p.tries)))
-	for i := range p.tries {
-		e.try(p, &p.tries[i])
+	e.flag(p.hasValue)
+	e.flag(p.ended)
+	e.flag(p.hasValue && !p.ended && e.labels.Value(p.value, p.shard, p.scan, p.scan.step))
+	e.flag(e.coordinator.pending.byWireID[p.wireID] == p)
+	e.byte(byte(len(p.attempts)))
+	for i := range p.attempts {
+		e.attempt(p, &p.attempts[i])
 	}
 }
 
-func (e *encoder) try(p *part, t *try) {
-	e.flag(t.out)
-	if e.flag(t.never); !t.out {
-		if e.o.set.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
-			e.time(t.at)
+func (e *encoder) attempt(p *part, a *attempt) {
+	e.flag(a.inFlight)
+	if e.flag(a.neverRan); !a.inFlight {
+		if e.coordinator.settings.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
+			e.time(a.startedAt)
 		}
-		return // it is back, and nobody looks at anything else of it
+		return // nothing else of an attempt that returned is used any more
 	}
-	e.byte(byte(t.end))
-	e.byte(byte(slices.Index(e.n.Searchers, t.srv.host.Name)))
-	i, ok := e.o.fleet.byName[t.srv.host.Name]
-	e.flag(ok && e.o.fleet.srvs[i] == t.srv)
-	if e.n.Took || e.o.set.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
-		e.time(t.at)
+	e.byte(byte(a.outcome))
+	e.byte(byte(slices.Index(e.labels.Searchers, a.searcher.host.Name)))
+	i, ok := e.coordinator.searchers.byName[a.searcher.host.Name]
+	e.flag(ok && e.coordinator.searchers.entries[i] == a.searcher)
+	if e.labels.Took || e.coordinator.settings.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
+		e.time(a.startedAt)
 	}
 	switch {
-	case t.lane == nil:
+	case a.conn == nil:
 		e.byte(255)
-	case t.lane.gone:
+	case a.conn.closed:
 		e.byte(254)
-		e.byte(byte(t.lane.lost))
+		e.byte(byte(a.conn.lossOutcome))
 	default:
-		e.byte(byte(slices.Index(t.srv.lanes, t.lane)))
+		e.byte(byte(slices.Index(a.searcher.connections, a.conn)))
 	}
 }
 
 func (e *encoder) task(t task) {
-	e.byte(byte(t.what))
-	switch t.what {
-	case wake:
+	e.byte(byte(t.kind))
+	switch t.kind {
+	case policyWake:
 		e.int(int(t.token))
-	case tooSlow, tooLate, back:
-		e.ref(t.p)
-		e.byte(byte(t.no))
-		e.byte(byte(t.end))
-		e.flag(t.p.tries[t.no].out)
-	case goOn:
-		e.byte(byte(e.n.Scan(t.s)))
-		e.flag(e.o.book.scans[t.s.id] == t.s)
-		var in uint64
-		for _, p := range t.s.chosen {
-			in |= 1 << e.n.Shard(p.shard)
+	case attemptTimeout, keyWindowEnd, attemptDone:
+		e.ref(t.part)
+		e.byte(byte(t.index))
+		e.byte(byte(t.outcome))
+		e.flag(t.part.attempts[t.index].inFlight)
+	case secondStep:
+		e.byte(byte(e.labels.Scan(t.scan)))
+		e.flag(e.coordinator.pending.scans[t.scan.id] == t.scan)
+		var chosen uint64
+		for _, p := range t.scan.secondStepParts {
+			chosen |= 1 << e.labels.Shard(p.shard)
 		}
-		e.int(int(in))
+		e.int(int(chosen))
 	}
 }
 
-// idle tells that a timer has nothing to do any more, or nothing that a state tells.
-func (t task) idle() bool {
-	switch t.what {
-	case tooSlow:
-		y := &t.p.tries[t.no]
-		return !y.out || y.end != policy.Expired
-	case tooLate:
-		y := &t.p.tries[t.no]
-		return !y.out || y.lane == nil || y.lane.ended || y.lane.conn.Ran(y.seq)
-	case sweep, report:
+// noEffect reports whether a timer no longer does anything, or nothing that is part of the encoded state.
+func (t task) noEffect() bool {
+	switch t.kind {
+	case attemptTimeout:
+		a := &t.part.attempts[t.index]
+		return !a.inFlight || a.outcome != policy.Expired
+	case keyWindowEnd:
+		a := &t.part.attempts[t.index]
+		return !a.inFlight || a.conn == nil || a.conn.closing || a.conn.transport.Ran(a.seq)
+	case idleSweep, counterLog:
 		return true
 	}
 	return false
 }
 
 func (e *encoder) timers() {
-	var left []timer
-	for _, t := range e.o.timers.heap {
-		if !t.idle() {
-			left = append(left, t)
+	var remaining []timer
+	for _, t := range e.coordinator.timers.heap {
+		if !t.noEffect() {
+			remaining = append(remaining, t)
 		}
 	}
-	slices.SortFunc(left, func(a, b timer) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.n, b.n)) })
-	e.byte(byte(len(left)))
-	for _, t := range left {
+	slices.SortFunc(remaining, func(a, b timer) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.number, b.number)) })
+	e.byte(byte(len(remaining)))
+	for _, t := range remaining {
 		e.time(t.at)
 		e.task(t.task)
 	}
 }
 
-// Boundary is the next time at which something is due that has an effect; wakes: those of the module count.
-func (o *Life) Boundary(wakes bool) (at time.Duration, ok bool) {
-	for _, t := range o.timers.heap {
-		if !t.idle() && (wakes || t.what != wake) && (!ok || t.at < at) {
+// Boundary returns the time of the next timer that has an effect. includeWakes: wakes of the policy count.
+func (c *Life) Boundary(includeWakes bool) (at time.Duration, ok bool) {
+	for _, t := range c.timers.heap {
+		if !t.noEffect() && (includeWakes || t.kind != policyWake) && (!ok || t.at < at) {
 			at, ok = t.at, true
 		}
 	}
 	return at, ok
 }
 
-// Waiting tells that results wait for the next batch, or dispatches for the end of this one.
-func (o *Life) Waiting() (results, dispatches bool) { return len(o.later) > 0, len(o.out) > 0 }
+// Waiting reports whether results are deferred to the next batch, and whether attempts wait for the end of this one.
+func (c *Life) Waiting() (results, dispatches bool) { return len(c.deferred) > 0, len(c.unsent) > 0 }
 
-// Held counts what is held. Least is the least count of dispatches out at any searcher: none may go below zero.
+// Held counts what is in flight. Its fields appear in violation reports. Wires counts wire ids in use, Open scans and parts
+// without a value, Lanes connections, Live attempts in flight, and Places known searchers. Least is the lowest number of
+// attempts in flight at any searcher, and must not be negative.
 type Held struct{ Scans, Parts, Wires, Open, Lanes, Live, Least, Places int }
 
-// Held counts.
-func (o *Life) Held() Held {
-	h := Held{Scans: len(o.book.scans), Parts: len(o.book.parts), Wires: len(o.book.byWire), Open: o.book.open,
-		Lanes: o.fleet.lanes, Places: len(o.fleet.byName)}
-	for _, s := range o.fleet.srvs {
-		h.Live += s.live
-		h.Least = min(h.Least, s.live)
+// Held returns the current counts.
+func (c *Life) Held() Held {
+	usage := Held{Scans: len(c.pending.scans), Parts: len(c.pending.parts), Wires: len(c.pending.byWireID), Open: c.pending.open,
+		Lanes: c.searchers.connections, Places: len(c.searchers.byName)}
+	for _, s := range c.searchers.entries {
+		usage.Live += s.inFlight
+		usage.Least = min(usage.Least, s.inFlight)
 	}
-	return h
+	return usage
 }
 
-// Outs walks the dispatches believed to be out on connections.
-func (o *Life) Outs(yield func(c Conn, seq uint64, wire string)) {
-	for _, s := range o.fleet.srvs {
-		for _, l := range s.lanes {
-			for p, no := range l.out {
-				yield(l.conn, p.tries[no].seq, p.wire)
+// Outs calls yield for each attempt in flight on a connection.
+func (conn *Life) Outs(yield func(conn Conn, seq uint64, wireID string)) {
+	for _, s := range conn.searchers.entries {
+		for _, conn := range s.connections {
+			for p, index := range conn.inFlight {
+				yield(conn.transport, p.attempts[index].seq, p.wireID)
 			}
 		}
 	}
 }
 
-// Sent is where a dispatch went: the frame, and the part's id on its wire. None if it is not known or never left.
-func (o *Life) Sent(id uint64, no int) (c Conn, seq uint64, wire string, ok bool) {
-	p := o.book.parts[id]
-	if p == nil || no >= len(p.tries) || p.tries[no].lane == nil {
+// Sent returns the connection and frame of an attempt, and the part's wire id. ok is false if the attempt is not known or was
+// never sent.
+func (c *Life) Sent(id uint64, index int) (conn Conn, seq uint64, wireID string, ok bool) {
+	p := c.pending.parts[id]
+	if p == nil || index >= len(p.attempts) || p.attempts[index].conn == nil {
 		return nil, 0, "", false
 	}
-	return p.tries[no].lane.conn, p.tries[no].seq, p.wire, true
+	return p.attempts[index].conn.transport, p.attempts[index].seq, p.wireID, true
 }
 
-// Place names the searcher with an index.
-func (o *Life) Place(i int) string { return o.fleet.srvs[i].host.Name }
+// Place returns the name of the searcher with the given index.
+func (c *Life) Place(i int) string { return c.searchers.entries[i].host.Name }
--- a/attempt/timers.go
+++ b/attempt/timers.go
@@ -7,69 +7,70 @@
 	"peathollow/policy"
 )
 
-// task is something that is to be done later. It is data and no closure, so that what is in hand can be told.
+// task is an action to be done later. It is data rather than a closure so that State can encode it.
 type task struct {
-	what  work
-	end   policy.Outcome
-	no    int32
-	p     *part
-	s     *Scan
-	token uint64
+	kind    taskKind
+	outcome policy.Outcome
+	index   int32
+	part    *part
+	scan    *Scan
+	token   uint64
 }
 
-type work uint8
+// taskKind is what a task does.
+type taskKind uint8
 
 const (
-	wake     work = iota // the module, with its token
-	tooSlow              // give up a dispatch whose time is over
-	tooLate              // keep a keyed part from leaving outside its window
-	back                 // a dispatch that ended within the batch before
-	goOn                 // to the second step
-	sweep                // connections that lie idle
-	report               // what ended of late
-	leaveAll             // the process ends
+	policyWake     taskKind = iota // wake the policy with its token
+	attemptTimeout                 // cancel an attempt at its deadline
+	keyWindowEnd                   // stop an unsent attempt at the end of its repeat window
+	attemptDone                    // report an attempt that ended within the previous batch
+	secondStep                     // start the second step of a scan
+	idleSweep                      // close idle connections
+	counterLog                     // log the counters
+	abandonAll                     // abandon all scans when the process stops
 )
 
-func (o *Life) do(t task) {
-	switch t.what {
-	case wake:
-		o.m.Woke(t.token)
-	case tooSlow:
-		o.giveUp(t.p, int(t.no), policy.TimedOut)
-	case tooLate:
-		o.overWindow(t.p, int(t.no))
-	case back:
-		o.returned(t.p, int(t.no), t.end)
-	case goOn:
-		o.goOn(t.s)
-	case sweep:
-		o.sweep()
-	case report:
-		o.report()
-	case leaveAll:
-		for _, s := range o.book.inOrder() {
-			o.Left(s)
+func (c *Life) do(t task) {
+	switch t.kind {
+	case policyWake:
+		c.policy.Woke(t.token)
+	case attemptTimeout:
+		c.cancel(t.part, int(t.index), policy.TimedOut)
+	case keyWindowEnd:
+		c.enforceWindow(t.part, int(t.index))
+	case attemptDone:
+		c.returned(t.part, int(t.index), t.outcome)
+	case secondStep:
+		c.startSecondStep(t.scan)
+	case idleSweep:
+		c.closeIdle()
+	case counterLog:
+		c.logCounters()
+	case abandonAll:
+		for _, s := range c.pending.scansInOrder() {
+			c.Left(s)
 		}
 	}
 }
 
-// timers is a heap of what is due, earliest first, in the order of setting where times are equal.
+// timers is a heap of tasks, earliest first; tasks due at the same time run in the order in which they were added.
 type timers struct {
-	heap []timer
-	n    uint64
+	heap       []timer
+	lastNumber uint64
 }
 
 type timer struct {
-	at time.Duration
-	n  uint64
+	at     time.Duration
+	number uint64
 	task
 }
 
-func (t timer) before(u timer) bool { return t.at < u.at || t.at == u.at && t.n < u.n }
+func (t timer) before(u timer) bool { return t.at < u.at || t.at == u.at && t.number < u.number }
 
-func (t *timers) add(at time.Duration, f task) {
-	t.n++
-	t.heap = append(t.heap, timer{at, t.n, f})
+func (t *timers) add(at time.Duration, added task) {
+	t.lastNumber++
+	t.heap = append(t.heap, timer{at, t.lastNumber, added})
 	for i := len(t.heap) - 1; i > 0; {
 		up := (i - 1) / 2
 		if !t.heap[i].before(t.heap[up]) {
@@ -80,12 +81,12 @@
 	}
 }
 
-// due takes out the first timer whose time has come.
-func (t *timers) due(now time.Duration) (f task, ok bool) {
+// due removes and returns the first task whose time has come.
+func (t *timers) due(now time.Duration) (first task, ok bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return task{}, false
 	}
-	f, end := t.heap[0].task, len(t.heap)-1
+	first, end := t.heap[0].task, len(t.heap)-1
 	t.heap[0] = t.heap[end]
 	t.heap = slices.Delete(t.heap, end, end+1)
 	for i := 0; ; {
@@ -96,13 +97,14 @@
 			}
 		}
 		if low == i {
-			return f, true
+			return first, true
 		}
 		t.heap[i], t.heap[low] = t.heap[low], t.heap[i]
 		i = low
 	}
 }
 
+// next returns the time until the first timer, or an hour if there is none.
 func (t *timers) next(now time.Duration) time.Duration {
 	if len(t.heap) == 0 {
 		return time.Hour
