--- a/attempt/admit.go
+++ b/attempt/admit.go
@@ -10,11 +10,11 @@
 // admit.go validates scans and passes them to the policy.
 
 // Admit takes a scan that its client sent sentAgo ago.
-func (c *Life) Admit(s *Scan, sentAgo time.Duration) {
+func (c *Coordinator) Admit(s *Scan, sentAgo time.Duration) {
 	class, err := c.validate(s)
 	if err != nil {
-		c.pending.counters.Scans[Unfit]++
-		s.Reply(Answer{Kind: Unfit, Fault: err})
+		c.pending.counters.Scans[Invalid]++
+		s.Reply(Answer{Kind: Invalid, Err: err})
 		return
 	}
 	tenant, ok := c.settings.Tenants[s.Query.Tenant]
@@ -22,11 +22,11 @@
 		tenant = -1
 	}
 	if s.class = class; c.observer != nil {
-		c.observer.Came(class, tenant, len(s.Query.Parts), s.Query.Retry)
+		c.observer.ScanArrived(class, tenant, len(s.Query.Parts), s.Query.Retry)
 	}
 	// Scans beyond the limit never reach the policy.
 	if c.pending.open >= c.limits.Open {
-		c.pending.counters.Full++
+		c.pending.counters.Rejected++
 		c.reject(s)
 		return
 	}
@@ -52,15 +52,15 @@
 }
 
 // reject throttles a scan that does not reach the policy.
-func (c *Life) reject(s *Scan) {
+func (c *Coordinator) reject(s *Scan) {
 	if c.observer != nil {
-		c.observer.Ended(Throttled, s.class, 0)
+		c.observer.ScanEnded(Throttled, s.class, 0)
 	}
 	s.Reply(Answer{Kind: Throttled})
 }
 
 // validate checks a scan against the settings and returns the index of its table type.
-func (c *Life) validate(s *Scan) (int, error) {
+func (c *Coordinator) validate(s *Scan) (int, error) {
 	class, ok := c.settings.Types[s.Query.Class]
 	if !ok {
 		return 0, fmt.Errorf("path: unknown class %.60q", s.Query.Class)
@@ -84,17 +84,17 @@
 	return class, nil
 }
 
-// Left ends a scan whose client has disconnected.
-func (c *Life) Left(s *Scan) {
+// ClientLeft ends a scan whose client has disconnected.
+func (c *Coordinator) ClientLeft(s *Scan) {
 	if c.pending.scans[s.id] == s {
-		c.pending.counters.Left++
+		c.pending.counters.ClientsLeft++
 		c.policy.ClientLeft(s.id)
 		c.end(s, Answer{Kind: Abandoned})
 	}
 }
 
 // Stop ends all scans within the given time: new scans get no more time than that, and those left then are Abandoned.
-func (c *Life) Stop(within time.Duration) {
+func (c *Coordinator) Stop(within time.Duration) {
 	c.stopAt = c.now + within
 	c.timers.add(c.stopAt, task{kind: abandonAll})
 }
--- a/attempt/answers.go
+++ b/attempt/answers.go
@@ -13,8 +13,8 @@
 
 // answers.go passes what searchers answer to the policy, and the policy's decisions to the clients.
 
-// Answered handles an answer from a searcher. more reports whether further bytes have already arrived behind it.
-func (c *Life) Answered(conn *Lane, answer proto.Answer, more bool) {
+// AnswerReceived handles an answer from a searcher. more reports whether further bytes have already arrived behind it.
+func (c *Coordinator) AnswerReceived(conn *Connection, answer proto.Answer, more bool) {
 	conn.lastReceived = c.now
 	p := c.pending.byWireID[answer.ID]
 	index, ok := conn.inFlight[p]
@@ -50,7 +50,7 @@
 		confirmed := slices.Collect(maps.Keys(conn.cancels))
 		confirmed = slices.DeleteFunc(confirmed, func(k uint64) bool { return k > seq })
 		slices.Sort(confirmed)
-		c.Told(conn, confirmed)
+		c.CancelsConfirmed(conn, confirmed)
 	}
 	if answer.End == policy.Succeeded && !p.hasValue && !p.ended {
 		p.hasValue, p.value, p.score = true, answer.Value, answer.Score
@@ -61,16 +61,16 @@
 
 var errUnsolicited = errors.New("answer to a part never asked on this connection")
 
-// Closing handles a connection that will no longer send or accept anything. Attempts that were not written completely never
-// ran. Those that were are known to have ended only when the searcher confirms it. They stay in flight until then if the
-// part may be sent again and hedging is off.
-func (c *Life) Closing(conn *Lane, cause error) {
+// ConnectionClosing handles a connection that will no longer send or accept anything. Attempts that were not written
+// completely never ran. Those that were are known to have ended only when the searcher confirms it. They stay in flight until
+// then if the part may be sent again and hedging is off.
+func (c *Coordinator) ConnectionClosing(conn *Connection, cause error) {
 	conn.retired, conn.closing, conn.lossOutcome = true, true, policy.ConnectionLost
 	if errors.Is(cause, proto.ErrMute) {
 		conn.lossOutcome = policy.Cancelled // ended by this mixer
 	}
 	if len(conn.inFlight) > 0 {
-		c.transport.Lost(conn.searcher.host.Name, len(conn.inFlight), cause)
+		c.transport.PartsLost(conn.searcher.host.Name, len(conn.inFlight), cause)
 	}
 	for _, p := range conn.partsInOrder() {
 		if index := conn.inFlight[p]; !conn.transport.Ran(p.attempts[index].seq) {
@@ -81,11 +81,11 @@
 	}
 }
 
-// Closed handles a connection that is closed. confirmed reports that the searcher has ended its side as well. If it has not,
-// the remaining attempts may still run at any time: they stay in flight until their scan ends, and are not retried.
-func (c *Life) Closed(conn *Lane, confirmed bool) {
+// ConnectionClosed handles a connection that is closed. confirmed reports that the searcher has ended its side as well. If it
+// has not, the remaining attempts may still run at any time: they stay in flight until their scan ends, and are not retried.
+func (c *Coordinator) ConnectionClosed(conn *Connection, confirmed bool) {
 	c.searchers.connections--
-	conn.searcher.connections = slices.DeleteFunc(conn.searcher.connections, func(other *Lane) bool { return other == conn })
+	conn.searcher.connections = slices.DeleteFunc(conn.searcher.connections, func(other *Connection) bool { return other == conn })
 	conn.closed = true
 	for _, p := range conn.partsInOrder() {
 		if index := conn.inFlight[p]; confirmed || !c.exclusive(p) {
@@ -93,13 +93,13 @@
 		}
 	}
 	if n := len(conn.inFlight); n > 0 {
-		c.pending.counters.Doubt += n
-		c.transport.InDoubt(conn.searcher.host.Name, n)
+		c.pending.counters.Unconfirmed += n
+		c.transport.PartsUnconfirmed(conn.searcher.host.Name, n)
 	}
 }
 
 // partsInOrder returns the parts in flight on a connection, oldest first.
-func (conn *Lane) partsInOrder() []*part {
+func (conn *Connection) partsInOrder() []*part {
 	return slices.SortedFunc(maps.Keys(conn.inFlight), func(a, b *part) int { return cmp.Compare(a.id, b.id) })
 }
 
@@ -113,7 +113,7 @@
 
 // Complete implements policy.Actions. In a table type with a second step, the first call chooses the shards that take part
 // in the second step, by score; their parts are passed to the policy in the next batch.
-func (c *Life) Complete(id uint64, complete bool) {
+func (c *Coordinator) Complete(id uint64, complete bool) {
 	s := c.pending.scans[id]
 	if s == nil {
 		return
@@ -136,7 +136,7 @@
 }
 
 // chooseSecondStep ends the first step and keeps the n answered parts with the highest scores for the second.
-func (c *Life) chooseSecondStep(s *Scan, answered []*part, n int, complete bool) {
+func (c *Coordinator) chooseSecondStep(s *Scan, answered []*part, n int, complete bool) {
 	s.step, s.firstStepComplete = 1, complete
 	for _, p := range answered {
 		s.firstStepShards = append(s.firstStepShards, p.shard)
@@ -151,7 +151,7 @@
 }
 
 // startSecondStep passes the parts of the second step to the policy.
-func (c *Life) startSecondStep(s *Scan) {
+func (c *Coordinator) startSecondStep(s *Scan) {
 	if c.pending.scans[s.id] != s {
 		return
 	}
@@ -163,14 +163,14 @@
 }
 
 // Throttle implements policy.Actions. The client may safely retry.
-func (c *Life) Throttle(id uint64, retryAfter time.Duration) {
+func (c *Coordinator) Throttle(id uint64, retryAfter time.Duration) {
 	if s := c.pending.scans[id]; s != nil {
-		c.end(s, Answer{Kind: Throttled, After: retryAfter})
+		c.end(s, Answer{Kind: Throttled, RetryAfter: retryAfter})
 	}
 }
 
 // Abandon implements policy.Actions. The client is not told whether any part has run.
-func (c *Life) Abandon(id uint64) {
+func (c *Coordinator) Abandon(id uint64) {
 	if s := c.pending.scans[id]; s != nil {
 		c.end(s, Answer{Kind: Abandoned})
 	}
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -13,17 +13,17 @@
 	"peathollow/policy"
 )
 
-// fakeTransport is a Port whose connections report events only when the test calls for them.
+// fakeTransport is a Transport whose connections report events only when the test calls for them.
 type fakeTransport struct {
-	coordinator *Life
+	coordinator *Coordinator
 	conns       []*fakeConn
 	lost        int
 	unconfirmed int
 }
 
-// fakeConn is a Conn that queues frames until writeAll.
+// fakeConn is a TransportConn that queues frames until writeAll.
 type fakeConn struct {
-	conn    *Lane
+	conn    *Connection
 	last    uint64
 	written uint64
 	queue   []queuedFrame
@@ -36,18 +36,18 @@
 	ids []string
 }
 
-func (w *fakeTransport) Open(_ string, conn *Lane) Conn {
+func (w *fakeTransport) Open(_ string, conn *Connection) TransportConn {
 	c := &fakeConn{conn: conn}
 	w.conns = append(w.conns, c)
 	return c
 }
 
-func (w *fakeTransport) Ask()                              {}
-func (w *fakeTransport) Lost(_ string, parts int, _ error) { w.lost += parts }
-func (w *fakeTransport) InDoubt(_ string, parts int)       { w.unconfirmed += parts }
-func (w *fakeTransport) Listed(proto.List)                 {}
-func (w *fakeTransport) Silent()                           {}
-func (w *fakeTransport) Tally(Tally)                       {}
+func (w *fakeTransport) RequestList()                           {}
+func (w *fakeTransport) PartsLost(_ string, parts int, _ error) { w.lost += parts }
+func (w *fakeTransport) PartsUnconfirmed(_ string, parts int)   { w.unconfirmed += parts }
+func (w *fakeTransport) ListApplied(proto.List)                 {}
+func (w *fakeTransport) ListUnavailable()                       {}
+func (w *fakeTransport) LogCounters(Counters)                   {}
 
 func (c *fakeConn) Send(calls []proto.Call) (uint64, bool) {
 	ids := []string{}
@@ -103,7 +103,7 @@
 func (w *fakeTransport) reportClosing() {
 	for _, c := range w.conns {
 		if c.cause != nil && !c.conn.closing {
-			w.coordinator.Closing(c.conn, c.cause)
+			w.coordinator.ConnectionClosing(c.conn, c.cause)
 		}
 	}
 }
@@ -115,15 +115,15 @@
 			left = append(left, c)
 			continue
 		}
-		w.coordinator.Closed(c.conn, confirmed)
+		w.coordinator.ConnectionClosed(c.conn, confirmed)
 	}
 	w.conns = left
 }
 
 func (w *fakeTransport) reportEnd(confirmed bool) { w.reportClosing(); w.reportClosed(confirmed) }
 
-// newCoordinator returns a Life for a fleet of four searchers, with its transport. edit may change the settings.
-func newCoordinator(t *testing.T, edit func(*config.Settings)) (*Life, *fakeTransport) {
+// newCoordinator returns a Coordinator for a fleet of four searchers, with its transport. edit may change the settings.
+func newCoordinator(t *testing.T, edit func(*config.Settings)) (*Coordinator, *fakeTransport) {
 	t.Helper()
 	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{} }, nil)
 	if err != nil {
@@ -139,7 +139,8 @@
 		edit(&c.Settings)
 	}
 	w := &fakeTransport{}
-	w.coordinator = New(&c.Settings, Limits{Open: 200, PerSearcher: 25, Lanes: 500, Parts: 8, Past: 16, LaneIdle: 12 * time.Second, LogEvery: 10 * time.Second},
+	w.coordinator = New(&c.Settings, Limits{Open: 200, ConnectionsPerSearcher: 25, Connections: 500,
+		PartsPerConnection: 8, AnswerHistory: 16, IdleTimeout: 12 * time.Second, LogInterval: 10 * time.Second},
 		w, time.Unix(1e9, 0))
 	return w.coordinator, w
 }
@@ -162,13 +163,13 @@
 	for i := range 4 {
 		hosts = append(hosts, proto.Host{Name: fmt.Sprint(i), Addr: "nowhere", Cell: i, Weight: 1})
 	}
-	c.List(policy.Full, proto.List{Hosts: hosts})
+	c.ApplyList(policy.Full, proto.List{Hosts: hosts})
 	s := &Scan{Query: q, Reply: func(Answer) {}}
 	c.Admit(s, 0)
 	c.flush()
 	succeed := func(wireID string) {
 		p := c.pending.byWireID[wireID]
-		c.Answered(p.attempts[0].conn, proto.Answer{ID: wireID, End: policy.Succeeded}, false)
+		c.AnswerReceived(p.attempts[0].conn, proto.Answer{ID: wireID, End: policy.Succeeded}, false)
 	}
 	for i, want := range []int{4, 3, 2} {
 		if succeed(fmt.Sprintf("x.%d", i)); c.pending.open != want {
@@ -182,7 +183,7 @@
 	if c.pending.open != 3 {
 		t.Errorf("%d open in the second step", c.pending.open)
 	}
-	c.Left(s)
+	c.ClientLeft(s)
 	if c.pending.open != 0 {
 		t.Errorf("%d open after the end", c.pending.open)
 	}
@@ -194,7 +195,7 @@
 	for _, sent := range []bool{false, true} {
 		c, _ := newCoordinator(t, nil)
 		s := onePartScan("x")
-		c.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 1, Weight: 1}}})
+		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 1, Weight: 1}}})
 		c.Admit(s, 0)
 		if len(c.unsent) != 1 {
 			t.Fatalf("%d parts sent", len(c.unsent))
@@ -203,7 +204,7 @@
 			c.flush()
 		}
 		p := c.pending.byWireID["x.1"]
-		c.Left(s)
+		c.ClientLeft(s)
 		c.flush()
 		if conn := p.attempts[0].conn; sent != (conn != nil) || sent && conn.transport.Recall(p.attempts[0].seq, "x.1") {
 			t.Error("a part is still queued after the end of its scan")
@@ -233,7 +234,7 @@
 				l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i, ".", j), State: policy.Gone})
 			}
 		}
-		c.List(map[bool]policy.ListMode{false: policy.Changes, true: policy.Full}[l.Whole], l)
+		c.ApplyList(map[bool]policy.ListMode{false: policy.Changes, true: policy.Full}[l.Whole], l)
 		s := onePartScan(fmt.Sprint(i))
 		c.Admit(s, 0)
 		if c.flush(); len(c.searchers.entries) > 16 || len(c.searchers.byName) > 12 {
@@ -242,7 +243,7 @@
 		if c.searchers.connections > 8 {
 			t.Fatalf("%d connections", c.searchers.connections)
 		}
-		c.Left(s)
+		c.ClientLeft(s)
 		for _, f := range c.deferred {
 			c.do(f)
 		}
@@ -266,8 +267,8 @@
 // Extra bytes behind the last answer due stop the connection from accepting new attempts.
 func TestUnsolicitedAnswers(t *testing.T) {
 	c, w := newCoordinator(t, nil)
-	c.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1}, {Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
-	admit := func(id string) (*Scan, *Lane) {
+	c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1}, {Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
+	admit := func(id string) (*Scan, *Connection) {
 		s := onePartScan(id)
 		c.Admit(s, 0)
 		c.flush()
@@ -275,8 +276,8 @@
 	}
 	_, conn := admit("x")
 	answer := proto.Answer{ID: "x.1", End: policy.Succeeded, Value: "v"}
-	c.Answered(conn, answer, false)
-	c.Answered(conn, answer, false)
+	c.AnswerReceived(conn, answer, false)
+	c.AnswerReceived(conn, answer, false)
 	if conn.retired || len(conn.inFlight) > 0 {
 		t.Error("a duplicate answer retired the connection")
 	}
@@ -286,17 +287,17 @@
 		t.Fatal("two connections")
 	}
 	answer.ID = "y.1"
-	if c.Answered(conn, answer, true); conn.retired {
+	if c.AnswerReceived(conn, answer, true); conn.retired {
 		t.Error("extra bytes retired the connection while another answer was due")
 	}
 	answer.ID = "z.1"
-	if c.Answered(conn, answer, true); !conn.retired {
+	if c.AnswerReceived(conn, answer, true); !conn.retired {
 		t.Error("extra bytes behind the last answer did not retire the connection")
 	}
 	w.reportEnd(true)
 	s, conn := admit("w")
 	answer.ID = "nobody.1"
-	c.Answered(conn, answer, false)
+	c.AnswerReceived(conn, answer, false)
 	w.reportEnd(true)
 	if len(conn.inFlight) > 0 || c.searchers.connections > 0 {
 		t.Errorf("still in flight: %v", s.parts)
@@ -309,7 +310,7 @@
 func TestAnswerBeforeWriteReturns(t *testing.T) {
 	for _, outcome := range []policy.Outcome{policy.Succeeded, policy.Failed, policy.Overloaded} {
 		c, w := newCoordinator(t, nil)
-		c.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
+		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
 		s := onePartScan("x")
 		var got *Answer
 		s.Reply = func(a Answer) { got = &a }
@@ -317,7 +318,7 @@
 		c.flush()
 		p := s.parts[0]
 		w.conns[0].queue = nil // the write has begun and has not returned
-		c.Answered(p.attempts[0].conn, proto.Answer{ID: "x.1", End: outcome, Value: "v"}, false)
+		c.AnswerReceived(p.attempts[0].conn, proto.Answer{ID: "x.1", End: outcome, Value: "v"}, false)
 		if p.attempts[0].inFlight || outcome == policy.Succeeded && (got == nil || got.Kind != Completed) {
 			t.Errorf("outcome %d: still in flight %v, answered %+v", outcome, p.attempts[0].inFlight, got)
 		}
@@ -338,14 +339,14 @@
 		{"over", false, false, true, [2]bool{}},
 	} {
 		c, w := newCoordinator(t, func(set *config.Settings) { set.Brain.MayHedge = tc.hedging })
-		c.List(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
+		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
 		s := onePartScan("x")
 		c.Admit(s, 0)
 		c.flush()
 		w.writeAll()
 		p := s.parts[0]
 		if tc.ended {
-			c.Left(s)
+			c.ClientLeft(s)
 		}
 		p.attempts[0].conn.transport.Fail(errUnsolicited)
 		var inFlight [2]bool
@@ -357,7 +358,7 @@
 			t.Errorf("%s: in flight %v, %d connections", tc.name, inFlight, c.searchers.connections)
 		}
 		if !tc.ended {
-			c.Left(s)
+			c.ClientLeft(s)
 		}
 		for _, f := range c.deferred {
 			c.do(f)
--- a/attempt/coordinator.go
+++ b/attempt/coordinator.go
@@ -10,60 +10,61 @@
 
 // Limits bound the state in flight.
 type Limits struct {
-	Open        int           // scans, plus parts without a value
-	PerSearcher int           // connections to one searcher
-	Lanes       int           // connections to all searchers together
-	Parts       int           // parts in flight on one connection
-	Past        int           // entries of a connection's answer history
-	LaneIdle    time.Duration // idle time after which a connection is closed; shorter than the searchers' own
-	LogEvery    time.Duration // interval between logs of the counters
-}
-
-// Conn is a connection to a searcher, possibly still being opened. Its methods do not block; its events are reported through
-// the methods of Life.
-type Conn interface {
+	Open                   int           // scans, plus parts without a value
+	ConnectionsPerSearcher int           // connections to one searcher
+	Connections            int           // connections to all searchers together
+	PartsPerConnection     int           // parts in flight on one connection
+	AnswerHistory          int           // entries of a connection's answer history
+	IdleTimeout            time.Duration // idle time after which a connection is closed; shorter than the searchers' own
+	LogInterval            time.Duration // interval between logs of the counters
+}
+
+// TransportConn is a connection to a searcher, possibly still being opened. Its methods do not block; its events are reported
+// through the methods of Coordinator. After GiveUp with proof, CancelsConfirmed follows only once the searcher has read the
+// cancel, otherwise once it is written.
+type TransportConn interface {
 	Send(calls []proto.Call) (seq uint64, ok bool)      // queues a frame; false if no more frames are accepted
-	GiveUp(id string, proof bool) (seq uint64, ok bool) // queues a cancel; Told follows, with proof once the searcher has read it
+	GiveUp(id string, proof bool) (seq uint64, ok bool) // queues a cancel; CancelsConfirmed follows
 	Recall(seq uint64, id string) bool                  // removes a part from a frame whose write has not begun
 	Ran(seq uint64) bool                                // the frame is known to be written completely
 	Begun(seq uint64) bool                              // its write has begun: its answer may arrive before Ran reports true
 	Shut() bool                                         // no more frames are accepted
-	Close()                                             // Closing and Closed follow
+	Close()                                             // ConnectionClosing and ConnectionClosed follow
 	Fail(why error)                                     // like Close, after an error
 }
 
-// Port opens connections and receives requests for the searcher list and reports for the log and metrics.
-type Port interface {
-	Open(addr string, conn *Lane) Conn
-	Ask()                                       // requests the searcher list
-	Lost(searcher string, parts int, why error) // parts were in flight on a connection that failed
-	InDoubt(searcher string, parts int)         // a connection closed without confirmation that its parts had ended
-	Listed(l proto.List)                        // a list was applied
-	Silent()                                    // the list could not be had
-	Tally(t Tally)                              // logs the counters
+// Transport opens connections and receives requests for the searcher list and reports for the log and metrics.
+type Transport interface {
+	Open(addr string, conn *Connection) TransportConn
+	RequestList()                                    // requests the searcher list
+	PartsLost(searcher string, parts int, why error) // parts were in flight on a connection that failed
+	PartsUnconfirmed(searcher string, parts int)     // a connection closed without confirmation that its parts had ended
+	ListApplied(l proto.List)                        // a list was applied
+	ListUnavailable()                                // the list could not be had
+	LogCounters(t Counters)                          // logs the counters
 }
 
-// Kind is the kind of a scan's final answer.
-type Kind uint8
+// AnswerKind is the kind of a scan's final answer.
+type AnswerKind uint8
 
 const (
-	Completed Kind = iota
-	Throttled      // never ran, or may safely be retried
-	Abandoned      // may have run
-	Unfit          // the request itself is invalid
+	Completed AnswerKind = iota
+	Throttled            // never ran, or may safely be retried
+	Abandoned            // may have run
+	Invalid              // the request itself is invalid
 )
 
 // Answer is the final answer to a scan.
 type Answer struct {
-	Kind  Kind
-	Body  []byte
-	After time.Duration // when the client may retry
-	Fault error
+	Kind       AnswerKind
+	Body       []byte
+	RetryAfter time.Duration // when the client may retry
+	Err        error
 }
 
-// Decider decides which attempts are made and how scans end. It is policy.Engine, or a replacement in package explore. It
+// Policy decides which attempts are made and how scans end. It is policy.Engine, or a replacement in package explore. It
 // acts only within these calls, through the policy.Actions it was given.
-type Decider interface {
+type Policy interface {
 	Advance(now time.Duration)
 	ListBegin(mode policy.ListMode)
 	ListEntry(i int, st policy.SearcherState, weight float64, started time.Duration, cell int)
@@ -78,23 +79,23 @@
 	SetAdmission(shares []float64)
 }
 
-// Witness observes the arrival and the end of scans, for state that is shared with other mixers. Its methods are called
+// Observer observes the arrival and the end of scans, for state that is shared with other mixers. Its methods are called
 // within a batch and must not block.
-type Witness interface {
-	Came(class, tenant, parts int, again bool) // tenant is negative if it is not known
-	Ended(kind Kind, class int, took time.Duration)
-	Carried() // a part succeeded
+type Observer interface {
+	ScanArrived(class, tenant, parts int, again bool) // tenant is negative if it is not known
+	ScanEnded(kind AnswerKind, class int, took time.Duration)
+	PartSucceeded() // a part succeeded
 }
 
-// Life holds all scans, parts and connections in flight and passes events to the policy that decides on them.
-type Life struct {
+// Coordinator holds all scans, parts and connections in flight and passes events to the policy that decides on them.
+type Coordinator struct {
 	limits    Limits
 	settings  *config.Settings
-	transport Port
+	transport Transport
 	start     time.Time // times are relative to it; never read as a clock
 	now       time.Duration
-	newPolicy func(policy.Actions, time.Duration) Decider
-	policy    Decider
+	newPolicy func(policy.Actions, time.Duration) Policy
+	policy    Policy
 
 	current     []task // results deferred by the previous batch, while this one opens
 	deferred    []task // results for the next batch, where they are handled like outside events
@@ -106,22 +107,22 @@
 	unsent      []queuedAttempt // attempts dispatched in this batch
 	flushUnsent func()          // flush, as a func value made once: a batch allocates nothing for it
 	stopAt      time.Duration
-	observer    Witness // nil if there is none
+	observer    Observer // nil if there is none
 
 	listVersion int64 // version of the list last applied
 }
 
-// New returns an empty Life that is driven by policy.Engine. Times are counted from start.
-func New(settings *config.Settings, limits Limits, transport Port, start time.Time) *Life {
-	return NewWith(settings, limits, transport, start, func(act policy.Actions, now time.Duration) Decider {
+// New returns an empty Coordinator that is driven by policy.Engine. Times are counted from start.
+func New(settings *config.Settings, limits Limits, transport Transport, start time.Time) *Coordinator {
+	return NewWith(settings, limits, transport, start, func(act policy.Actions, now time.Duration) Policy {
 		return policy.New(settings.Brain, act, now)
 	})
 }
 
-// NewWith returns an empty Life with another policy. newPolicy is called again after a panic.
-func NewWith(settings *config.Settings, limits Limits, transport Port, start time.Time,
-	newPolicy func(act policy.Actions, now time.Duration) Decider) *Life {
-	c := &Life{limits: limits, settings: settings, transport: transport, start: start, newPolicy: newPolicy,
+// NewWith returns an empty Coordinator with another policy. newPolicy is called again after a panic.
+func NewWith(settings *config.Settings, limits Limits, transport Transport, start time.Time,
+	newPolicy func(act policy.Actions, now time.Duration) Policy) *Coordinator {
+	c := &Coordinator{limits: limits, settings: settings, transport: transport, start: start, newPolicy: newPolicy,
 		pending: newPending(), searchers: newSearcherTable()}
 	c.flushUnsent = c.flush
 	c.runNext = func() { c.do(c.nextTask) }
@@ -129,20 +130,21 @@
 	return c
 }
 
-// Watch sets the observer of the scans from now on.
-func (c *Life) Watch(observer Witness) { c.observer = observer }
+// SetObserver sets the observer of the scans from now on.
+func (c *Coordinator) SetObserver(observer Observer) { c.observer = observer }
 
-// Let passes the admitted shares of the traffic to the policy, see policy.Engine.SetAdmission.
-func (c *Life) Let(shares []float64) { c.policy.SetAdmission(shares) }
+// SetAdmission passes the admitted shares of the traffic to the policy, see policy.Engine.SetAdmission.
+func (c *Coordinator) SetAdmission(shares []float64) { c.policy.SetAdmission(shares) }
 
-// Begin starts the periodic tasks. The last known list must have been applied before.
-func (c *Life) Begin() {
+// Start starts the periodic tasks. The last known list must have been applied before.
+func (c *Coordinator) Start() {
 	c.closeIdle()
 	c.logCounters()
 }
 
-// At opens a batch: everything until Due happens at that time. Results deferred by the previous batch are handled first.
-func (c *Life) At(now time.Duration, guard func(func())) {
+// BeginBatch opens a batch: everything until EndBatch happens at that time. Results deferred by the previous batch are handled
+// first.
+func (c *Coordinator) BeginBatch(now time.Duration, guard func(func())) {
 	c.now = now
 	c.policy.Advance(now)
 	c.current, c.deferred = c.deferred, c.current[:0]
@@ -152,8 +154,8 @@
 	}
 }
 
-// Due runs the tasks that are due and then sends the attempts that the policy dispatched. It closes a batch.
-func (c *Life) Due(guard func(func())) {
+// EndBatch runs the tasks that are due and then sends the attempts that the policy dispatched. It closes a batch.
+func (c *Coordinator) EndBatch(guard func(func())) {
 	for t, ok := c.timers.due(c.now); ok; t, ok = c.timers.due(c.now) {
 		c.nextTask = t
 		guard(c.runNext)
@@ -161,8 +163,8 @@
 	guard(c.flushUnsent)
 }
 
-// Next returns the time until the next task, if nothing happens before.
-func (c *Life) Next(now time.Duration) time.Duration {
+// NextDelay returns the time until the next task, if nothing happens before.
+func (c *Coordinator) NextDelay(now time.Duration) time.Duration {
 	if len(c.deferred) > 0 {
 		return 0
 	}
@@ -170,10 +172,10 @@
 }
 
 // Now returns the time of the batch.
-func (c *Life) Now() time.Duration { return c.now }
+func (c *Coordinator) Now() time.Duration { return c.now }
 
 // Restart recovers from a panic: it answers every scan in flight and starts a new policy with the known list.
-func (c *Life) Restart() {
+func (c *Coordinator) Restart() {
 	c.current, c.deferred, c.unsent, c.timers = nil, nil, nil, timers{}
 	for _, s := range c.pending.scansInOrder() {
 		s.Reply(Answer{Kind: Abandoned})
@@ -192,22 +194,22 @@
 	c.policy = c.newPolicy(c, c.now)
 	c.policy.Advance(c.now)
 	c.passFullList()
-	c.Begin()
+	c.Start()
 	if c.stopAt > 0 {
 		c.Stop(c.stopAt - c.now)
 	}
 }
 
 // Wake implements policy.Actions.
-func (c *Life) Wake(at time.Duration, token uint64) {
+func (c *Coordinator) Wake(at time.Duration, token uint64) {
 	c.timers.add(at, task{kind: policyWake, token: token})
 }
 
 // Subscribe implements policy.Actions.
-func (c *Life) Subscribe() { c.transport.Ask() }
+func (c *Coordinator) Subscribe() { c.transport.RequestList() }
 
 // Hosts returns the listed searchers, in the order of their indexes.
-func (c *Life) Hosts() (hosts []proto.Host) {
+func (c *Coordinator) Hosts() (hosts []proto.Host) {
 	for _, s := range c.searchers.entries {
 		if s.host.Name != "" && s.host.State != policy.Gone {
 			hosts = append(hosts, s.host)
@@ -217,11 +219,11 @@
 }
 
 // Version returns the version of the list last applied.
-func (c *Life) Version() int64 { return c.listVersion }
+func (c *Coordinator) Version() int64 { return c.listVersion }
 
-// Beside lets send put something other than a part on a connection to a searcher, preferably one that is already open. It
+// SendOutOfBand lets send put something other than a part on a connection to a searcher, preferably one that is already open. It
 // reports whether send succeeded.
-func (c *Life) Beside(name string, send func(Conn) bool) bool {
+func (c *Coordinator) SendOutOfBand(name string, send func(TransportConn) bool) bool {
 	i, ok := c.searchers.byName[name]
 	if !ok || c.searchers.entries[i].host.State == policy.Gone {
 		return false
@@ -242,7 +244,7 @@
 }
 
 // Probed reports the result of a probe to the policy.
-func (c *Life) Probed(name string, ago time.Duration, answered bool) {
+func (c *Coordinator) Probed(name string, ago time.Duration, answered bool) {
 	if i, ok := c.searchers.byName[name]; ok {
 		c.policy.Probed(i, ago, answered)
 	}
--- a/attempt/copy.go
+++ b/attempt/copy.go
@@ -8,24 +8,24 @@
 	"peathollow/policy"
 )
 
-// Rest replaces what the original is bound to.
-type Rest struct {
-	Port  Port
-	Fresh func(policy.Actions, time.Duration) Decider // makes a policy after a panic
-	Conn  func(was Conn, conn *Lane) Conn             // returns the copy's counterpart of a connection
-	Scan  func(was, is *Scan) func(Answer)            // returns the Reply of the copied scan
+// CopyBindings replaces what the original is bound to.
+type CopyBindings struct {
+	Transport Transport
+	NewPolicy func(policy.Actions, time.Duration) Policy              // makes a policy after a panic
+	Conn      func(was TransportConn, conn *Connection) TransportConn // returns the copy's counterpart of a connection
+	Reply     func(was, is *Scan) func(Answer)                        // returns the Reply of the copied scan
 }
 
 // Copy returns an independent copy of the state, which shares only the settings with the original. newPolicy makes its
 // policy, which acts on the copy. Package explore continues from copies with every possible next event, and checks that a
 // copy behaves like the original by replaying the whole run.
-func (c *Life) Copy(bindings Rest, newPolicy func(act policy.Actions) Decider) *Life {
-	clone := &Life{limits: c.limits, settings: c.settings, transport: bindings.Port, start: c.start, now: c.now,
-		newPolicy: bindings.Fresh, stopAt: c.stopAt, listVersion: c.listVersion}
+func (c *Coordinator) Copy(bindings CopyBindings, newPolicy func(act policy.Actions) Policy) *Coordinator {
+	clone := &Coordinator{limits: c.limits, settings: c.settings, transport: bindings.Transport, start: c.start, now: c.now,
+		newPolicy: bindings.NewPolicy, stopAt: c.stopAt, listVersion: c.listVersion}
 	clone.flushUnsent = clone.flush
 	clone.runNext = func() { clone.do(clone.nextTask) }
 	cp := &copier{clone: clone, bindings: bindings, parts: map[*part]*part{},
-		connections: map[*Lane]*Lane{}, searchers: map[*searcher]*searcher{}, scans: map[*Scan]*Scan{}}
+		connections: map[*Connection]*Connection{}, searchers: map[*searcher]*searcher{}, scans: map[*Scan]*Scan{}}
 	clone.searchers = searcherTable{byName: maps.Clone(c.searchers.byName),
 		freeIndexes: slices.Clone(c.searchers.freeIndexes), connections: c.searchers.connections}
 	for _, s := range c.searchers.entries {
@@ -62,10 +62,10 @@
 
 // copier maps the objects of the original to their copies, so that each is copied once.
 type copier struct {
-	clone       *Life
-	bindings    Rest
+	clone       *Coordinator
+	bindings    CopyBindings
 	parts       map[*part]*part
-	connections map[*Lane]*Lane
+	connections map[*Connection]*Connection
 	searchers   map[*searcher]*searcher
 	scans       map[*Scan]*Scan
 }
@@ -92,7 +92,7 @@
 	copied := new(Scan)
 	*copied = *s
 	cp.scans[s] = copied
-	copied.Reply = cp.bindings.Scan(s, copied)
+	copied.Reply = cp.bindings.Reply(s, copied)
 	copied.parts, copied.secondStepParts, copied.firstStepShards =
 		cp.partList(s.parts), cp.partList(s.secondStepParts), slices.Clone(s.firstStepShards)
 	return copied
@@ -129,14 +129,14 @@
 	return copied
 }
 
-func (cp *copier) connection(conn *Lane) *Lane {
+func (cp *copier) connection(conn *Connection) *Connection {
 	if conn == nil {
 		return nil
 	}
 	if copied := cp.connections[conn]; copied != nil {
 		return copied
 	}
-	copied := new(Lane)
+	copied := new(Connection)
 	*copied = *conn
 	cp.connections[conn] = copied
 	copied.coordinator, copied.searcher = cp.clone, cp.searcher(conn.searcher)
--- a/attempt/explore/canon.go
+++ b/attempt/explore/canon.go
@@ -18,7 +18,7 @@
 	readers, parts [][]int // orders
 	buf            []byte
 	w              *World
-	names          attempt.Names
+	names          attempt.StateLabels
 	r, p           []int // the present orders: the place of each
 	bySearcher     []uint64
 	byPart         []uint64
@@ -31,13 +31,13 @@
 	if symmetry && set.Decider == "free" {
 		c.readers, c.parts = orders(set.Readers), orders(set.Parts)
 	}
-	c.names = attempt.Names{Took: set.Decider == "brain", Searchers: make([]string, set.Readers),
+	c.names = attempt.StateLabels{LatencyMatters: set.Decider == "brain", Searchers: make([]string, set.Readers),
 		Addr:  func(addr string) byte { return byte(len(addr)) },
 		Shard: func(s int) int { return c.p[s] },
 		Scan: func(s *attempt.Scan) int {
 			return slices.IndexFunc(c.w.scans, func(x *scan) bool { return x.s == s })
 		},
-		Past: func(k attempt.Conn, wire string, out uint64, due bool) bool {
+		AnswerPossible: func(k attempt.TransportConn, wire string, out uint64, due bool) bool {
 			may := func(f Fault) bool { return c.w.may(f) }
 			if may(fReuse) || due && may(fBehind) {
 				return true
@@ -46,11 +46,11 @@
 				return x.c == k.(*conn) && x.wire == wire && x.seq != out && (x.state == onWire || x.state == answered && may(fTwice))
 			})
 		},
-		Value: func(v string, shard int, s *attempt.Scan, step int) bool {
+		ValueReceived: func(v string, shard int, s *attempt.Scan, step int) bool {
 			i := slices.IndexFunc(c.w.scans, func(x *scan) bool { return x.s == s })
 			return c.w.scans[i].came(step, shard, v)
 		},
-		Conn: func(b []byte, k attempt.Conn) []byte { return c.conn(b, k.(*conn)) }}
+		AppendConn: func(b []byte, k attempt.TransportConn) []byte { return c.conn(b, k.(*conn)) }}
 	return c
 }
 
@@ -158,7 +158,7 @@
 
 func (c *canon) state(b []byte) []byte {
 	w := c.w
-	b = w.life.State(b, w.now, &c.names)
+	b = w.life.EncodeState(b, w.now, &c.names)
 	b = append(b, byte(w.spent), byte(b2i(w.inBatch)), byte(b2i(w.stopped)))
 	for _, name := range c.names.Searchers {
 		r := w.readers[name[0]-'a']
@@ -234,7 +234,7 @@
 
 func (c *canon) free(b []byte, d *free) []byte {
 	b = append(b, byte(len(d.scans)))
-	place := func(srv int) byte { return byte(slices.Index(c.names.Searchers, d.w.life.Place(srv))) }
+	place := func(srv int) byte { return byte(slices.Index(c.names.Searchers, d.w.life.SearcherName(srv))) }
 	for _, s := range d.scans {
 		b = append(b, byte(s.nr), byte(s.step), byte(b2i(s.whole)|b2i(s.ran)<<1), byte(s.expect))
 		b = binary.AppendVarint(b, int64(s.end-d.w.now))
--- a/attempt/explore/conn.go
+++ b/attempt/explore/conn.go
@@ -12,7 +12,7 @@
 // conn is one connection as its port tells it.
 type conn struct {
 	w       *World
-	l       *attempt.Lane
+	l       *attempt.Connection
 	nr      int
 	reader  int
 	addr    string
--- a/attempt/explore/copy.go
+++ b/attempt/explore/copy.go
@@ -49,18 +49,18 @@
 			n.conns[i].frames = append(n.conns[i].frames, &is)
 		}
 	}
-	n.life = w.life.Copy(attempt.Rest{Port: n, Fresh: n.decider,
-		Conn: func(was attempt.Conn, l *attempt.Lane) attempt.Conn {
+	n.life = w.life.Copy(attempt.CopyBindings{Transport: n, NewPolicy: n.decider,
+		Conn: func(was attempt.TransportConn, l *attempt.Connection) attempt.TransportConn {
 			c := n.conns[was.(*conn).nr]
 			c.l = l
 			return c
 		},
-		Scan: func(was, is *attempt.Scan) func(attempt.Answer) {
+		Reply: func(was, is *attempt.Scan) func(attempt.Answer) {
 			s := n.scans[slices.IndexFunc(w.scans, func(s *scan) bool { return s.s == was })]
 			s.s = is
 			return func(a attempt.Answer) { n.reply(s, a) }
 		}},
-		func(act policy.Actions) attempt.Decider {
+		func(act policy.Actions) attempt.Policy {
 			n.free = w.free.copy(n, act)
 			return watch{n, n.free}
 		})
--- a/attempt/explore/events.go
+++ b/attempt/explore/events.go
@@ -54,8 +54,8 @@
 }
 
 func (w *World) nothingDue() bool {
-	_, dispatches := w.life.Waiting()
-	at, ok := w.life.Boundary(true)
+	_, dispatches := w.life.Pending()
+	at, ok := w.life.NextTimer(true)
 	return !dispatches && !(ok && at <= w.now)
 }
 
@@ -69,8 +69,8 @@
 	// connection is seen on no other: one after the other will do.
 	alone := w.reduced && !w.inBatch && w.answeredAll() && !w.mayBesides()
 	if alone {
-		at, ok := w.life.Boundary(false)
-		results, dispatches := w.life.Waiting()
+		at, ok := w.life.NextTimer(false)
+		results, dispatches := w.life.Pending()
 		alone = !ok && at <= w.now && !results && !dispatches
 	}
 	for _, c := range w.conns {
@@ -95,12 +95,12 @@
 	if w.may(fList) {
 		w.listEvents(in)
 	}
-	results, dispatches := w.life.Waiting()
-	at, ok := w.life.Boundary(true)
+	results, dispatches := w.life.Pending()
+	at, ok := w.life.NextTimer(true)
 	due := results || dispatches || ok && at <= w.now
 	if !due {
 		// With no scan in hand the module's beat goes on for ever, and nothing that is looked at comes of it.
-		at, ok = w.life.Boundary(w.life.Held().Scans > 0)
+		at, ok = w.life.NextTimer(w.life.Usage().Scans > 0)
 	}
 	if w.inBatch {
 		add(label{text: "the batch ends"}, w.close)
@@ -166,7 +166,7 @@
 		}
 	}
 	found := false
-	w.life.Outs(func(k attempt.Conn, _ uint64, _ string) { found = found || k == attempt.Conn(c) })
+	w.life.EachInFlight(func(k attempt.TransportConn, _ uint64, _ string) { found = found || k == attempt.TransportConn(c) })
 	return found
 }
 
@@ -175,7 +175,7 @@
 	if w.may(fLeft) && last.replies == 0 {
 		in(label{text: "the client of the last scan goes away"}, func() {
 			w.spend()
-			w.life.Left(last.s)
+			w.life.ClientLeft(last.s)
 		})
 	}
 	if w.may(fReuse) && last.replies > 0 && len(w.scans) == 1 {
@@ -252,10 +252,10 @@
 	for range 200 {
 		w.open()
 		w.close()
-		if results, dispatches := w.life.Waiting(); results || dispatches {
+		if results, dispatches := w.life.Pending(); results || dispatches {
 			continue
 		}
-		at, ok := w.life.Boundary(true)
+		at, ok := w.life.NextTimer(true)
 		if w.bad != nil || !ok || w.answeredAll() {
 			break
 		}
--- a/attempt/explore/free.go
+++ b/attempt/explore/free.go
@@ -176,11 +176,11 @@
 func (d *free) label(c *choice) string {
 	switch {
 	case c.text == "sends":
-		return fmt.Sprintf("the decider sends part %d to reader %s", c.p.shard+1, d.w.life.Place(c.no))
+		return fmt.Sprintf("the decider sends part %d to reader %s", c.p.shard+1, d.w.life.SearcherName(c.no))
 	case c.p != nil:
 		return fmt.Sprintf("the decider calls off dispatch %d of part %d", c.no+1, c.p.shard+1)
 	case c.rank >= 50 && c.rank < 100:
-		return "the decider renews the connections of reader " + d.w.life.Place(c.no)
+		return "the decider renews the connections of reader " + d.w.life.SearcherName(c.no)
 	}
 	return "the decider " + c.text
 }
@@ -266,7 +266,7 @@
 
 // unseen tells that nothing was ever sent to a reader, and the list never changed.
 func (d *free) unseen(srv int) bool {
-	r := int(d.w.life.Place(srv)[0] - 'a')
+	r := int(d.w.life.SearcherName(srv)[0] - 'a')
 	if d.w.readers[r] != (reader{}) {
 		return false
 	}
--- a/attempt/explore/properties.go
+++ b/attempt/explore/properties.go
@@ -124,14 +124,14 @@
 
 // settled checks what must hold whenever a batch is over.
 func (w *World) settled() {
-	h := w.life.Held()
+	h := w.life.Usage()
 	if h.Least < 0 || h.Open < 0 || h.Lanes < 0 {
 		w.broke(givenBack, "a count is below zero: %+v", h)
 	}
 	for _, x := range w.sents {
 		x.believed = false
 	}
-	w.life.Outs(w.believed)
+	w.life.EachInFlight(w.believed)
 	if w.set.Copies > 1 {
 		return
 	}
@@ -151,7 +151,7 @@
 	}
 	x.believed = true
 	// One that was taken back is told of in the next batch.
-	results, _ := w.life.Waiting()
+	results, _ := w.life.Pending()
 	// A later answer may show that it was read; the word of that is still on its way to the owner.
 	told := slices.ContainsFunc(c.frames, func(f *frame) bool { return f.behind == x })
 	if x.state == answered || x.state == heardOf && !told || x.state == recalled && !results {
@@ -166,7 +166,7 @@
 		w.broke(toldOnce, "dispatch %d of part %d is told back twice", no+1, id)
 	}
 	w.told[key] = true
-	c, seq, wire, ok := w.life.Sent(id, no)
+	c, seq, wire, ok := w.life.AttemptFrame(id, no)
 	if !ok || !never {
 		return
 	}
@@ -177,9 +177,9 @@
 
 // left checks that nothing is held, once all has ended.
 func (w *World) left() {
-	h := w.life.Held()
+	h := w.life.Usage()
 	h.Places = 0
-	if h != (attempt.Held{}) {
+	if h != (attempt.Usage{}) {
 		w.broke(givenBack, "still held when all has ended: %+v", h)
 	}
 	for k := range w.dispatched {
--- a/attempt/explore/setup.go
+++ b/attempt/explore/setup.go
@@ -168,5 +168,6 @@
 
 // limits are wide enough never to bind but where a fault says so.
 func limits() attempt.Limits {
-	return attempt.Limits{Open: 100, PerSearcher: 8, Lanes: 32, Parts: 16, Past: 16, LaneIdle: time.Hour, LogEvery: 10 * time.Hour}
+	return attempt.Limits{Open: 100, ConnectionsPerSearcher: 8, Connections: 32,
+		PartsPerConnection: 16, AnswerHistory: 16, IdleTimeout: time.Hour, LogInterval: 10 * time.Hour}
 }
--- a/attempt/explore/words.go
+++ b/attempt/explore/words.go
@@ -53,7 +53,7 @@
 	if w.may(fStranger) && c.writ > 0 {
 		say(label{c: c, text: "answers what was never asked there"}, func() {
 			w.spend()
-			w.life.Answered(c.l, proto.Answer{ID: "nobody.0", End: policy.Succeeded}, false)
+			w.life.AnswerReceived(c.l, proto.Answer{ID: "nobody.0", End: policy.Succeeded}, false)
 		})
 	}
 }
@@ -134,7 +134,7 @@
 		return true
 	})
 	c.tidy()
-	c.w.life.Told(c.l, seqs)
+	c.w.life.CancelsConfirmed(c.l, seqs)
 }
 
 // heardTo: the reader has read all that was written up to there.
@@ -177,7 +177,7 @@
 	if end == policy.Succeeded {
 		x.scan.in = append(x.scan.in, came{x.step, x.shard, value})
 	}
-	c.w.life.Answered(c.l, proto.Answer{ID: x.wire, End: end, Value: value, Score: 1}, more)
+	c.w.life.AnswerReceived(c.l, proto.Answer{ID: x.wire, End: end, Value: value, Score: 1}, more)
 }
 
 // end is the end of the writing side, or of all.
@@ -193,7 +193,7 @@
 		}
 		return true
 	})
-	c.w.life.Closing(c.l, why)
+	c.w.life.ConnectionClosing(c.l, why)
 }
 
 // endAll: what was out at the reader on this connection has ended there.
@@ -211,5 +211,5 @@
 		c.endAll()
 	}
 	c.closed, c.frames = true, nil
-	c.w.life.Closed(c.l, heard)
+	c.w.life.ConnectionClosed(c.l, heard)
 }
--- a/attempt/explore/world.go
+++ b/attempt/explore/world.go
@@ -16,7 +16,7 @@
 // choice in it is asked of ask, so that a run is told by its choices alone.
 type World struct {
 	set  *Setup
-	life *attempt.Life
+	life *attempt.Coordinator
 	ask  func(n int, label func(int) string) int
 	free *free // nil with the real module
 	real *policy.Engine
@@ -156,12 +156,12 @@
 func (w *World) begin() {
 	w.open()
 	w.guard(func() { w.list(policy.Full) })
-	w.life.Begin()
+	w.life.Start()
 	w.submit("x")
 	w.close()
 }
 
-func (w *World) decider(act policy.Actions, now time.Duration) attempt.Decider {
+func (w *World) decider(act policy.Actions, now time.Duration) attempt.Policy {
 	w.free, w.real = nil, nil
 	if w.set.Decider == "free" {
 		w.free = newFree(w, act, now)
@@ -175,13 +175,13 @@
 func (w *World) open() {
 	if !w.inBatch {
 		w.inBatch = true
-		w.life.At(w.now, w.guard)
+		w.life.BeginBatch(w.now, w.guard)
 	}
 }
 
 func (w *World) close() {
 	w.inBatch = false
-	w.life.Due(w.guard)
+	w.life.EndBatch(w.guard)
 	w.settled()
 }
 
@@ -250,26 +250,26 @@
 		}
 		l.Hosts = append(l.Hosts, proto.Host{Name: readerName(i), Addr: addr, State: r.state, Weight: 1})
 	}
-	w.life.List(mode, l)
+	w.life.ApplyList(mode, l)
 }
 
 func readerName(i int) string { return string(rune('a' + i)) }
 
 // Open and what follows are the port.
-func (w *World) Open(addr string, l *attempt.Lane) attempt.Conn {
+func (w *World) Open(addr string, l *attempt.Connection) attempt.TransportConn {
 	c := &conn{w: w, l: l, nr: len(w.conns), reader: int(addr[0] - 'a'), addr: addr}
 	w.conns = append(w.conns, c)
 	return c
 }
 
-func (w *World) Ask()                    {}
-func (w *World) Lost(string, int, error) {}
-func (w *World) InDoubt(string, int)     {}
-func (w *World) Listed(proto.List)       {}
-func (w *World) Silent()                 {}
-func (w *World) Tally(attempt.Tally)     {}
+func (w *World) RequestList()                 {}
+func (w *World) PartsLost(string, int, error) {}
+func (w *World) PartsUnconfirmed(string, int) {}
+func (w *World) ListApplied(proto.List)       {}
+func (w *World) ListUnavailable()             {}
+func (w *World) LogCounters(attempt.Counters) {}
 
-func (w *World) believed(c attempt.Conn, seq uint64, wire string) {
+func (w *World) believed(c attempt.TransportConn, seq uint64, wire string) {
 	w.believes(c.(*conn), seq, wire)
 }
 
@@ -288,12 +288,12 @@
 // watch stands between the life and its decider, and checks what that is told.
 type watch struct {
 	w *World
-	attempt.Decider
+	attempt.Policy
 }
 
 func (d watch) Returned(id uint64, no int, out policy.Outcome, took time.Duration) {
 	d.w.returned(id, no, out == policy.Overloaded || out == policy.Unreachable || out == policy.Expired)
-	d.Decider.Returned(id, no, out, took)
+	d.Policy.Returned(id, no, out, took)
 }
 
 // asked notes what the real module wants sent.
--- a/attempt/pending.go
+++ b/attempt/pending.go
@@ -21,18 +21,18 @@
 	lastID         uint64
 	lastScanNumber uint64
 	open           int // scans, plus parts without a value; limited by Limits.Open
-	counters       Tally
+	counters       Counters
 }
 
-// Tally counts scans and attempts that ended since the counters were last logged, and holds current totals.
-type Tally struct {
-	Scans [Unfit + 1]int          // ended scans, by kind of answer
-	Parts [policy.Expired + 1]int // ended attempts, by outcome
-	Left  int                     // clients that disconnected before the answer
-	Full  int                     // scans rejected because Limits.Open was reached
-	Doubt int                     // attempts whose connection closed without confirmation that they had ended
-	Open  int                     // current scans, plus parts without a value
-	Lanes int                     // current connections
+// Counters counts scans and attempts that ended since the counters were last logged, and holds current totals.
+type Counters struct {
+	Scans       [Invalid + 1]int        // ended scans, by kind of answer
+	Parts       [policy.Expired + 1]int // ended attempts, by outcome
+	ClientsLeft int                     // clients that disconnected before the answer
+	Rejected    int                     // scans rejected because Limits.Open was reached
+	Unconfirmed int                     // attempts whose connection closed without confirmation that they had ended
+	Open        int                     // current scans, plus parts without a value
+	Connections int                     // current connections
 }
 
 func newPending() pending {
@@ -71,8 +71,8 @@
 // attempt is one dispatch of a part to a searcher.
 type attempt struct {
 	searcher  *searcher
-	conn      *Lane  // nil until it is handed to a connection
-	seq       uint64 // sequence number of its frame
+	conn      *Connection // nil until it is handed to a connection
+	seq       uint64      // sequence number of its frame
 	startedAt time.Duration
 	deadline  time.Duration
 	inFlight  bool
@@ -106,7 +106,7 @@
 }
 
 // closeStep releases the parts of a scan's current step. Parts with an attempt in flight are kept until it returns.
-func (c *Life) closeStep(s *Scan) {
+func (c *Coordinator) closeStep(s *Scan) {
 	for _, p := range s.parts {
 		p.ended = true
 		if !p.hasValue {
@@ -121,7 +121,7 @@
 
 // releaseUnconfirmed ends attempts on closed connections, whose end will never be confirmed. No attempt of the part is
 // made after its step is over, so they no longer have to count as in flight.
-func (c *Life) releaseUnconfirmed(p *part) {
+func (c *Coordinator) releaseUnconfirmed(p *part) {
 	for index := range p.attempts {
 		if a := &p.attempts[index]; a.inFlight && a.conn != nil && a.conn.closed {
 			c.deferReturned(p, index, a.lossOutcome())
@@ -140,38 +140,38 @@
 }
 
 // end ends a scan with its single final answer.
-func (c *Life) end(s *Scan, answer Answer) {
+func (c *Coordinator) end(s *Scan, answer Answer) {
 	delete(c.pending.scans, s.id)
 	delete(c.pending.byRequestID, s.Query.ID)
 	c.pending.open--
 	c.closeStep(s)
 	c.pending.counters.Scans[answer.Kind]++
 	if c.observer != nil {
-		c.observer.Ended(answer.Kind, s.class, c.now-s.admittedAt)
+		c.observer.ScanEnded(answer.Kind, s.class, c.now-s.admittedAt)
 	}
 	s.Reply(answer)
 }
 
 // logCounters passes the counters of the last interval on for logging, in one record whatever their values.
-func (c *Life) logCounters() {
-	c.timers.add(c.now+c.limits.LogEvery, task{kind: counterLog})
+func (c *Coordinator) logCounters() {
+	c.timers.add(c.now+c.limits.LogInterval, task{kind: counterLog})
 	counters := c.pending.counters
-	if counters == (Tally{}) {
+	if counters == (Counters{}) {
 		return
 	}
-	c.pending.counters = Tally{}
-	counters.Open, counters.Lanes = c.pending.open, c.searchers.connections
-	c.transport.Tally(counters)
+	c.pending.counters = Counters{}
+	counters.Open, counters.Connections = c.pending.open, c.searchers.connections
+	c.transport.LogCounters(counters)
 }
 
 // deferReturned schedules returned for an attempt whose end is known immediately, because the policy must not be called
 // from within its own actions.
-func (c *Life) deferReturned(p *part, index int, outcome policy.Outcome) {
+func (c *Coordinator) deferReturned(p *part, index int, outcome policy.Outcome) {
 	c.deferred = append(c.deferred, task{kind: attemptDone, part: p, index: int32(index), outcome: outcome})
 }
 
 // returned records how an attempt ended and reports it to the policy.
-func (c *Life) returned(p *part, index int, outcome policy.Outcome) {
+func (c *Coordinator) returned(p *part, index int, outcome policy.Outcome) {
 	a := &p.attempts[index]
 	if !a.inFlight {
 		return
@@ -182,7 +182,7 @@
 	a.searcher.inFlight--
 	c.pending.counters.Parts[outcome]++
 	if c.observer != nil && outcome == policy.Succeeded {
-		c.observer.Carried()
+		c.observer.PartSucceeded()
 	}
 	if conn := a.conn; conn != nil {
 		conn.attemptReturned(p, index, outcome == policy.Cancelled || outcome == policy.TimedOut, c.now)
--- a/attempt/searchers.go
+++ b/attempt/searchers.go
@@ -23,15 +23,15 @@
 // searcher is a listed backend with its connections.
 type searcher struct {
 	host        proto.Host
-	connections []*Lane
+	connections []*Connection
 	inFlight    int // attempts in flight
 }
 
-// Lane is a connection to a searcher and the attempts in flight on it.
-type Lane struct {
-	coordinator  *Life
+// Connection is a connection to a searcher and the attempts in flight on it.
+type Connection struct {
+	coordinator  *Coordinator
 	searcher     *searcher
-	transport    Conn
+	transport    TransportConn
 	inFlight     map[*part]int               // the index of the attempt in flight of each part
 	cancels      map[uint64]cancelledAttempt // cancels not confirmed yet, by the sequence number of their frame
 	history      answerHistory
@@ -52,7 +52,7 @@
 // answerHistory remembers the last parts that were in flight on a connection. It tells late and duplicate answers from
 // an answer to a part that was never sent there, which means that the two ends are out of step.
 type answerHistory struct {
-	recent []pastPart // a ring buffer once it reaches Limits.Past
+	recent []pastPart // a ring buffer once it reaches Limits.AnswerHistory
 	next   int
 }
 
@@ -97,10 +97,10 @@
 }
 
 // attemptReturned removes an attempt that is no longer in flight. Its answer may still arrive: answerDue.
-func (conn *Lane) attemptReturned(p *part, index int, answerDue bool, now time.Duration) {
+func (conn *Connection) attemptReturned(p *part, index int, answerDue bool, now time.Duration) {
 	if n, ok := conn.inFlight[p]; ok && n == index {
 		delete(conn.inFlight, p)
-		conn.history.add(p.wireID, p.scan.id, answerDue, conn.coordinator.limits.Past)
+		conn.history.add(p.wireID, p.scan.id, answerDue, conn.coordinator.limits.AnswerHistory)
 	}
 	if conn.lastUsed = now; conn.retired {
 		conn.retire()
@@ -109,7 +109,7 @@
 
 // findByWireID finds the part in flight under a wire id that now belongs to another part, because the client reused its
 // request id.
-func (conn *Lane) findByWireID(wireID string) (*part, int, bool) {
+func (conn *Connection) findByWireID(wireID string) (*part, int, bool) {
 	for p, index := range conn.inFlight {
 		if p.wireID == wireID {
 			return p, index, true
@@ -120,7 +120,7 @@
 
 // mayMisattribute reports whether an answer still expected on the connection, to an earlier request with the same id,
 // could be taken for the answer to this part.
-func (conn *Lane) mayMisattribute(p *part) bool {
+func (conn *Connection) mayMisattribute(p *part) bool {
 	if q, _, ok := conn.findByWireID(p.wireID); ok && q.scan != p.scan {
 		return true
 	}
@@ -130,18 +130,18 @@
 }
 
 // retire stops a connection from accepting new attempts and closes it once it is empty.
-func (conn *Lane) retire() {
+func (conn *Connection) retire() {
 	conn.retired = true
 	if len(conn.inFlight) == 0 {
 		conn.transport.Close()
 	}
 }
 
-// List applies a searcher list from discovery and passes it to the policy.
-func (c *Life) List(mode policy.ListMode, list proto.List) {
+// ApplyList applies a searcher list from discovery and passes it to the policy.
+func (c *Coordinator) ApplyList(mode policy.ListMode, list proto.List) {
 	c.policy.ListBegin(mode)
 	if mode == policy.Unavailable {
-		c.transport.Silent()
+		c.transport.ListUnavailable()
 		return
 	}
 	if mode != policy.Changes {
@@ -170,7 +170,7 @@
 	c.policy.ListEnd(mode)
 	c.removeGone()
 	c.listVersion = list.Version
-	c.transport.Listed(list)
+	c.transport.ListApplied(list)
 }
 
 // addEntry assigns an index to a searcher, reusing the index of a removed one if possible.
@@ -188,7 +188,7 @@
 
 // removeGone drops searchers that were removed from the list: their connections close once empty, after which their
 // indexes are reused. Otherwise the tables would grow without bound where searchers are replaced under new names.
-func (c *Life) removeGone() {
+func (c *Coordinator) removeGone() {
 	for i, s := range c.searchers.entries {
 		if s.host.Name == "" || s.host.State != policy.Gone {
 			continue
@@ -204,7 +204,7 @@
 }
 
 // passEntry passes the list entry of one searcher to the policy.
-func (c *Life) passEntry(i int) {
+func (c *Coordinator) passEntry(i int) {
 	h := &c.searchers.entries[i].host
 	started := policy.LongAgo
 	if !h.Born.IsZero() {
@@ -214,7 +214,7 @@
 }
 
 // passFullList passes the known list to a policy that was restarted.
-func (c *Life) passFullList() {
+func (c *Coordinator) passFullList() {
 	c.policy.ListBegin(policy.Cached)
 	for i, s := range c.searchers.entries {
 		if s.host.Name != "" {
@@ -226,24 +226,25 @@
 
 // connectionFor returns a connection with room for the parts, or opens one. Where the limits allow no further connection,
 // it returns the one with the fewest attempts in flight, or nil if the searcher has none.
-func (c *Life) connectionFor(s *searcher, parts int) *Lane {
-	var leastLoaded *Lane
+func (c *Coordinator) connectionFor(s *searcher, parts int) *Connection {
+	var leastLoaded *Connection
 	usable := 0
 	for _, conn := range s.connections {
 		if conn.retired || conn.transport.Shut() {
 			continue
 		}
-		if len(conn.inFlight)+parts <= c.limits.Parts {
+		if len(conn.inFlight)+parts <= c.limits.PartsPerConnection {
 			return conn
 		}
 		if usable++; leastLoaded == nil || len(conn.inFlight) < len(leastLoaded.inFlight) {
 			leastLoaded = conn
 		}
 	}
-	if usable >= c.limits.PerSearcher || c.searchers.connections >= c.limits.Lanes {
+	if usable >= c.limits.ConnectionsPerSearcher || c.searchers.connections >= c.limits.Connections {
 		return leastLoaded
 	}
-	conn := &Lane{coordinator: c, searcher: s, inFlight: map[*part]int{}, cancels: map[uint64]cancelledAttempt{}, lastUsed: c.now}
+	conn := &Connection{coordinator: c, searcher: s, inFlight: map[*part]int{}, cancels: map[uint64]cancelledAttempt{},
+		lastUsed: c.now}
 	conn.transport = c.transport.Open(s.host.Addr, conn)
 	s.connections = append(s.connections, conn)
 	c.searchers.connections++
@@ -251,7 +252,7 @@
 }
 
 // Renew implements policy.Actions: the next attempt at the searcher uses a new connection.
-func (c *Life) Renew(searcherIndex int) {
+func (c *Coordinator) Renew(searcherIndex int) {
 	for _, conn := range c.searchers.entries[searcherIndex].connections {
 		conn.retire()
 	}
@@ -259,16 +260,16 @@
 
 // Gossip implements policy.Actions. Mixers on sockets are connected to each other only for duties, so the settings disable
 // gossip.
-func (c *Life) Gossip([]byte) {}
+func (c *Coordinator) Gossip([]byte) {}
 
 // closeIdle closes idle connections before the searchers do, because a part being written when the searcher closes would
 // be lost.
-func (c *Life) closeIdle() {
-	c.timers.add(c.now+c.limits.LaneIdle/10, task{kind: idleSweep})
+func (c *Coordinator) closeIdle() {
+	c.timers.add(c.now+c.limits.IdleTimeout/10, task{kind: idleSweep})
 	c.removeGone()
 	for _, s := range c.searchers.entries {
 		for _, conn := range s.connections {
-			if len(conn.inFlight) == 0 && c.now-conn.lastUsed >= c.limits.LaneIdle && !conn.retired {
+			if len(conn.inFlight) == 0 && c.now-conn.lastUsed >= c.limits.IdleTimeout && !conn.retired {
 				conn.retire()
 			}
 		}
--- a/attempt/send.go
+++ b/attempt/send.go
@@ -20,7 +20,7 @@
 func (q queuedAttempt) searcher() *searcher { return q.part.attempts[q.index].searcher }
 
 // Dispatch implements policy.Actions. The attempt is sent at the end of the batch, in one frame with others to the searcher.
-func (c *Life) Dispatch(id uint64, searcherIndex int, deadline time.Duration) {
+func (c *Coordinator) Dispatch(id uint64, searcherIndex int, deadline time.Duration) {
 	p := c.pending.parts[id]
 	if p == nil {
 		return
@@ -34,7 +34,7 @@
 }
 
 // flush sends the attempts of the batch, grouped by searcher into frames of at most PartsPerCall parts.
-func (c *Life) flush() {
+func (c *Coordinator) flush() {
 	for len(c.unsent) > 0 {
 		target := c.unsent[0].searcher()
 		var batch []queuedAttempt
@@ -56,7 +56,7 @@
 }
 
 // send hands a group of attempts at one searcher to a connection, in one frame.
-func (c *Life) send(target *searcher, batch []queuedAttempt) {
+func (c *Coordinator) send(target *searcher, batch []queuedAttempt) {
 	if len(batch) == 0 {
 		return
 	}
@@ -98,7 +98,7 @@
 }
 
 // Cancel implements policy.Actions.
-func (c *Life) Cancel(id uint64, index int) {
+func (c *Coordinator) Cancel(id uint64, index int) {
 	if p := c.pending.parts[id]; p != nil && index < len(p.attempts) {
 		c.cancel(p, index, policy.Cancelled)
 	}
@@ -107,7 +107,7 @@
 // cancel stops waiting for an attempt. Where the part may be sent again and hedging is off, the attempt ends only once the
 // searcher is known to have read the cancel: writes on two connections are not ordered, so that an attempt sent elsewhere
 // before that could run as a second copy.
-func (c *Life) cancel(p *part, index int, outcome policy.Outcome) {
+func (c *Coordinator) cancel(p *part, index int, outcome policy.Outcome) {
 	a := &p.attempts[index]
 	if !a.inFlight || a.outcome != policy.Expired {
 		return
@@ -133,7 +133,7 @@
 }
 
 // windowEnd returns the time by which a retry of an idempotent-by-key part must be sent, if an earlier attempt may have run.
-func (c *Life) windowEnd(p *part, index int) (deadline time.Duration, ok bool) {
+func (c *Coordinator) windowEnd(p *part, index int) (deadline time.Duration, ok bool) {
 	tableType := &c.settings.Brain.Types[p.scan.class]
 	if tableType.Effect != policy.IdempotentByKey {
 		return 0, false
@@ -149,7 +149,7 @@
 // enforceWindow stops an unsent attempt from being sent after its repeat window. The policy, when it decided, could not know
 // that the connection would be slow to open or to write. If the write has begun, the connection is closed before the frame
 // is complete.
-func (c *Life) enforceWindow(p *part, index int) {
+func (c *Coordinator) enforceWindow(p *part, index int) {
 	a := &p.attempts[index]
 	if !a.inFlight || a.conn == nil || a.conn.closing || a.conn.transport.Ran(a.seq) {
 		return
@@ -167,10 +167,10 @@
 var errKeyWindow = errors.New("a keyed part would be sent outside its repeat window")
 
 // exclusive reports whether the part may be sent again, but only while none of its attempts is in flight.
-func (c *Life) exclusive(p *part) bool { return !p.ended && !c.settings.Brain.MayHedge }
+func (c *Coordinator) exclusive(p *part) bool { return !p.ended && !c.settings.Brain.MayHedge }
 
 // withdrawUnsent withdraws unsent attempts when a step ends, so that nothing of a scan is sent after its final answer.
-func (c *Life) withdrawUnsent(p *part) {
+func (c *Coordinator) withdrawUnsent(p *part) {
 	for index := range p.attempts {
 		if a := &p.attempts[index]; a.inFlight && a.withdraw(p) {
 			c.deferReturned(p, index, policy.Expired)
@@ -184,9 +184,10 @@
 	return a.conn == nil || a.conn.transport.Recall(a.seq, p.wireID)
 }
 
-// Told ends the attempts whose cancel frames were written or confirmed. Cancels of one write share one clock reading, since
-// parts cancelled together must count as one failure of their searcher. Otherwise it would be ejected for far too long.
-func (c *Life) Told(conn *Lane, seqs []uint64) {
+// CancelsConfirmed ends the attempts whose cancel frames were written or confirmed. Cancels of one write share one clock
+// reading, since parts cancelled together must count as one failure of their searcher. Otherwise it would be ejected for far
+// too long.
+func (c *Coordinator) CancelsConfirmed(conn *Connection, seqs []uint64) {
 	for _, seq := range seqs {
 		cancelled, ok := conn.cancels[seq]
 		delete(conn.cancels, seq)
--- a/attempt/state.go
+++ b/attempt/state.go
@@ -13,23 +13,23 @@
 // state.go exposes the state in flight to package explore, which must recognize two states that behave alike as the same,
 // and to checks that compare the state with what passed on the connections. Nothing in this file changes the state.
 
-// Names gives the searchers, shards, scans and connections of a state canonical labels. Two states that differ only in which
+// StateLabels gives the searchers, shards, scans and connections of a state canonical labels. Two states that differ only in which
 // searcher or shard is which have the same encoding under some labelling.
-type Names struct {
-	Searchers []string                                             // in the order in which they are encoded
-	Addr      func(addr string) byte                               // label of an address
-	Shard     func(shard int) int                                  // label of a shard
-	Scan      func(s *Scan) int                                    // label of a scan
-	Conn      func(b []byte, c Conn) []byte                        // appends the state of the connection itself
-	Past      func(c Conn, wire string, out uint64, due bool) bool // an answer may still arrive; out: the frame in flight, or 0
-	Value     func(p string, shard int, s *Scan, step int) bool    // whether the value p was received for the part
-	Took      bool                                                 // whether the policy uses the latency of attempts
+type StateLabels struct {
+	Searchers      []string                                                      // in the order in which they are encoded
+	Addr           func(addr string) byte                                        // label of an address
+	Shard          func(shard int) int                                           // label of a shard
+	Scan           func(s *Scan) int                                             // label of a scan
+	AppendConn     func(b []byte, c TransportConn) []byte                        // appends the state of the connection itself
+	AnswerPossible func(c TransportConn, wire string, out uint64, due bool) bool // an answer may come; out: frame in flight, or 0
+	ValueReceived  func(p string, shard int, s *Scan, step int) bool             // whether the value p was received for the part
+	LatencyMatters bool                                                          // whether the policy uses the latency of attempts
 }
 
-// State appends an encoding of everything that affects later behaviour, and nothing else. Times are relative to now; what no
+// EncodeState appends an encoding of everything that affects later behaviour, and nothing else. Times are relative to now; what no
 // longer has an effect is left out, and so is the order of elements kept as a set. Two things are not encoded: since when a
 // connection is idle, and the counters for the log. Callers that depend on those must add them.
-func (c *Life) State(b []byte, now time.Duration, labels *Names) []byte {
+func (c *Coordinator) EncodeState(b []byte, now time.Duration, labels *StateLabels) []byte {
 	e := &encoder{buf: b, now: now, coordinator: c, labels: labels}
 	for _, name := range labels.Searchers {
 		i, ok := c.searchers.byName[name]
@@ -85,8 +85,8 @@
 type encoder struct {
 	buf         []byte
 	now         time.Duration // may be later than the last batch
-	coordinator *Life
-	labels      *Names
+	coordinator *Coordinator
+	labels      *StateLabels
 }
 
 func (e *encoder) byte(x byte)          { e.buf = append(e.buf, x) }
@@ -113,7 +113,7 @@
 	e.byte(byte(e.labels.Shard(p.shard)))
 }
 
-func (e *encoder) connection(conn *Lane) {
+func (e *encoder) connection(conn *Connection) {
 	var bits byte
 	for i, set := range []bool{conn.retired, conn.closing, conn.closed} {
 		if set {
@@ -151,9 +151,9 @@
 		if p, index, ok := conn.findByWireID(past.wireID); ok {
 			seq = p.attempts[index].seq
 		}
-		return !e.labels.Past(conn.transport, past.wireID, seq, past.answerDue)
+		return !e.labels.AnswerPossible(conn.transport, past.wireID, seq, past.answerDue)
 	})
-	if len(conn.history.recent) < e.coordinator.limits.Past {
+	if len(conn.history.recent) < e.coordinator.limits.AnswerHistory {
 		slices.SortFunc(recent, func(x, y pastPart) int {
 			return cmp.Or(cmp.Compare(e.wireNumber(x.wireID), e.wireNumber(y.wireID)),
 				cmp.Compare(boolToInt(x.answerDue), boolToInt(y.answerDue)))
@@ -165,7 +165,7 @@
 		e.flag(past.answerDue)
 		e.flag(e.coordinator.pending.scans[past.scanID] != nil)
 	}
-	e.buf = e.labels.Conn(e.buf, conn.transport)
+	e.buf = e.labels.AppendConn(e.buf, conn.transport)
 }
 
 // wireNumber returns a number for a wire id that follows the label of its shard. A wire id is "scan.shard", with ".fetch"
@@ -196,7 +196,7 @@
 	e.ref(p)
 	e.flag(p.hasValue)
 	e.flag(p.ended)
-	e.flag(p.hasValue && !p.ended && e.labels.Value(p.value, p.shard, p.scan, p.scan.step))
+	e.flag(p.hasValue && !p.ended && e.labels.ValueReceived(p.value, p.shard, p.scan, p.scan.step))
 	e.flag(e.coordinator.pending.byWireID[p.wireID] == p)
 	e.byte(byte(len(p.attempts)))
 	for i := range p.attempts {
@@ -216,7 +216,7 @@
 	e.byte(byte(slices.Index(e.labels.Searchers, a.searcher.host.Name)))
 	i, ok := e.coordinator.searchers.byName[a.searcher.host.Name]
 	e.flag(ok && e.coordinator.searchers.entries[i] == a.searcher)
-	if e.labels.Took || e.coordinator.settings.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
+	if e.labels.LatencyMatters || e.coordinator.settings.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
 		e.time(a.startedAt)
 	}
 	switch {
@@ -281,8 +281,8 @@
 	}
 }
 
-// Boundary returns the time of the next timer that has an effect. includeWakes: wakes of the policy count.
-func (c *Life) Boundary(includeWakes bool) (at time.Duration, ok bool) {
+// NextTimer returns the time of the next timer that has an effect. includeWakes: wakes of the policy count.
+func (c *Coordinator) NextTimer(includeWakes bool) (at time.Duration, ok bool) {
 	for _, t := range c.timers.heap {
 		if !t.noEffect() && (includeWakes || t.kind != policyWake) && (!ok || t.at < at) {
 			at, ok = t.at, true
@@ -291,17 +291,19 @@
 	return at, ok
 }
 
-// Waiting reports whether results are deferred to the next batch, and whether attempts wait for the end of this one.
-func (c *Life) Waiting() (results, dispatches bool) { return len(c.deferred) > 0, len(c.unsent) > 0 }
+// Pending reports whether results are deferred to the next batch, and whether attempts wait for the end of this one.
+func (c *Coordinator) Pending() (results, dispatches bool) {
+	return len(c.deferred) > 0, len(c.unsent) > 0
+}
 
-// Held counts what is in flight. Its fields appear in violation reports. Wires counts wire ids in use, Open scans and parts
+// Usage counts what is in flight. Its fields appear in violation reports. Wires counts wire ids in use, Open scans and parts
 // without a value, Lanes connections, Live attempts in flight, and Places known searchers. Least is the lowest number of
 // attempts in flight at any searcher, and must not be negative.
-type Held struct{ Scans, Parts, Wires, Open, Lanes, Live, Least, Places int }
+type Usage struct{ Scans, Parts, Wires, Open, Lanes, Live, Least, Places int }
 
-// Held returns the current counts.
-func (c *Life) Held() Held {
-	usage := Held{Scans: len(c.pending.scans), Parts: len(c.pending.parts), Wires: len(c.pending.byWireID), Open: c.pending.open,
+// Usage returns the current counts.
+func (c *Coordinator) Usage() Usage {
+	usage := Usage{Scans: len(c.pending.scans), Parts: len(c.pending.parts), Wires: len(c.pending.byWireID), Open: c.pending.open,
 		Lanes: c.searchers.connections, Places: len(c.searchers.byName)}
 	for _, s := range c.searchers.entries {
 		usage.Live += s.inFlight
@@ -310,8 +312,8 @@
 	return usage
 }
 
-// Outs calls yield for each attempt in flight on a connection.
-func (conn *Life) Outs(yield func(conn Conn, seq uint64, wireID string)) {
+// EachInFlight calls yield for each attempt in flight on a connection.
+func (conn *Coordinator) EachInFlight(yield func(conn TransportConn, seq uint64, wireID string)) {
 	for _, s := range conn.searchers.entries {
 		for _, conn := range s.connections {
 			for p, index := range conn.inFlight {
@@ -321,9 +323,9 @@
 	}
 }
 
-// Sent returns the connection and frame of an attempt, and the part's wire id. ok is false if the attempt is not known or was
-// never sent.
-func (c *Life) Sent(id uint64, index int) (conn Conn, seq uint64, wireID string, ok bool) {
+// AttemptFrame returns the connection and frame of an attempt, and the part's wire id. ok is false if the attempt is not known
+// or was never sent.
+func (c *Coordinator) AttemptFrame(id uint64, index int) (conn TransportConn, seq uint64, wireID string, ok bool) {
 	p := c.pending.parts[id]
 	if p == nil || index >= len(p.attempts) || p.attempts[index].conn == nil {
 		return nil, 0, "", false
@@ -331,5 +333,5 @@
 	return p.attempts[index].conn.transport, p.attempts[index].seq, p.wireID, true
 }
 
-// Place returns the name of the searcher with the given index.
-func (c *Life) Place(i int) string { return c.searchers.entries[i].host.Name }
+// SearcherName returns the name of the searcher with the given index.
+func (c *Coordinator) SearcherName(i int) string { return c.searchers.entries[i].host.Name }
--- a/attempt/timers.go
+++ b/attempt/timers.go
@@ -7,7 +7,7 @@
 	"peathollow/policy"
 )
 
-// task is an action to be done later. It is data rather than a closure so that State can encode it.
+// task is an action to be done later. It is data rather than a closure so that EncodeState can encode it.
 type task struct {
 	kind    taskKind
 	outcome policy.Outcome
@@ -31,7 +31,7 @@
 	abandonAll                     // abandon all scans when the process stops
 )
 
-func (c *Life) do(t task) {
+func (c *Coordinator) do(t task) {
 	switch t.kind {
 	case policyWake:
 		c.policy.Woke(t.token)
@@ -49,7 +49,7 @@
 		c.logCounters()
 	case abandonAll:
 		for _, s := range c.pending.scansInOrder() {
-			c.Left(s)
+			c.ClientLeft(s)
 		}
 	}
 }
--- a/mixer/ally.go
+++ b/mixer/ally.go
@@ -50,20 +50,20 @@
 	if err != nil {
 		return nil, err
 	}
-	o.Watch(a)
+	o.SetObserver(a)
 	return a, nil
 }
 
 func (a *ally) now() time.Duration { return time.Since(a.start) }
 
-// Came, Ended and Carried come from the life of scans, within its batches.
-func (a *ally) Came(class, tenant, parts int, again bool) {
+// ScanArrived, ScanEnded and PartSucceeded come from the life of scans, within its batches.
+func (a *ally) ScanArrived(class, tenant, parts int, again bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.meter.ScanArrived(class, tenant, parts, again)
 }
 
-func (a *ally) Ended(kind attempt.Kind, class int, took time.Duration) {
+func (a *ally) ScanEnded(kind attempt.AnswerKind, class int, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	how := overload.Failed
@@ -76,7 +76,7 @@
 	a.meter.ScanEnded(how, took, a.types[class].Target)
 }
 
-func (a *ally) Carried() {
+func (a *ally) PartSucceeded() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.meter.PartServed()
@@ -139,7 +139,7 @@
 	stands, wasMood, wasStanding := a.mind.View.Connectivity(), a.mood, a.stands
 	a.mood, a.stands = mood, stands
 	a.mu.Unlock()
-	a.o.try(func() { a.o.Let(let) })
+	a.o.try(func() { a.o.SetAdmission(let) })
 	if mood != wasMood || stands != wasStanding {
 		field := zap.Skip()
 		if !math.IsInf(room, 1) {
--- a/mixer/client_test.go
+++ b/mixer/client_test.go
@@ -232,9 +232,9 @@
 		cfg := w0(t).cfg
 		cfg.MemoryMB, cfg.Sockets = c.mb, c.sockets
 		l := newLimits(cfg)
-		sum := l.Clients*clientCost + l.Attempt.Lanes*laneCost + l.Big*bigCost + int(l.Discovery.Body)
-		if sum > c.mb<<20*2/3 || l.Clients+l.Attempt.Lanes+otherSockets > c.sockets || l.Clients < c.sockets/3 && c.mb > 32 || l.Attempt.Lanes < 64 {
-			t.Errorf("%+v: %d bytes, %d clients, %d connections, %d long bodies", c, sum, l.Clients, l.Attempt.Lanes, l.Big)
+		sum := l.Clients*clientCost + l.Attempt.Connections*laneCost + l.Big*bigCost + int(l.Discovery.Body)
+		if sum > c.mb<<20*2/3 || l.Clients+l.Attempt.Connections+otherSockets > c.sockets || l.Clients < c.sockets/3 && c.mb > 32 || l.Attempt.Connections < 64 {
+			t.Errorf("%+v: %d bytes, %d clients, %d connections, %d long bodies", c, sum, l.Clients, l.Attempt.Connections, l.Big)
 		}
 	}
 }
--- a/mixer/duties.go
+++ b/mixer/duties.go
@@ -201,7 +201,7 @@
 			m.done(token, out, r.Took, load)
 		}}
 	if !m.o.try(func() {
-		if !m.o.Beside(target, func(c attempt.Conn) bool { return c.(*link.Conn).Probe(p) }) {
+		if !m.o.SendOutOfBand(target, func(c attempt.TransportConn) bool { return c.(*link.Conn).Probe(p) }) {
 			m.done(token, duty.NotBegun, 0, "")
 		}
 	}) {
@@ -230,7 +230,7 @@
 		return
 	}
 	m.o.post(func() {
-		wrong, same := differs(m.o.Life, whole)
+		wrong, same := differs(m.o.Coordinator, whole)
 		word := fmt.Sprintf("entries=%d,differ=%d", len(whole.Hosts), wrong)
 		if wrong > 0 {
 			m.log.Warn("audit: the list watched differs", zap.Int("entries", wrong), zap.Bool("sameVersion", same))
@@ -299,7 +299,7 @@
 }
 
 // differs counts the entries in which a whole list differs from the one held, and whether both are of one version.
-func differs(o *attempt.Life, l proto.List) (n int, same bool) {
+func differs(o *attempt.Coordinator, l proto.List) (n int, same bool) {
 	held := map[string]proto.Host{}
 	for _, h := range o.Hosts() {
 		held[h.Name] = h
--- a/mixer/limits.go
+++ b/mixer/limits.go
@@ -86,8 +86,10 @@
 		Gather: gather,
 		Body:   64 << 10, Copy: 4 << 10, Small: 4 << 10, Big: max(2, memory/8/bigCost), Hold: 2 * longest,
 		Clients: min(sockets/2, memory/3/clientCost),
-		Attempt: attempt.Limits{Lanes: min(sockets/2, memory/8/laneCost), PerSearcher: (set.OpenMost + set.Streams - 1) / set.Streams,
-			Parts: set.Streams, Past: 2 * set.Streams, Open: set.OpenMost, LaneIdle: set.Idle / 5 * 4, LogEvery: 10 * time.Second},
+		Attempt: attempt.Limits{Connections: min(sockets/2, memory/8/laneCost),
+			ConnectionsPerSearcher: (set.OpenMost + set.Streams - 1) / set.Streams,
+			PartsPerConnection:     set.Streams, AnswerHistory: 2 * set.Streams, Open: set.OpenMost,
+			IdleTimeout: set.Idle / 5 * 4, LogInterval: 10 * time.Second},
 		Events: 1024, Batch: 256,
 		Processors: int(math.Ceil(c.Cores)), Memory: int64(c.MemoryMB) << 20 / 4 * 3,
 		// Whoever connects is to hear something within three seconds, silent ones too.
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -78,7 +78,7 @@
 	first := make(chan struct{})
 	var once sync.Once
 	told := func(mode policy.ListMode, l proto.List) {
-		o.post(func() { o.List(mode, l) })
+		o.post(func() { o.ApplyList(mode, l) })
 		if mode != policy.Unavailable {
 			o.post(func() { once.Do(func() { close(first) }) })
 		}
@@ -89,8 +89,8 @@
 		return err
 	}
 	defer unshow()
-	o.List(policy.Cached, m.cfg.Known)
-	o.Begin()
+	o.ApplyList(policy.Cached, m.cfg.Known)
+	o.Start()
 
 	done := make(chan struct{})
 	var all sync.WaitGroup
--- a/mixer/mixer_test.go
+++ b/mixer/mixer_test.go
@@ -249,7 +249,7 @@
 	}
 	// The book is anew: the same request may come again.
 	o.guard(func() { o.Admit(s, 0) })
-	if a := <-got; a.Kind == attempt.Unfit {
+	if a := <-got; a.Kind == attempt.Invalid {
 		t.Errorf("answered %+v", a)
 	}
 }
@@ -365,7 +365,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	o.List(policy.Full, list)
+	o.ApplyList(policy.Full, list)
 	done := make(chan struct{})
 	go o.run(done)
 	defer func() { stop(); close(done); <-o.gone }()
--- a/mixer/takein.go
+++ b/mixer/takein.go
@@ -103,12 +103,12 @@
 		return res, nil
 	case attempt.Throttled:
 		res := plain(r, http.StatusServiceUnavailable, "throttled")
-		if a.After > 0 {
-			res.Header.Set("Retry-After", strconv.FormatFloat(a.After.Seconds(), 'f', 3, 64))
+		if a.RetryAfter > 0 {
+			res.Header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 		}
 		return res, nil
-	case attempt.Unfit:
-		return plain(r, http.StatusBadRequest, a.Fault.Error()), nil
+	case attempt.Invalid:
+		return plain(r, http.StatusBadRequest, a.Err.Error()), nil
 	}
 	return plain(r, http.StatusInternalServerError, "abandoned"), nil
 }
@@ -151,10 +151,10 @@
 	case a := <-reply:
 		return a, nil
 	case <-ctx.Done():
-		t.o.post(func() { t.o.Left(s) })
+		t.o.post(func() { t.o.ClientLeft(s) })
 		return attempt.Answer{}, ctx.Err()
 	case <-late.C:
-		t.o.post(func() { t.o.Left(s) })
+		t.o.post(func() { t.o.ClientLeft(s) })
 		return attempt.Answer{Kind: attempt.Abandoned}, nil
 	}
 }
