--- a/attempt/answers.go
+++ b/attempt/answers.go
@@ -81,8 +81,9 @@
 	}
 }
 
-// ConnectionClosed handles a connection that is closed. confirmed reports that the searcher has ended its side as well. If it
-// has not, the remaining attempts may still run at any time: they stay in flight until their scan ends, and are not retried.
+// ConnectionClosed handles a connection that is closed. confirmed reports that the searcher has ended its side as well, or that
+// the connection was never established. Otherwise the remaining attempts may still run at any time: they stay in flight until
+// their scan ends, and are not retried.
 func (c *Coordinator) ConnectionClosed(conn *Connection, confirmed bool) {
 	c.searchers.connections--
 	conn.searcher.connections = slices.DeleteFunc(conn.searcher.connections, func(other *Connection) bool { return other == conn })
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -267,7 +267,8 @@
 // Extra bytes behind the last answer due stop the connection from accepting new attempts.
 func TestUnsolicitedAnswers(t *testing.T) {
 	c, w := newCoordinator(t, nil)
-	c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1}, {Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
+	c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1},
+		{Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
 	admit := func(id string) (*Scan, *Connection) {
 		s := onePartScan(id)
 		c.Admit(s, 0)
--- a/attempt/coordinator.go
+++ b/attempt/coordinator.go
@@ -30,28 +30,28 @@
 	Begun(seq uint64) bool                              // its write has begun: its answer may arrive before Ran reports true
 	Shut() bool                                         // no more frames are accepted
 	Close()                                             // ConnectionClosing and ConnectionClosed follow
-	Fail(why error)                                     // like Close, after an error
+	Fail(cause error)                                   // like Close, after an error
 }
 
 // Transport opens connections and receives requests for the searcher list and reports for the log and metrics.
 type Transport interface {
 	Open(addr string, conn *Connection) TransportConn
-	RequestList()                                    // requests the searcher list
-	PartsLost(searcher string, parts int, why error) // parts were in flight on a connection that failed
-	PartsUnconfirmed(searcher string, parts int)     // a connection closed without confirmation that its parts had ended
-	ListApplied(l proto.List)                        // a list was applied
-	ListUnavailable()                                // the list could not be had
-	LogCounters(t Counters)                          // logs the counters
+	RequestList()                                      // requests the searcher list
+	PartsLost(searcher string, parts int, cause error) // parts were in flight on a connection that failed
+	PartsUnconfirmed(searcher string, parts int)       // a connection closed without confirmation that its parts had ended
+	ListApplied(list proto.List)                       // a list was applied
+	ListUnavailable()                                  // the list could not be had
+	LogCounters(counters Counters)                     // logs the counters
 }
 
 // AnswerKind is the kind of a scan's final answer.
 type AnswerKind uint8
 
 const (
-	Completed AnswerKind = iota
-	Throttled            // never ran, or may safely be retried
-	Abandoned            // may have run
-	Invalid              // the request itself is invalid
+	Completed AnswerKind = iota // Body holds the result, perhaps with parts missing
+	Throttled                   // the client may safely retry
+	Abandoned                   // no guarantee: parts may have run
+	Invalid                     // the request itself is invalid
 )
 
 // Answer is the final answer to a scan.
@@ -67,24 +67,24 @@
 type Policy interface {
 	Advance(now time.Duration)
 	ListBegin(mode policy.ListMode)
-	ListEntry(i int, st policy.SearcherState, weight float64, started time.Duration, cell int)
+	ListEntry(searcher int, state policy.SearcherState, weight float64, started time.Duration, shard int)
 	ListEnd(mode policy.ListMode)
-	Scan(id, no uint64, class, tenant int, left, work time.Duration, parts int, repeat bool)
-	Part(id, no uint64, shard int, weight float64)
-	Returned(id uint64, index int, out policy.Outcome, took time.Duration)
+	Scan(id, number uint64, class, tenant int, remaining, work time.Duration, parts int, retry bool)
+	Part(id, scanNumber uint64, shard int, weight float64)
+	Returned(id uint64, attempt int, outcome policy.Outcome, latency time.Duration)
 	ClientLeft(id uint64)
 	Woke(token uint64)
-	Forget(i int)
-	Probed(i int, ago time.Duration, answered bool)
+	Forget(searcher int)
+	Probed(searcher int, ago time.Duration, answered bool)
 	SetAdmission(shares []float64)
 }
 
 // Observer observes the arrival and the end of scans, for state that is shared with other mixers. Its methods are called
 // within a batch and must not block.
 type Observer interface {
-	ScanArrived(class, tenant, parts int, again bool) // tenant is negative if it is not known
-	ScanEnded(kind AnswerKind, class int, took time.Duration)
-	PartSucceeded() // a part succeeded
+	ScanArrived(class, tenant, parts int, retry bool) // tenant is negative if it is not known
+	ScanEnded(kind AnswerKind, class int, duration time.Duration)
+	PartSucceeded() // a searcher answered a part successfully
 }
 
 // Coordinator holds all scans, parts and connections in flight and passes events to the policy that decides on them.
@@ -221,8 +221,8 @@
 // Version returns the version of the list last applied.
 func (c *Coordinator) Version() int64 { return c.listVersion }
 
-// SendOutOfBand lets send put something other than a part on a connection to a searcher, preferably one that is already open. It
-// reports whether send succeeded.
+// SendOutOfBand calls send with a connection to a searcher, preferably one that is already open, to send something other than
+// a part. It reports whether send succeeded.
 func (c *Coordinator) SendOutOfBand(name string, send func(TransportConn) bool) bool {
 	i, ok := c.searchers.byName[name]
 	if !ok || c.searchers.entries[i].host.State == policy.Gone {
--- a/attempt/pending.go
+++ b/attempt/pending.go
@@ -59,7 +59,7 @@
 	id       uint64
 	scan     *Scan
 	shard    int
-	wireID   string // id in frames; a client that reuses a request id causes duplicates
+	wireID   string // id in frames; not unique if a client reuses a request id
 	attempts []attempt
 	inFlight int  // attempts in flight
 	hasValue bool // an answer with a value was received
@@ -152,7 +152,8 @@
 	s.Reply(answer)
 }
 
-// logCounters passes the counters of the last interval on for logging, in one record whatever their values.
+// logCounters passes on the counters of the last interval for logging, in one record however many scans and attempts ended,
+// and none if there were none.
 func (c *Coordinator) logCounters() {
 	c.timers.add(c.now+c.limits.LogInterval, task{kind: counterLog})
 	counters := c.pending.counters
--- a/attempt/searchers.go
+++ b/attempt/searchers.go
@@ -49,8 +49,8 @@
 	index int
 }
 
-// answerHistory remembers the last parts that were in flight on a connection. It tells late and duplicate answers from
-// an answer to a part that was never sent there, which means that the two ends are out of step.
+// answerHistory remembers the last parts that were in flight on a connection. It distinguishes late and duplicate answers
+// from an answer to a part that was never sent there, which means that the two ends are out of step.
 type answerHistory struct {
 	recent []pastPart // a ring buffer once it reaches Limits.AnswerHistory
 	next   int
@@ -65,7 +65,7 @@
 
 // add records a part that is no longer in flight.
 func (h *answerHistory) add(wireID string, scanID uint64, answerDue bool, limit int) {
-	// An earlier entry with the same id that was answered cannot be told apart from this one by any later answer.
+	// An earlier entry with the same id is replaced. Once it is answered, the two are the same to any later answer.
 	if i := slices.IndexFunc(h.recent, func(past pastPart) bool { return past.wireID == wireID }); i >= 0 {
 		h.recent[i] = pastPart{wireID, scanID, answerDue || h.recent[i].answerDue && h.recent[i].scanID == scanID}
 		return
@@ -96,7 +96,7 @@
 	return slices.ContainsFunc(h.recent, func(past pastPart) bool { return past.answerDue })
 }
 
-// attemptReturned removes an attempt that is no longer in flight. Its answer may still arrive: answerDue.
+// attemptReturned removes an attempt that is no longer in flight. answerDue: its answer may still arrive.
 func (conn *Connection) attemptReturned(p *part, index int, answerDue bool, now time.Duration) {
 	if n, ok := conn.inFlight[p]; ok && n == index {
 		delete(conn.inFlight, p)
--- a/attempt/state.go
+++ b/attempt/state.go
@@ -13,21 +13,21 @@
 // state.go exposes the state in flight to package explore, which must recognize two states that behave alike as the same,
 // and to checks that compare the state with what passed on the connections. Nothing in this file changes the state.
 
-// StateLabels gives the searchers, shards, scans and connections of a state canonical labels. Two states that differ only in which
-// searcher or shard is which have the same encoding under some labelling.
+// StateLabels gives the searchers, shards, scans and connections of a state canonical labels. Two states that differ only in
+// which searcher or shard is which have the same encoding under some labelling.
 type StateLabels struct {
-	Searchers      []string                                                      // in the order in which they are encoded
-	Addr           func(addr string) byte                                        // label of an address
-	Shard          func(shard int) int                                           // label of a shard
-	Scan           func(s *Scan) int                                             // label of a scan
-	AppendConn     func(b []byte, c TransportConn) []byte                        // appends the state of the connection itself
-	AnswerPossible func(c TransportConn, wire string, out uint64, due bool) bool // an answer may come; out: frame in flight, or 0
-	ValueReceived  func(p string, shard int, s *Scan, step int) bool             // whether the value p was received for the part
-	LatencyMatters bool                                                          // whether the policy uses the latency of attempts
+	Searchers      []string                                                        // in the order in which they are encoded
+	Addr           func(addr string) byte                                          // label of an address
+	Shard          func(shard int) int                                             // label of a shard
+	Scan           func(s *Scan) int                                               // label of a scan
+	AppendConn     func(b []byte, c TransportConn) []byte                          // appends the state of the connection itself
+	AnswerPossible func(c TransportConn, wireID string, seq uint64, due bool) bool // an answer may come; seq: frame in flight, or 0
+	ValueReceived  func(value string, shard int, s *Scan, step int) bool           // whether the value was received for the part
+	LatencyMatters bool                                                            // whether the policy uses the latency of attempts
 }
 
-// EncodeState appends an encoding of everything that affects later behaviour, and nothing else. Times are relative to now; what no
-// longer has an effect is left out, and so is the order of elements kept as a set. Two things are not encoded: since when a
+// EncodeState appends an encoding of everything that affects later behaviour, and nothing else. Times are relative to now; what
+// no longer has an effect is left out, and so is the order of elements kept as a set. Two things are not encoded: since when a
 // connection is idle, and the counters for the log. Callers that depend on those must add them.
 func (c *Coordinator) EncodeState(b []byte, now time.Duration, labels *StateLabels) []byte {
 	e := &encoder{buf: b, now: now, coordinator: c, labels: labels}
