--- a/attempt/answers.go
+++ b/attempt/answers.go
@@ -32,7 +32,7 @@
 	// A fast searcher's answer may be read before the write of its frame returns; it counts. It belongs to an earlier
 	// attempt instead if the write has not begun, or if it is an error, the write has not returned, and the answer to an
 	// earlier attempt that was cancelled without confirmation is still due here.
-	if a := &p.attempts[index]; !conn.transport.Ran(a.seq) && (!conn.transport.Begun(a.seq) ||
+	if a := &p.attempts[index]; !conn.transport.Written(a.seq) && (!conn.transport.WriteStarted(a.seq) ||
 		answer.End != policy.Succeeded && conn.history.answerDue(answer.ID)) {
 		// A value counts even then, and the unsent attempt is withdrawn.
 		conn.history.answerReceived(answer.ID)
@@ -73,7 +73,7 @@
 		c.transport.PartsLost(conn.searcher.host.Name, len(conn.inFlight), cause)
 	}
 	for _, p := range conn.partsInOrder() {
-		if index := conn.inFlight[p]; !conn.transport.Ran(p.attempts[index].seq) {
+		if index := conn.inFlight[p]; !conn.transport.Written(p.attempts[index].seq) {
 			c.returned(p, index, policy.Unreachable)
 		} else if !c.exclusive(p) {
 			c.returned(p, index, p.attempts[index].lossOutcome())
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -57,7 +57,7 @@
 	return c.enqueue(ids)
 }
 
-func (c *fakeConn) GiveUp(id string, _ bool) (uint64, bool) { return c.enqueue([]string{"K " + id}) }
+func (c *fakeConn) Cancel(id string, _ bool) (uint64, bool) { return c.enqueue([]string{"K " + id}) }
 
 func (c *fakeConn) enqueue(wireIDs []string) (uint64, bool) {
 	if c.cause != nil {
@@ -68,7 +68,7 @@
 	return c.last, true
 }
 
-func (c *fakeConn) Recall(seq uint64, id string) bool {
+func (c *fakeConn) Withdraw(seq uint64, id string) bool {
 	for i, q := range c.queue {
 		if q.seq == seq && len(q.ids) == 1 && q.ids[0] == id {
 			c.queue = append(c.queue[:i], c.queue[i+1:]...)
@@ -78,13 +78,13 @@
 	return false
 }
 
-func (c *fakeConn) Ran(seq uint64) bool { return seq <= c.written }
-func (c *fakeConn) Begun(seq uint64) bool {
+func (c *fakeConn) Written(seq uint64) bool { return seq <= c.written }
+func (c *fakeConn) WriteStarted(seq uint64) bool {
 	return !slices.ContainsFunc(c.queue, func(q queuedFrame) bool { return q.seq == seq })
 }
 
-func (c *fakeConn) Shut() bool { return c.cause != nil }
-func (c *fakeConn) Close()     { c.Fail(fmt.Errorf("closed by this mixer")) }
+func (c *fakeConn) Closing() bool { return c.cause != nil }
+func (c *fakeConn) Close()        { c.Fail(fmt.Errorf("closed by this mixer")) }
 
 func (c *fakeConn) Fail(cause error) {
 	if c.cause == nil {
@@ -206,7 +206,7 @@
 		p := c.pending.byWireID["x.1"]
 		c.ClientLeft(s)
 		c.flush()
-		if conn := p.attempts[0].conn; sent != (conn != nil) || sent && conn.transport.Recall(p.attempts[0].seq, "x.1") {
+		if conn := p.attempts[0].conn; sent != (conn != nil) || sent && conn.transport.Withdraw(p.attempts[0].seq, "x.1") {
 			t.Error("a part is still queued after the end of its scan")
 		}
 		for _, f := range c.deferred {
--- a/attempt/coordinator.go
+++ b/attempt/coordinator.go
@@ -20,15 +20,15 @@
 }
 
 // TransportConn is a connection to a searcher, possibly still being opened. Its methods do not block; its events are reported
-// through the methods of Coordinator. After GiveUp with proof, CancelsConfirmed follows only once the searcher has read the
+// through the methods of Coordinator. After Cancel with proof, CancelsConfirmed follows only once the searcher has read the
 // cancel, otherwise once it is written.
 type TransportConn interface {
 	Send(calls []proto.Call) (seq uint64, ok bool)      // queues a frame; false if no more frames are accepted
-	GiveUp(id string, proof bool) (seq uint64, ok bool) // queues a cancel; CancelsConfirmed follows
-	Recall(seq uint64, id string) bool                  // removes a part from a frame whose write has not begun
-	Ran(seq uint64) bool                                // the frame is known to be written completely
-	Begun(seq uint64) bool                              // its write has begun: its answer may arrive before Ran reports true
-	Shut() bool                                         // no more frames are accepted
+	Cancel(id string, proof bool) (seq uint64, ok bool) // queues a cancel; CancelsConfirmed follows
+	Withdraw(seq uint64, id string) bool                // removes a part from a frame whose write has not begun
+	Written(seq uint64) bool                            // the frame is known to be written completely
+	WriteStarted(seq uint64) bool                       // its write has begun: its answer may arrive before Written reports true
+	Closing() bool                                      // no more frames are accepted
 	Close()                                             // ConnectionClosing and ConnectionClosed follow
 	Fail(cause error)                                   // like Close, after an error
 }
--- a/attempt/explore/conn.go
+++ b/attempt/explore/conn.go
@@ -86,7 +86,7 @@
 	return f.seq
 }
 
-func (c *conn) GiveUp(id string, proof bool) (uint64, bool) {
+func (c *conn) Cancel(id string, proof bool) (uint64, bool) {
 	if c.shut || c.full() {
 		return 0, false
 	}
@@ -99,7 +99,7 @@
 	return c.put(f), true
 }
 
-func (c *conn) Recall(seq uint64, id string) bool {
+func (c *conn) Withdraw(seq uint64, id string) bool {
 	for i, f := range c.frames {
 		if f.seq != seq || f.taken || f.whole || f.stop != "" {
 			continue
@@ -118,10 +118,10 @@
 	return false
 }
 
-func (c *conn) Ran(seq uint64) bool { return seq <= c.writ }
-func (c *conn) Shut() bool          { return c.shut }
+func (c *conn) Written(seq uint64) bool { return seq <= c.writ }
+func (c *conn) Closing() bool           { return c.shut }
 
-func (c *conn) Begun(seq uint64) bool {
+func (c *conn) WriteStarted(seq uint64) bool {
 	return !slices.ContainsFunc(c.frames, func(f *frame) bool { return f.seq == seq && !f.taken })
 }
 
--- a/attempt/searchers.go
+++ b/attempt/searchers.go
@@ -230,7 +230,7 @@
 	var leastLoaded *Connection
 	usable := 0
 	for _, conn := range s.connections {
-		if conn.retired || conn.transport.Shut() {
+		if conn.retired || conn.transport.Closing() {
 			continue
 		}
 		if len(conn.inFlight)+parts <= c.limits.PartsPerConnection {
--- a/attempt/send.go
+++ b/attempt/send.go
@@ -124,7 +124,7 @@
 		// If nothing was received since the part was sent, the connection itself is suspect. It is asked for a confirmation
 		// for the sake of the attempts that follow.
 		proof := c.exclusive(p) || a.conn.lastReceived < a.startedAt
-		if seq, ok := a.conn.transport.GiveUp(p.wireID, proof); ok {
+		if seq, ok := a.conn.transport.Cancel(p.wireID, proof); ok {
 			a.conn.cancels[seq] = cancelledAttempt{p, index}
 		} else {
 			a.conn.transport.Close()
@@ -151,7 +151,7 @@
 // is complete.
 func (c *Coordinator) enforceWindow(p *part, index int) {
 	a := &p.attempts[index]
-	if !a.inFlight || a.conn == nil || a.conn.closing || a.conn.transport.Ran(a.seq) {
+	if !a.inFlight || a.conn == nil || a.conn.closing || a.conn.transport.Written(a.seq) {
 		return
 	}
 	if !a.withdraw(p) {
@@ -181,7 +181,7 @@
 // withdraw reports whether the write of an attempt has not begun and now never will: either it is not queued yet and the end
 // of its batch skips it, or it was removed from its connection's queue.
 func (a *attempt) withdraw(p *part) bool {
-	return a.conn == nil || a.conn.transport.Recall(a.seq, p.wireID)
+	return a.conn == nil || a.conn.transport.Withdraw(a.seq, p.wireID)
 }
 
 // CancelsConfirmed ends the attempts whose cancel frames were written or confirmed. Cancels of one write share one clock
--- a/attempt/state.go
+++ b/attempt/state.go
@@ -259,7 +259,7 @@
 		return !a.inFlight || a.outcome != policy.Expired
 	case keyWindowEnd:
 		a := &t.part.attempts[t.index]
-		return !a.inFlight || a.conn == nil || a.conn.closing || a.conn.transport.Ran(a.seq)
+		return !a.inFlight || a.conn == nil || a.conn.closing || a.conn.transport.Written(a.seq)
 	case idleSweep, counterLog:
 		return true
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -35,7 +35,7 @@
 // nothing more is sent or believed, then Closed once, when the connection is gone.
 type Events interface {
 	Answered(c *Conn, a proto.Answer, more bool) // more: there are bytes right behind
-	Told(c *Conn, seqs []uint64)                 // these frames, which give up a part each, ended together, see GiveUp
+	Told(c *Conn, seqs []uint64)                 // these frames, which give up a part each, ended together, see Cancel
 	Closing(c *Conn, why error)
 	Closed(c *Conn, heard bool) // heard: the searcher ended it too, or it never came up, so nothing on it is out there
 }
@@ -86,9 +86,9 @@
 // Send queues one call and gives its frame's number; false if the connection takes no more.
 func (c *Conn) Send(calls []proto.Call) (uint64, bool) { return c.put(frame{calls: calls}) }
 
-// GiveUp queues word that a part is given up. Told follows once that is written or, with proof, once the searcher
+// Cancel queues word that a part is given up. Told follows once that is written or, with proof, once the searcher
 // has said that it has read it. A connection that says nothing at all when asked ends.
-func (c *Conn) GiveUp(id string, proof bool) (uint64, bool) {
+func (c *Conn) Cancel(id string, proof bool) (uint64, bool) {
 	return c.put(frame{stop: id, proof: proof})
 }
 
@@ -108,8 +108,8 @@
 	return c.last, true
 }
 
-// Recall takes a part back out of a frame that has not begun to be written: it never ran, and never will.
-func (c *Conn) Recall(seq uint64, id string) bool {
+// Withdraw takes a part back out of a frame that has not begun to be written: it never ran, and never will.
+func (c *Conn) Withdraw(seq uint64, id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.queue {
@@ -126,16 +126,16 @@
 	return false
 }
 
-// Ran tells whether a frame's last byte was written, so that it may have run.
-func (c *Conn) Ran(seq uint64) bool {
+// Written tells whether a frame's last byte was written, so that it may have run.
+func (c *Conn) Written(seq uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return seq <= c.written
 }
 
-// Begun tells whether a frame was taken up to be written. Its answer may be read before the write has returned, and so
-// before Ran tells of it.
-func (c *Conn) Begun(seq uint64) bool {
+// WriteStarted tells whether a frame was taken up to be written. Its answer may be read before the write has returned, and so
+// before Written tells of it.
+func (c *Conn) WriteStarted(seq uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return seq <= c.begun
@@ -152,8 +152,8 @@
 	c.stop(why)
 }
 
-// Shut tells that it takes nothing more.
-func (c *Conn) Shut() bool {
+// Closing tells that it takes nothing more.
+func (c *Conn) Closing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.shut
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -61,14 +61,14 @@
 	ln.Close()
 	c, h := open(t, ln.Addr().String(), usual)
 	seq, ok := c.Send(call("a"))
-	if err := <-h.closed; err == nil || ok && c.Ran(seq) {
-		t.Errorf("refused: %v, ran %v", err, c.Ran(seq))
+	if err := <-h.closed; err == nil || ok && c.Written(seq) {
+		t.Errorf("refused: %v, ran %v", err, c.Written(seq))
 	}
 	s := searcher(t, func(proto.Call) standin.Reply { return standin.Reply{Reset: true} })
 	c, h = open(t, s.Addr(), usual)
 	seq, _ = c.Send(call("a"))
-	if err := <-h.closed; err == nil || !c.Ran(seq) {
-		t.Errorf("reset: %v, ran %v", err, c.Ran(seq))
+	if err := <-h.closed; err == nil || !c.Written(seq) {
+		t.Errorf("reset: %v, ran %v", err, c.Written(seq))
 	}
 	if _, ok := c.Send(call("b")); ok {
 		t.Error("a closed connection took a frame")
@@ -94,8 +94,8 @@
 	if n == 100 {
 		t.Error("the queue has no bound")
 	}
-	if err := <-h.closed; !errors.Is(err, os.ErrDeadlineExceeded) || c.Ran(first) {
-		t.Errorf("%v, ran %v", err, c.Ran(first))
+	if err := <-h.closed; !errors.Is(err, os.ErrDeadlineExceeded) || c.Written(first) {
+		t.Errorf("%v, ran %v", err, c.Written(first))
 	}
 }
 
@@ -103,7 +103,7 @@
 	c := &Conn{lim: usual, wake: make(chan struct{}, 1)}
 	one, _ := c.Send(call("a"))
 	two, _ := c.Send(append(call("b"), call("c")...))
-	if !c.Recall(one, "a") || c.Recall(one, "a") || !c.Recall(two, "b") {
+	if !c.Withdraw(one, "a") || c.Withdraw(one, "a") || !c.Withdraw(two, "b") {
 		t.Error("not taken back")
 	}
 	if len(c.queue) != 1 || len(c.queue[0].calls) != 1 || c.queue[0].calls[0].ID != "c" {
@@ -136,7 +136,7 @@
 		lim.Rest = 30 * time.Millisecond
 		c, h := open(t, s.Addr(), lim)
 		seq, _ := c.Send(call("a"))
-		if err := <-h.closed; !errors.Is(err, os.ErrDeadlineExceeded) || !c.Ran(seq) || len(h.answers) > 0 {
+		if err := <-h.closed; !errors.Is(err, os.ErrDeadlineExceeded) || !c.Written(seq) || len(h.answers) > 0 {
 			t.Errorf("%q: %v", noise, err)
 		}
 	}
@@ -176,11 +176,11 @@
 	defer s.Close()
 	c, h := open(t, s.Addr(), usual)
 	seq, _ := c.Send(call("a"))
-	for !c.Ran(seq) {
+	for !c.Written(seq) {
 		runtime.Gosched()
 	}
-	one, _ := c.GiveUp("a", true)
-	two, _ := c.GiveUp("b", true)
+	one, _ := c.Cancel("a", true)
+	two, _ := c.Cancel("b", true)
 	for told := []uint64{}; len(told) < 2; {
 		told = append(told, <-h.told...)
 		if n := int(read.Load()); n < len(told) || told[0] != one || len(told) > 1 && told[1] != two {
@@ -188,7 +188,7 @@
 		}
 	}
 	// Without proof the last byte written will do.
-	three, _ := c.GiveUp("c", false)
+	three, _ := c.Cancel("c", false)
 	if told := <-h.told; len(told) != 1 || told[0] != three {
 		t.Errorf("told %v", told)
 	}
@@ -201,7 +201,7 @@
 	lim.Receipt = 30 * time.Millisecond
 	c, h := open(t, s.Addr(), lim)
 	c.Send(call("a"))
-	c.GiveUp("a", true)
+	c.Cancel("a", true)
 	if err := <-h.closed; !errors.Is(err, proto.ErrMute) || len(h.told) > 0 || !<-h.ended {
 		t.Errorf("%v, told %d", err, len(h.told))
 	}
@@ -218,7 +218,7 @@
 	for _, id := range []string{"usual", "reset", "deaf"} {
 		c, h := open(t, s.Addr(), lim)
 		seq, _ := c.Send(call(id))
-		for !c.Ran(seq) {
+		for !c.Written(seq) {
 			runtime.Gosched()
 		}
 		if id != "reset" {
