--- a/proxy/invariants_test.go
+++ b/proxy/invariants_test.go
@@ -36,7 +36,7 @@
 // TestVersionsThatFall: an older configuration than the one in force is seen, should the board ever give one.
 func TestVersionsThatFall(t *testing.T) {
 	q := New(&settings.Settings{RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
-	q.board.Put(version(t, "5"))
+	q.board.SetDocument(version(t, "5"))
 	q.doc.Store(version(t, "9"))
 	must.Eq(t, invariant.VersionRises, caught(t, q.merged))
 }
@@ -45,6 +45,6 @@
 func TestDeadlinesPastTheClients(t *testing.T) {
 	q := New(&settings.Settings{RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
 	d := &request.Dispatch{Request: &request.Request{Data: &taken{until: q.start.Add(time.Second)}},
-		Host: &request.Host{ID: "i-1", Address: "127.0.0.1:1", State: policy.Ready}, Until: 2 * time.Second}
+		Searcher: &request.Searcher{ID: "i-1", Address: "127.0.0.1:1", State: policy.Ready}, Deadline: 2 * time.Second}
 	must.Eq(t, invariant.DeadlineWithinClients, caught(t, func() { q.prepare(d) }))
 }
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -23,7 +23,7 @@
 	document := func(text string) {
 		doc, err := manifest.Parse([]byte(text))
 		must.NoError(t, err)
-		q.board.Put(doc)
+		q.board.SetDocument(doc)
 	}
 	service := func(number, limit string) string {
 		return `{"config-version":` + number + `,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent","horizon-ms":2000,` +
@@ -33,22 +33,22 @@
 	s, err := faulty.Start(faulty.Options{Capacity: 100, Script: func(faulty.Call) faulty.Reply { at <- true; return faulty.Reply{Hold: hold} }})
 	must.NoError(t, err)
 	defer s.Close()
-	host := request.Host{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready}
+	host := request.Searcher{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready}
 	q.do(func() {
-		q.hosts = []request.Host{host}
-		q.life.List(q.hosts)
+		q.hosts = []request.Searcher{host}
+		q.life.SetSearchers(q.hosts)
 	})
 	document(service("1", "100"))
 	q.merged()
 	var pool *upstream.Pool
 	q.do(func() { pool = q.pool(&host) })
-	answers := make(chan upstream.Answer)
+	answers := make(chan upstream.Response)
 	out := 0
 	// opens asks until one request more than may be finds no connection, and tells how many there are.
 	opens := func() int {
 		for {
 			go func() {
-				answers <- pool.Do(&upstream.Call{Request: upstream.Request{Method: "GET", Path: "/", AttemptID: "id"}})
+				answers <- pool.Do(&upstream.Exchange{Request: upstream.Request{Method: "GET", Path: "/", AttemptID: "id"}})
 			}()
 			select {
 			case <-at:
@@ -60,7 +60,7 @@
 		}
 	}
 	must.Eq(t, connShare(100, 0), opens())
-	q.board.SetMixers(5)
+	q.board.SetMixerCount(5)
 	q.merged()
 	must.Eq(t, connShare(100, 5), opens())
 	document(service("2", "150"))
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -14,7 +14,7 @@
 
 // sending is a dispatch under way.
 type sending struct {
-	call upstream.Call
+	call upstream.Exchange
 	pool *upstream.Pool
 }
 
@@ -31,25 +31,25 @@
 // prepare makes a dispatch ready to be sent; the lock is held.
 func (p *Proxy) prepare(d *request.Dispatch) {
 	t := d.Request.Data.(*taken)
-	s := &sending{pool: p.pool(d.Host)}
+	s := &sending{pool: p.pool(d.Searcher)}
 	s.call.Request = t.Request
-	s.call.Target = d.Host.ID
-	if d.Vouched {
-		s.call.VouchedUntil = time.Now().Add(vouchedFor)
+	s.call.Target = d.Searcher.ID
+	if d.AddressTrusted {
+		s.call.AddressConfirmedUntil = time.Now().Add(vouchedFor)
 	}
-	s.call.Deadline = p.start.Add(d.Until)
-	s.call.ToldDeadline = t.until
+	s.call.Deadline = p.start.Add(d.Deadline)
+	s.call.AdvertisedDeadline = t.until
 	if over := s.call.Deadline.Sub(t.until); over > deadlineSlack {
-		invariant.Violated(invariant.DeadlineWithinClients, "searcher %s: %v past the client's", d.Host.ID, over)
+		invariant.Violated(invariant.DeadlineWithinClients, "searcher %s: %v past the client's", d.Searcher.ID, over)
 	}
-	d.Call = s
+	d.Data = s
 }
 
-func (p *Proxy) pool(h *request.Host) *upstream.Pool {
+func (p *Proxy) pool(h *request.Searcher) *upstream.Pool {
 	pool := p.pools[h.ID]
 	if pool == nil {
-		o := upstream.Options{VouchFor: p.set.ReuseDelay * vouchShare / 4, Probes: &p.probes}
-		o.ConnMost, o.ProbePath = p.poolBounds(h.Service)
+		o := upstream.Options{ConfirmationTTL: p.set.ReuseDelay * vouchShare / 4, Probes: &p.probes}
+		o.MaxConns, o.ProbePath = p.poolBounds(h.Service)
 		pool = upstream.NewPool(h.Address, o)
 		p.pools[h.ID] = pool
 	}
@@ -74,7 +74,7 @@
 func (p *Proxy) followPools() {
 	for i := range p.hosts {
 		if pool := p.pools[p.hosts[i].ID]; pool != nil {
-			pool.Follow(p.poolBounds(p.hosts[i].Service))
+			pool.Reconfigure(p.poolBounds(p.hosts[i].Service))
 		}
 	}
 }
@@ -102,7 +102,7 @@
 
 // send carries a dispatch to its end.
 func (p *Proxy) send(d *request.Dispatch) {
-	s := d.Call.(*sending)
+	s := d.Data.(*sending)
 	a := s.pool.Do(&s.call)
 	out := outcome(&a, d)
 	if a.Outcome != upstream.Answered {
@@ -110,32 +110,32 @@
 			Err(a.Err).Msg("")
 	}
 	if a.Misdirected() {
-		p.explainMisdirected(d.Host, &a)
+		p.explainMisdirected(d.Searcher, &a)
 	}
 	p.do(func() {
 		if a.Misdirected() {
-			p.life.Misdirected(d.Host, a.Wrote)
+			p.life.ReportMisdirected(d.Searcher, a.Wrote)
 		}
 		if a.Unreachable {
-			p.life.Unreachable(d.Host)
+			p.life.ReportUnreachable(d.Searcher)
 		}
 		p.life.Returned(d, out, reading(&a), reply(&a))
 	})
 }
 
 // reading says whether a searcher has read a dispatch.
-func reading(a *upstream.Answer) request.Reading {
+func reading(a *upstream.Response) request.ReadStatus {
 	switch {
 	case !a.Wrote:
 		return request.NotRead
 	case a.Outcome == upstream.Answered || a.Outcome == upstream.NotExecuted:
 		return request.WasRead
 	}
-	return request.MayRead
+	return request.MaybeRead
 }
 
 // outcome says in the module's words what became of a dispatch.
-func outcome(a *upstream.Answer, d *request.Dispatch) policy.Outcome {
+func outcome(a *upstream.Response, d *request.Dispatch) policy.Outcome {
 	switch a.Outcome {
 	case upstream.Answered:
 		if promises(a.Status) {
@@ -150,12 +150,12 @@
 			return policy.Unreachable
 		}
 		return policy.Overloaded
-	case upstream.NoConnect, upstream.Unsendable:
+	case upstream.ConnectFailed, upstream.InvalidRequest:
 		if errors.Is(a.Err, upstream.ErrFull) {
 			return policy.Overloaded // our own share of its connections is in use: it is there, and busy
 		}
 		return policy.Unreachable
-	case upstream.Broken:
+	case upstream.ConnectionLost:
 		return policy.ConnectionLost
 	case upstream.TimedOut:
 		return policy.TimedOut
@@ -179,7 +179,7 @@
 }
 
 // reply keeps what may reach a client.
-func reply(a *upstream.Answer) *request.Reply {
+func reply(a *upstream.Response) *request.Reply {
 	if a.Outcome != upstream.Answered || promises(a.Status) {
 		return nil
 	}
