--- a/controlplane/calls.go
+++ b/controlplane/calls.go
@@ -13,36 +13,38 @@
 	"peathollow/internal/keepalive"
 )
 
-// Call is an operator's order on its way to the primary.
+// Call is an operator's request on its way to the primary.
 type Call struct {
 	Read  bool
 	Doc   consensus.Document
 	Hops  int
-	Until time.Duration // what is left of its time
+	Until time.Duration // remaining time
 }
 
 const (
-	hopsMost = 2
-	// aloneCallMost bounds a call on a machine that is out of touch with most members: the caller is to turn to another.
-	aloneCallMost = 300 * time.Millisecond
+	maxHops = 2
+	// isolatedCallTimeout bounds a call on a controller that is not in contact with a majority of the members, so that the
+	// caller turns to another one soon.
+	isolatedCallTimeout = 300 * time.Millisecond
 )
 
-// call has a call done here, or by the primary as far as known; it moves on as take-overs show.
-func (c *Controller) call(ctx context.Context, x Call) (consensus.Answer, error) {
-	if !c.inTouch() {
+// callPrimary executes a call on this node, or on the primary as far as it is known. It retries until ctx ends, and so
+// follows a change of the primary.
+func (c *Controller) callPrimary(ctx context.Context, x Call) (consensus.Answer, error) {
+	if !c.quorumReachable() {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, aloneCallMost)
+		ctx, stop = context.WithTimeout(ctx, isolatedCallTimeout)
 		defer stop()
 	}
 	var last error
 	for ctx.Err() == nil {
-		a, err := c.core.ask(ctx, call{read: x.Read, doc: x.Doc})
+		a, err := c.driver.submit(ctx, localCall{read: x.Read, doc: x.Doc})
 		if err == nil && a.Result != consensus.Refused {
 			return a, nil
 		}
-		if last = err; err == nil && a.Primary != "" && x.Hops < hopsMost {
-			if host, _, e := net.SplitHostPort(a.Primary); e == nil && host != c.set.IP {
-				if a, err = c.pass(ctx, net.JoinHostPort(host, strconv.Itoa(c.set.PortFirst+portCalls)), x); err == nil && a.Result != consensus.Refused {
+		if last = err; err == nil && a.Primary != "" && x.Hops < maxHops {
+			if host, _, e := net.SplitHostPort(a.Primary); e == nil && host != c.settings.IP {
+				if a, err = c.forward(ctx, net.JoinHostPort(host, strconv.Itoa(c.settings.PortFirst+portCalls)), x); err == nil && a.Result != consensus.Refused {
 					return a, nil
 				}
 				last = err
@@ -59,10 +61,10 @@
 	return consensus.Answer{}, last
 }
 
-// pass hands a call to another controller.
-func (c *Controller) pass(ctx context.Context, addr string, x Call) (consensus.Answer, error) {
+// forward passes a call to another controller.
+func (c *Controller) forward(ctx context.Context, addr string, x Call) (consensus.Answer, error) {
 	var a consensus.Answer
-	conn, err := c.network.Dial(ctx, addr, 400*time.Millisecond, unackedMost)
+	conn, err := c.network.Dial(ctx, addr, 400*time.Millisecond, userTimeout)
 	if err != nil {
 		return a, errors.Wrapf(err, "dial, peer %s", addr)
 	}
@@ -79,7 +81,7 @@
 	return a, nil
 }
 
-// serveCalls does what other controllers pass on.
+// serveCalls executes calls that other controllers forward.
 func (c *Controller) serveCalls(ctx context.Context, ln net.Listener) {
 	keepalive.Accept(ctx, ln, func(conn net.Conn) {
 		conn.SetDeadline(time.Now().Add(3 * time.Second))
@@ -87,9 +89,9 @@
 		if gob.NewDecoder(conn).Decode(&x) != nil {
 			return
 		}
-		in, stop := context.WithTimeout(ctx, min(max(x.Until-20*time.Millisecond, time.Millisecond), callMost))
+		callCtx, stop := context.WithTimeout(ctx, min(max(x.Until-20*time.Millisecond, time.Millisecond), callTimeout))
 		defer stop()
-		a, err := c.core.ask(in, call{read: x.Read, doc: x.Doc})
+		a, err := c.driver.submit(callCtx, localCall{read: x.Read, doc: x.Doc})
 		if err == nil {
 			gob.NewEncoder(conn).Encode(&a)
 		}
--- a/controlplane/contact.go
+++ b/controlplane/contact.go
@@ -9,139 +9,145 @@
 	"peathollow/internal/invariant"
 )
 
-// A controller hands out a configuration, and a list of searchers that may be taken for the whole, only in contact: a
-// majority of the members pulls here and has lately answered its pulls, and since that began a read through the primary has
-// told it what is in force. What its disk remembers, and what it knew before a cut, may be old.
+// A controller hands out a configuration, and a list of searchers that counts as complete, only while it is in contact: a
+// majority of the members pulls from it and has recently answered its pulls, and since that became true a read through the
+// primary has returned the configuration in force. What is restored from disk, and what was known before a network
+// partition, may be outdated.
 //
-// Contact is a lease, not a state that a timer renews: whoever needs it looks at the clock then, and an answer counts from
-// when its question was sent. A process that did not run for a while finds it over at its first step, and what was asked
-// before renews nothing.
+// Contact is a lease, not a state that a timer renews: each user compares it with the clock at the time of use, and a
+// response counts from the moment when its request was sent. A process that did not run for a while therefore finds its
+// lease expired at its first step, and responses to requests sent before the pause renew nothing.
 
-// contactLease is how long an answer to a pull proves contact, from when the pull was sent. Pulls are answered within
-// 0.8 s, so that two in a row may be late.
+// contactLease is how long a response to a pull proves contact, counted from when the pull was sent. Pulls are answered
+// within 0.8 s, so two in a row may be late.
 const contactLease = 3 * time.Second
 
-// pullsFor is how long a controller that pulls here counts as one that does. Links say something at least once a second.
-const pullsFor = 2500 * time.Millisecond
+// pullTimeout is how long a controller counts as pulling after its last pull. Each connection carries a message at least
+// once a second.
+const pullTimeout = 2500 * time.Millisecond
 
-// contactEvery is how often a controller that has just started looks whether it is in touch.
-const contactEvery = 50 * time.Millisecond
+// contactInterval is how often a controller that has just started checks whether it is in contact.
+const contactInterval = 50 * time.Millisecond
 
-// contact is what a controller knows of its standing among the members.
+// contact is the state of the contact lease.
 type contact struct {
-	touch     bool   // a majority was in touch when that was last looked at
-	since     uint64 // rises with each loss of touch
-	asking    bool
-	confirmed bool // what is in force was learned since
+	reachable  bool   // a majority was reachable at the last check
+	lapses     uint64 // incremented at each loss of the majority
+	confirming bool
+	confirmed  bool // the configuration in force was read since the majority became reachable
 }
 
-// answers notes that a controller has answered a pull, asked at some time.
-func (c *Controller) answers(addr string, asked time.Time) {
-	e := c.core.members()
+// recordResponse records that a controller has answered a pull that was sent at the given time.
+func (c *Controller) recordResponse(addr string, sent time.Time) {
+	e := c.driver.currentEpoch()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noticeLapse(e)
-	if asked.After(c.answered[addr]) {
-		c.answered[addr] = asked
+	c.expireContact(e)
+	if sent.After(c.lastResponse[addr]) {
+		c.lastResponse[addr] = sent
 	}
 }
 
-// inTouch tells whether a majority of the members pulls here and answers pulls from here.
-func (c *Controller) inTouch() bool {
-	e := c.core.members()
+// quorumReachable reports whether a majority of the members pulls from this controller and answers its pulls.
+func (c *Controller) quorumReachable() bool {
+	e := c.driver.currentEpoch()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.touches(e)
+	return c.quorumReachableIn(e)
 }
 
-// touches tells so of the members of an epoch; the lock is held.
-func (c *Controller) touches(e consensus.Epoch) bool {
+// quorumReachableIn is quorumReachable for the members of an epoch. The caller holds c.mu.
+func (c *Controller) quorumReachableIn(e consensus.Epoch) bool {
 	now := time.Now()
-	pulls := c.pullers(now)
+	pulling := c.pullingIPsLocked(now)
 	return quorumByIP(e, func(_ consensus.ID, ip string) bool {
-		return ip == c.set.IP || pulls[ip] && now.Sub(c.answered[c.newsAddr(ip)]) < contactLease
+		return ip == c.settings.IP || pulling[ip] && now.Sub(c.lastResponse[c.distributionAddr(ip)]) < contactLease
 	})
 }
 
-// noticeLapse ends contact whose lease is over, before anything renews the lease; the lock is held. What was learned before
-// the lapse has to be learned anew.
-func (c *Controller) noticeLapse(e consensus.Epoch) (touch bool) {
+// expireContact ends contact if its lease has expired. It must run before anything renews the lease, because a configuration
+// that was read before the lapse has to be read again. The caller holds c.mu.
+func (c *Controller) expireContact(e consensus.Epoch) (reachable bool) {
 	state := &c.contact
-	if touch = c.touches(e); !touch && state.touch {
-		state.touch, state.confirmed = false, false
-		state.since++
-		c.sight.lapses.Add(1)
+	if reachable = c.quorumReachableIn(e); !reachable && state.reachable {
+		state.reachable, state.confirmed = false, false
+		state.lapses++
+		c.metrics.contactLapses.Add(1)
 	}
-	return touch
+	return reachable
 }
 
-// quorumByIP is Quorum where members are told apart by their machine's address; one without an address never counts.
-func quorumByIP(e consensus.Epoch, yes func(id consensus.ID, ip string) bool) bool {
+// quorumByIP is Epoch.Quorum with members identified by the IP address of their machine. A member without a valid address
+// never counts.
+func quorumByIP(e consensus.Epoch, counts func(id consensus.ID, ip string) bool) bool {
 	return e.Quorum(func(m consensus.Member) bool {
 		ip, _, err := net.SplitHostPort(m.Addr)
-		return err == nil && yes(m.ID, ip)
+		return err == nil && counts(m.ID, ip)
 	})
 }
 
-// renew follows whether this controller is in contact; in touch again, it asks what is in force.
-func (c *Controller) renew(ctx context.Context) (touch bool) {
-	e := c.core.members()
+// renewContact updates the contact state. Once a majority is reachable again, it starts a read of the configuration in
+// force.
+func (c *Controller) renewContact(ctx context.Context) (reachable bool) {
+	e := c.driver.currentEpoch()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	touch = c.noticeLapse(e)
+	reachable = c.expireContact(e)
 	state := &c.contact
-	state.touch = touch
-	if touch && !state.confirmed && !state.asking {
-		state.asking = true
-		go c.confirm(ctx, state.since)
+	state.reachable = reachable
+	if reachable && !state.confirmed && !state.confirming {
+		state.confirming = true
+		go c.confirmContact(ctx, state.lapses)
 	}
-	return touch
+	return reachable
 }
 
-// confirm learns what is in force. The read is answered only after a majority said that it had promised nothing newer.
-func (c *Controller) confirm(ctx context.Context, since uint64) {
-	ctx, stop := context.WithTimeout(ctx, callMost)
+// confirmContact reads the configuration in force. The read is answered only after a majority has confirmed that it promised
+// nothing newer.
+func (c *Controller) confirmContact(ctx context.Context, lapses uint64) {
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	a, err := c.call(ctx, Call{Read: true})
+	a, err := c.callPrimary(ctx, Call{Read: true})
 	known := err == nil && a.Result == consensus.OK
 	if known && a.Doc.Version > 0 {
-		c.committed(a.Doc)
+		c.applyConfiguration(a.Doc)
 		known = c.version() >= a.Doc.Version
 	}
 	if known {
-		recalled := c.recalled.Load()
-		invariant.Check(invariant.VersionRises, a.Doc.Version >= recalled, "version %d is in force, the disk remembers %d", a.Doc.Version, recalled)
+		restored := c.restoredVersion.Load()
+		invariant.Check(invariant.VersionRises, a.Doc.Version >= restored, "version %d is in force, the disk holds %d",
+			a.Doc.Version, restored)
 	}
-	e := c.core.members()
+	e := c.driver.currentEpoch()
 	c.mu.Lock()
-	c.contact.asking = false
-	if known && c.noticeLapse(e) && c.contact.touch && c.contact.since == since {
+	c.contact.confirming = false
+	if known && c.expireContact(e) && c.contact.reachable && c.contact.lapses == lapses {
 		c.contact.confirmed = true
 	}
 	c.mu.Unlock()
-	c.board.SetIsolated(!c.inContact()) // wakes those that wait; what they get the board asks at that moment
+	c.replica.SetIsolated(!c.inContact()) // wakes waiting pulls; the replica evaluates contact again when it responds
 }
 
-// inContact tells whether this controller may hand out what it knows.
+// inContact reports whether this controller may hand out its configuration and its list.
 func (c *Controller) inContact() bool {
-	e := c.core.members()
+	e := c.driver.currentEpoch()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.noticeLapse(e) && c.contact.confirmed || c.plant.ServeBeforeContact
+	return c.expireContact(e) && c.contact.confirmed || c.injected.ServeBeforeContact
 }
 
-// fresh gives the addresses of the controllers that pull here.
-func (c *Controller) fresh() map[string]bool {
+// pullingIPs returns the addresses of the controllers that pull from this one, its own included.
+func (c *Controller) pullingIPs() map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pullers(time.Now())
+	return c.pullingIPsLocked(time.Now())
 }
 
-// pullers does so with the lock held.
-func (c *Controller) pullers(now time.Time) map[string]bool {
-	ips := map[string]bool{c.set.IP: true}
+// pullingIPsLocked is pullingIPs for a caller that holds c.mu.
+func (c *Controller) pullingIPsLocked(now time.Time) map[string]bool {
+	ips := map[string]bool{c.settings.IP: true}
 	for _, p := range c.peers {
-		if now.Sub(p.at) < pullsFor {
+		if now.Sub(p.lastPull) < pullTimeout {
 			ips[p.ip] = true
 		}
 	}
--- a/controlplane/contact_test.go
+++ b/controlplane/contact_test.go
@@ -12,69 +12,69 @@
 	"peathollow/manifest"
 )
 
-// inContactSince makes a stopped controller one that was in contact up to a moment, and did nothing since.
+// inContactSince returns a stopped controller that was in contact until the given time and did nothing since.
 func inContactSince(t *testing.T, at time.Time) *Controller {
 	t.Helper()
-	h := stopped(t, 3)
-	h.contact = contact{touch: true, confirmed: true}
+	c := stopped(t, 3)
+	c.contact = contact{reachable: true, confirmed: true}
 	for _, ip := range []string{"10.0.0.2", "10.0.0.3"} {
-		h.answered[h.newsAddr(ip)] = at
-		h.peers["node of "+ip] = peer{life: "controller/" + ip, ip: ip, at: at}
+		c.lastResponse[c.distributionAddr(ip)] = at
+		c.peers["node of "+ip] = peer{incarnation: "controller/" + ip, ip: ip, lastPull: at}
 	}
 	m, err := manifest.Parse([]byte(`{"config-version":7,"routes":[],"plants":[]}`))
 	must.NoError(t, err)
-	h.board.SetDocument(m)
-	h.board.SetIsolated(false)
-	return h
+	c.replica.SetDocument(m)
+	c.replica.SetIsolated(false)
+	return c
 }
 
-// asAgent asks a controller as an agent does.
-func asAgent(t *testing.T, h *Controller) distribution.PullResponse {
+// pullAsAgent sends a pull request as an agent does.
+func pullAsAgent(t *testing.T, c *Controller) distribution.PullResponse {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	go (&distribution.Server{Replica: h.board, OnRequest: h.met}).Serve(t.Context(), ln)
-	c, err := net.Dial("tcp", ln.Addr().String())
+	go (&distribution.Server{Replica: c.replica, OnRequest: c.handlePull}).Serve(t.Context(), ln)
+	conn, err := net.Dial("tcp", ln.Addr().String())
 	must.NoError(t, err)
-	defer c.Close()
-	must.NoError(t, gob.NewEncoder(c).Encode(&distribution.PullRequest{Node: "front-0", Life: "agent/front-0/0", Kind: "agent"}))
-	var cargo distribution.PullResponse
-	must.NoError(t, gob.NewDecoder(c).Decode(&cargo))
-	return cargo
+	defer conn.Close()
+	must.NoError(t, gob.NewEncoder(conn).Encode(&distribution.PullRequest{Node: "front-0", Life: "agent/front-0/0", Kind: "agent"}))
+	var response distribution.PullResponse
+	must.NoError(t, gob.NewDecoder(conn).Decode(&response))
+	return response
 }
 
-// A controller that did not run for a while, frozen or starved, has no contact from the moment it runs again: it hands out
-// no configuration before it has learned what is in force. The code before went by a flag that its next tick renewed.
+// A controller that did not run for a while, frozen or starved of CPU, is out of contact as soon as it runs again, and hands
+// out no configuration before it has read the one in force. Earlier code relied on a flag that only its next tick updated.
 func TestContactIsOverWithoutATick(t *testing.T) {
-	h := inContactSince(t, time.Now().Add(-30*time.Second))
-	must.False(t, h.inContact())
-	cargo := asAgent(t, h)
-	must.True(t, cargo.Alone)
-	must.Nil(t, cargo.Whole)
-	must.Nil(t, cargo.Patch)
+	c := inContactSince(t, time.Now().Add(-30*time.Second))
+	must.False(t, c.inContact())
+	response := pullAsAgent(t, c)
+	must.True(t, response.Alone)
+	must.Nil(t, response.Whole)
+	must.Nil(t, response.Patch)
 
-	h = inContactSince(t, time.Now())
-	must.True(t, h.inContact())
-	must.NotNil(t, asAgent(t, h).Whole)
+	c = inContactSince(t, time.Now())
+	must.True(t, c.inContact())
+	must.NotNil(t, pullAsAgent(t, c).Whole)
 }
 
-// What was asked before a freeze and answered during it, or said by a peer meanwhile, is read when the process runs again. It
-// renews nothing: contact was lost in between, and what is in force must be learned anew. The code before counted an answer
-// from when it was read.
+// A response to a pull that was sent before a freeze, or a peer's pull that arrived during it, is read when the process runs
+// again. It must not renew contact, which was lost in between, so the configuration in force has to be read again. Earlier
+// code counted a response from when it was read.
 func TestOldAnswersRenewNoContact(t *testing.T) {
 	frozen := time.Now().Add(-30 * time.Second)
-	h := inContactSince(t, frozen)
+	c := inContactSince(t, frozen)
 	for _, ip := range []string{"10.0.0.2", "10.0.0.3"} {
-		h.met(&distribution.PullRequest{Node: "node of " + ip, Life: "controller/" + ip, IP: ip, Kind: "controller", Peer: true})
-		h.answers(h.newsAddr(ip), frozen)
+		c.handlePull(&distribution.PullRequest{Node: "node of " + ip, Life: "controller/" + ip, IP: ip, Kind: "controller", Peer: true})
+		c.recordResponse(c.distributionAddr(ip), frozen)
 	}
-	must.False(t, h.inTouch())
-	must.False(t, h.inContact())
+	must.False(t, c.quorumReachable())
+	must.False(t, c.inContact())
 
-	for _, ip := range []string{"10.0.0.2", "10.0.0.3"} { // new ones put it in touch, not yet in contact
-		h.answers(h.newsAddr(ip), time.Now())
+	for _, ip := range []string{"10.0.0.2", "10.0.0.3"} { // new responses make the majority reachable, but there is no contact yet
+		c.recordResponse(c.distributionAddr(ip), time.Now())
 	}
-	must.True(t, h.inTouch())
-	must.False(t, h.inContact())
-	must.True(t, asAgent(t, h).Alone)
+	must.True(t, c.quorumReachable())
+	must.False(t, c.inContact())
+	must.True(t, pullAsAgent(t, c).Alone)
 }
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -28,53 +28,55 @@
 	"peathollow/registry"
 )
 
-// Ports within the range for use between the system's processes.
+// Offsets into the port range for traffic between the system's processes.
 const (
-	portMail  = 0 // consensus's messages
-	portNews  = 1 // news
-	portCalls = 3 // calls passed on to the primary
+	portConsensus    = 0 // messages of consensus
+	portDistribution = 1 // pulls of the configuration and the list
+	portCalls        = 3 // calls forwarded to the primary
 )
 
-// NewsPort is where a controller serves news, the same on each core machine.
-func NewsPort(s *settings.Settings) string { return strconv.Itoa(s.PortFirst + portNews) }
+// NewsPort returns the port on which controllers serve pulls. It is the same on each core machine.
+func NewsPort(s *settings.Settings) string {
+	return strconv.Itoa(s.PortFirst + portDistribution)
+}
 
-// Controller is one core machine's process.
+// Controller is the process of one core machine.
 type Controller struct {
-	set     *settings.Settings
-	log     *log.Logger
-	life    string
-	network keepalive.Network
-	board   *distribution.Replica
-	core    *core
-	store   *storage.Store
+	settings    *settings.Settings
+	log         *log.Logger
+	incarnation string
+	network     keepalive.Network
+	replica     *distribution.Replica
+	driver      *driver
+	store       *storage.Store
 
-	mu       sync.Mutex
-	fronts   map[string]*front          // agents that pull here, or did, by life
-	judge    *failuredetector.Arbiter   // of the mixers that don't
-	nodes    []failuredetector.Node     // the list as the judge knows it
-	nodesAt  uint64                     // and its generation
-	peers    map[string]peer            // by node
-	pulls    map[string]pull            // from each other controller, by address
-	answered map[string]time.Time       // when a controller last answered a pull, by where it serves news
-	kept     map[string]registry.Vector // what its disk holds, by the same
-	told     chan struct{}              // closed when kept changes, or the own disk holds more
-	contact  contact
-	orders   chan struct{}                     // a place for each configuration in hand
-	running  sync.WaitGroup                    // what uses the store
-	taken    atomic.Pointer[manifest.Manifest] // the configuration that an operator sent here last
-	plant    PlantedFaults
-	sight    sight
-	recalled atomic.Uint64 // the version that the disk remembered at the start
+	mu               sync.Mutex
+	agents           map[string]*pullingAgent   // agents that pull or recently pulled from this controller, by incarnation
+	arbiter          *failuredetector.Arbiter   // monitors the mixers that do not pull from any controller
+	nodes            []failuredetector.Node     // the list as last given to the arbiter
+	nodesGeneration  uint64                     // the registry's generation of that list
+	peers            map[string]peer            // controllers that pull from this one, by node
+	pullLoops        map[string]pullLoop        // pulls from the other controllers, by address
+	lastResponse     map[string]time.Time       // send time of the last pull that a controller answered, by distribution address
+	persisted        map[string]registry.Vector // what a controller has persisted, by distribution address
+	persistedChanged chan struct{}              // closed when persisted changes, or when the own disk holds more
+	contact          contact
+	configSlots      chan struct{}                     // one slot for each pending configuration
+	running          sync.WaitGroup                    // goroutines that use the store
+	lastSubmitted    atomic.Pointer[manifest.Manifest] // the configuration that an operator last sent to this controller
+	injected         PlantedFaults
+	metrics          metrics
+	restoredVersion  atomic.Uint64 // the version restored from disk at the start
 }
 
-// pull is what follows the news of another controller.
-type pull struct {
+// pullLoop is a running pull from another controller.
+type pullLoop struct {
 	stop  func()
-	alive chan struct{} // of one place
+	alive chan struct{} // buffered, capacity 1
 }
 
-// heard tells it that the other controller lives. The zero value has nobody to tell.
-func (p pull) heard() {
+// signalAlive reports that the other controller is alive. It does nothing on the zero value.
+func (p pullLoop) signalAlive() {
 	select {
 	case p.alive <- struct{}{}:
 	default:
@@ -82,49 +84,51 @@
 }
 
 type peer struct {
-	life string
-	ip   string
-	at   time.Time
+	incarnation string
+	ip          string
+	lastPull    time.Time
 }
 
-// Platform is what a controller stands on.
+// Platform is the environment that a controller runs on.
 type Platform struct {
 	Network keepalive.Network
 	Files   vfs.FS
-	Plant   PlantedFaults // none in service
+	Plant   PlantedFaults // for tests only
 }
 
-// New opens the store and makes a controller of this machine. A store that can't be opened now, by a disk that is full or
-// in trouble, is waited for.
-func New(s *settings.Settings, life string, l *log.Logger) (*Controller, error) {
+// New opens the store and returns the controller of this machine. While the store can't be opened, because the disk is full
+// or failing, it retries for up to openTimeout.
+func New(s *settings.Settings, incarnation string, l *log.Logger) (*Controller, error) {
 	on := Platform{Network: keepalive.TCP{Relay: s.Relay, From: s.Node}, Files: vfs.Default}
 	began := time.Now()
 	for {
-		h, err := NewOn(on, s, life, l)
-		if err == nil || time.Since(began) > openMost {
-			return h, err
+		c, err := NewOn(on, s, incarnation, l)
+		if err == nil || time.Since(began) > openTimeout {
+			return c, err
 		}
 		l.Error().Str("event", "open").Err(err).Msg("")
-		time.Sleep(openEvery)
+		time.Sleep(openRetryInterval)
 	}
 }
 
-// How long a store that can't be opened is waited for, and how often it is tried meanwhile.
+// A store that can't be opened is retried every openRetryInterval, for openTimeout.
 const (
-	openMost  = 20 * time.Second
-	openEvery = 500 * time.Millisecond
+	openTimeout       = 20 * time.Second
+	openRetryInterval = 500 * time.Millisecond
 )
 
-// NewOn opens the store and makes a controller on a platform.
-func NewOn(on Platform, s *settings.Settings, life string, l *log.Logger) (*Controller, error) {
+// NewOn opens the store and returns a controller that runs on the given platform.
+func NewOn(on Platform, s *settings.Settings, incarnation string, l *log.Logger) (*Controller, error) {
 	now := time.Now()
-	c := &Controller{set: s, log: l, life: life, fronts: map[string]*front{}, peers: map[string]peer{},
-		pulls: map[string]pull{}, answered: map[string]time.Time{}, kept: map[string]registry.Vector{}, told: make(chan struct{}), orders: make(chan struct{}, ordersMost),
-		network: on.Network, plant: on.Plant,
-		sight: sight{lines: logbound.Limiter{PerSecond: refusalLines}, strangers: logbound.Limiter{PerSecond: strangerLines}, calls: map[answered]uint64{}}}
-	c.judge = failuredetector.NewArbiter(failuredetector.ArbiterConfig{Period: s.BeatPeriod})
-	c.board = distribution.NewReplica(registry.New(registry.Config{Name: life, Period: s.BeatPeriod, Start: now}))
-	c.board.SetIsolated(true) // until a majority is met
+	c := &Controller{settings: s, log: l, incarnation: incarnation, agents: map[string]*pullingAgent{}, peers: map[string]peer{},
+		pullLoops: map[string]pullLoop{}, lastResponse: map[string]time.Time{}, persisted: map[string]registry.Vector{},
+		persistedChanged: make(chan struct{}), configSlots: make(chan struct{}, maxPendingConfigs),
+		network: on.Network, injected: on.Plant,
+		metrics: metrics{callLog: logbound.Limiter{PerSecond: refusedCallLines},
+			foreignLog: logbound.Limiter{PerSecond: foreignMessageLines}, calls: map[callOutcome]uint64{}}}
+	c.arbiter = failuredetector.NewArbiter(failuredetector.ArbiterConfig{Period: s.BeatPeriod})
+	c.replica = distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Period: s.BeatPeriod, Start: now}))
+	c.replica.SetIsolated(true) // until a majority has been reached
 	store, saved, lost, err := storage.OpenOn(on.Files, s.DataDir)
 	if err != nil {
 		return nil, errors.Wrap(err, "storage")
@@ -134,215 +138,225 @@
 		l.Error().Str("event", "disk-lost").Str("folder", s.DataDir).Err(lost).Msg("")
 	}
 	c.store = store
-	config := consensus.Config{ID: consensus.ID(drawn()), Addr: c.at(s.IP, portMail), Zone: s.Zone, Region: s.Region, Counts: s.CountsLoss,
-		Losses: s.MachineLosses, Zones: s.ZoneLosses, Regions: s.RegionLosses, ColdStart: cold, Seed: uint64(now.UnixNano())}
+	config := consensus.Config{ID: consensus.ID(randomID()), Addr: c.internalAddr(s.IP, portConsensus), Zone: s.Zone, Region: s.Region,
+		Counts: s.CountsLoss, Losses: s.MachineLosses, Zones: s.ZoneLosses, Regions: s.RegionLosses, ColdStart: cold,
+		Seed: uint64(now.UnixNano())}
 	for _, seed := range s.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			return nil, errors.Wrapf(err, "seed %s", seed)
 		}
-		config.Seeds = append(config.Seeds, c.at(host, portMail))
+		config.Seeds = append(config.Seeds, c.internalAddr(host, portConsensus))
 	}
-	c.core = &core{node: consensus.New(config, saved, 0), store: store, log: l, start: now, inbox: make(chan consensus.Message, inboxMost), leave: make(chan struct{}), left: make(chan struct{}),
-		ackUnsynced: on.Plant.AckUnsynced, sight: &c.sight,
-		calls: make(chan call, 64), writes: make(chan consensus.Write, 4), saved: make(chan uint64, 4), jobs: make(chan func() error, 1),
-		committed: c.committed, changed: c.members}
-	c.board.SetContactCheck(c.inContact)
-	c.recall()
-	l.Info().Str("event", "start").Str("id", string(c.core.node.ID())).Bool("remembers", saved != nil).Bool("cold", cold).Msg("")
+	c.driver = &driver{node: consensus.New(config, saved, 0), store: store, log: l, start: now,
+		inbox: make(chan consensus.Message, inboxSize), shutdown: make(chan struct{}), handedOver: make(chan struct{}),
+		ackUnsynced: on.Plant.AckUnsynced, metrics: &c.metrics,
+		calls: make(chan localCall, 64), writes: make(chan consensus.Write, 4), saved: make(chan uint64, 4),
+		diskJobs:    make(chan func() error, 1),
+		onCommitted: c.applyConfiguration, onEpochChange: c.applyMembers}
+	c.replica.SetContactCheck(c.inContact)
+	c.restore()
+	l.Info().Str("event", "start").Str("id", string(c.driver.node.ID())).Bool("remembers", saved != nil).Bool("cold", cold).Msg("")
 	return c, nil
 }
 
-func drawn() string {
+func randomID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-func (c *Controller) at(ip string, port int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(c.set.PortFirst+port))
+func (c *Controller) internalAddr(ip string, port int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(c.settings.PortFirst+port))
 }
 
-// handOverMost is how long a controller that is to end goes on until it has handed over.
-const handOverMost = 2 * time.Second
+// handoverTimeout bounds how long a controller that shuts down keeps running to hand over its duties.
+const handoverTimeout = 2 * time.Second
 
-// Run serves until ctx ends, and until it has handed over what hangs on it.
-func (c *Controller) Run(told context.Context) error {
-	ctx, stop := context.WithCancel(context.WithoutCancel(told))
+// Run serves until shutdown ends and the controller has handed over its duties.
+func (c *Controller) Run(shutdown context.Context) error {
+	ctx, stop := context.WithCancel(context.WithoutCancel(shutdown))
 	defer stop()
-	var lns [4]net.Listener
-	for i, addr := range []string{c.at(c.set.IP, portMail), c.at(c.set.IP, portNews), c.at(c.set.IP, portCalls), c.set.Control} {
+	var listeners [4]net.Listener
+	for i, addr := range []string{c.internalAddr(c.settings.IP, portConsensus), c.internalAddr(c.settings.IP, portDistribution),
+		c.internalAddr(c.settings.IP, portCalls), c.settings.Control} {
 		ln, err := c.network.Listen(addr)
 		if err != nil {
 			return errors.Wrapf(err, "listen %s", addr)
 		}
-		lns[i] = ln
+		listeners[i] = ln
 	}
-	c.core.mail = newMail(ctx, c.network)
+	c.driver.transport = newTransport(ctx, c.network)
 	ended := make(chan error, 2)
-	go receive(ctx, lns[0], c.core.inbox, c.core.mail.heard)
-	news := distribution.Server{Replica: c.board, OnRequest: c.met}
-	go news.Serve(ctx, lns[1])
-	go c.serveCalls(ctx, lns[2])
-	go figures.ServeFor(ctx, c.log, c.set.IP, c.set.Metrics, c.figures)
-	c.running.Go(func() { c.tend(ctx) })
-	c.running.Go(func() { c.remember(ctx) })
-	c.running.Go(func() { c.core.write(ctx) })
+	go receiveMessages(ctx, listeners[0], c.driver.inbox, c.driver.transport.peerAlive)
+	distributionServer := distribution.Server{Replica: c.replica, OnRequest: c.handlePull}
+	go distributionServer.Serve(ctx, listeners[1])
+	go c.serveCalls(ctx, listeners[2])
+	go figures.ServeFor(ctx, c.log, c.settings.IP, c.settings.Metrics, c.emitMetrics)
+	c.running.Go(func() { c.maintain(ctx) })
+	c.running.Go(func() { c.persistLoop(ctx) })
+	c.running.Go(func() { c.driver.writeLoop(ctx) })
 	c.running.Go(func() {
-		if err := c.core.run(ctx); err != nil {
+		if err := c.driver.run(ctx); err != nil {
 			ended <- err
 		}
 	})
-	doors := newServer(c.doors())
-	callers := connlimit.New(c.set.CallersMost())
-	callers.Bind(doors)
-	go func() { ended <- errors.Wrap(doors.Serve(callers.Listen(lns[3])), "serve, control") }()
-	c.log.Info().Str("event", "serving").Str("control", c.set.Control).Msg("")
+	server := newServer(c.handler())
+	connections := connlimit.New(c.settings.CallersMost())
+	connections.Bind(server)
+	go func() { ended <- errors.Wrap(server.Serve(connections.Listen(listeners[3])), "serve, control") }()
+	c.log.Info().Str("event", "serving").Str("control", c.settings.Control).Msg("")
 	select {
 	case err := <-ended:
 		return err
-	case <-told.Done():
+	case <-shutdown.Done():
 	}
-	close(c.core.leave)
+	close(c.driver.shutdown)
 	select {
 	case err := <-ended:
 		return err
-	case <-c.core.left:
-	case <-time.After(min(handOverMost, c.set.Grace/2)):
+	case <-c.driver.handedOver:
+	case <-time.After(min(handoverTimeout, c.settings.Grace/2)):
 	}
 	c.log.Info().Str("event", "left").Msg("")
-	last, end := context.WithTimeout(ctx, lastAnswers)
-	defer end()
-	doors.Shutdown(last)
-	doors.Close()
+	shutdownCtx, cancel := context.WithTimeout(ctx, lastCallsTimeout)
+	defer cancel()
+	server.Shutdown(shutdownCtx)
+	server.Close()
 	return nil
 }
 
-// Close closes the store, once Run has returned and what uses the store has ended.
+// Close waits for the goroutines that use the store and closes it. It must be called after Run has returned.
 func (c *Controller) Close() error {
 	c.running.Wait()
 	return c.store.Close()
 }
 
-// lastAnswers is how long calls in hand may take once everything is handed over.
-const lastAnswers = 300 * time.Millisecond
+// lastCallsTimeout is how long calls in flight may take once everything is handed over.
+const lastCallsTimeout = 300 * time.Millisecond
 
-// tend looks after what only time changes.
-func (c *Controller) tend(ctx context.Context) {
-	t := time.NewTicker(c.set.BeatPeriod / 6)
+// maintain runs the periodic work: contact, expiry of the list and heartbeats for monitored mixers.
+func (c *Controller) maintain(ctx context.Context) {
+	t := time.NewTicker(c.settings.BeatPeriod / 6)
 	defer t.Stop()
-	soon := time.NewTicker(contactEvery)
-	defer soon.Stop()
+	contactTicker := time.NewTicker(contactInterval)
+	defer contactTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-soon.C: // only until there is contact: fronts may have nothing to serve by
-			if c.renew(ctx); c.inContact() {
-				soon.Stop()
+		case <-contactTicker.C: // only until there is contact: fronts may have no configuration to serve with
+			if c.renewContact(ctx); c.inContact() {
+				contactTicker.Stop()
 			}
 			continue
 		case <-t.C:
 		}
-		alone := !c.renew(ctx)
-		c.board.WithRegistry(func(r *registry.Registry) bool {
-			c.adopt(r, alone)
-			revived := c.mind(r, alone)
-			return r.Tick(time.Now()) || revived
+		isolated := !c.renewContact(ctx)
+		c.replica.WithRegistry(func(r *registry.Registry) bool {
+			c.adoptOrphans(r, isolated)
+			changed := c.heartbeatMonitored(r, isolated)
+			return r.Tick(time.Now()) || changed
 		})
-		c.board.SetIsolated(!c.inContact())
+		c.replica.SetIsolated(!c.inContact())
 	}
 }
 
-// committed takes a configuration that is in force.
-func (c *Controller) committed(d consensus.Document) {
-	m, err := c.parsed(d)
+// applyConfiguration applies a configuration that is in force.
+func (c *Controller) applyConfiguration(d consensus.Document) {
+	m, err := c.parseDocument(d)
 	if err != nil {
 		c.log.Error().Str("event", "configuration").Uint64("version", d.Version).Err(err).Msg("")
 		return
 	}
-	if c.board.SetDocument(m) {
+	if c.replica.SetDocument(m) {
 		c.log.Info().Str("event", "configuration").Uint64("version", d.Version).Int("routes", len(m.Routes)).Msg("")
 	}
 }
 
-// parsed gives a configuration that consensus holds; the machine that took the order has parsed it already.
-func (c *Controller) parsed(d consensus.Document) (*manifest.Manifest, error) {
-	if m := c.taken.Load(); m != nil && m.Version == d.Version && xxh3.Hash(m.Raw) == d.Digest {
+// parseDocument returns the parsed form of a committed configuration. The controller that received it from the operator has
+// parsed it already.
+func (c *Controller) parseDocument(d consensus.Document) (*manifest.Manifest, error) {
+	if m := c.lastSubmitted.Load(); m != nil && m.Version == d.Version && xxh3.Hash(m.Raw) == d.Digest {
 		return m, nil
 	}
-	return open(d.Body)
+	return unpackManifest(d.Body)
 }
 
-func open(packed []byte) (*manifest.Manifest, error) {
-	raw, err := manifest.Unpack(packed, bodyMost)
+func unpackManifest(packed []byte) (*manifest.Manifest, error) {
+	raw, err := manifest.Unpack(packed, maxConfigBytes)
 	if err != nil {
 		return nil, err
 	}
 	return manifest.Parse(raw)
 }
 
-// members has news pulled from each other member, and tells the agents where controllers are.
-func (c *Controller) members(e consensus.Epoch) {
-	var core []distribution.Location
-	want := map[string]bool{}
+// applyMembers starts a pull from each other member, stops those from former members, and publishes the controllers'
+// locations to the agents.
+func (c *Controller) applyMembers(e consensus.Epoch) {
+	var controllers []distribution.Location
+	wanted := map[string]bool{}
 	for _, m := range e.Members {
 		host, _, err := net.SplitHostPort(m.Addr)
 		if err != nil {
 			continue
 		}
-		at := c.newsAddr(host)
-		core = append(core, distribution.Location{Addr: at, Zone: m.Zone, Region: m.Region})
-		if host != c.set.IP {
-			want[at] = true
+		addr := c.distributionAddr(host)
+		controllers = append(controllers, distribution.Location{Addr: addr, Zone: m.Zone, Region: m.Region})
+		if host != c.settings.IP {
+			wanted[addr] = true
 		}
 	}
-	c.board.SetSystem(uint64(e.System))
-	c.board.SetControllers(core)
+	c.replica.SetSystem(uint64(e.System))
+	c.replica.SetControllers(controllers)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for at, p := range c.pulls {
-		if !want[at] {
+	for addr, p := range c.pullLoops {
+		if !wanted[addr] {
 			p.stop()
-			delete(c.pulls, at)
-			delete(c.answered, at)
-			delete(c.kept, at)
+			delete(c.pullLoops, addr)
+			delete(c.lastResponse, addr)
+			delete(c.persisted, addr)
 		}
 	}
-	for at := range want {
-		if _, pulling := c.pulls[at]; !pulling {
-			ctx, stop := context.WithCancel(c.core.mail.ctx)
+	for addr := range wanted {
+		if _, pulling := c.pullLoops[addr]; !pulling {
+			ctx, stop := context.WithCancel(c.driver.transport.ctx)
 			alive := make(chan struct{}, 1)
-			c.pulls[at] = pull{stop, alive}
-			p := distribution.Puller{Replica: c.board, Node: c.set.Node, Incarnation: c.life, IP: c.set.IP, Kind: "controller", Peer: true, PrepareRequest: c.say,
-				Choose: func(int) string { return at }, OnResponse: func(_ string, _ *distribution.PullResponse, asked time.Time) { c.answers(at, asked) }, OnPersisted: c.keeps, Network: c.network,
-				Alive: alive}
+			c.pullLoops[addr] = pullLoop{stop, alive}
+			p := distribution.Puller{Replica: c.replica, Node: c.settings.Node, Incarnation: c.incarnation, IP: c.settings.IP,
+				Kind: "controller", Peer: true, PrepareRequest: c.attachWatchReport,
+				Choose:      func(int) string { return addr },
+				OnResponse:  func(_ string, _ *distribution.PullResponse, sent time.Time) { c.recordResponse(addr, sent) },
+				OnPersisted: c.recordPersisted, Network: c.network, Alive: alive}
 			go p.Run(ctx)
 		}
 	}
 }
 
-func (c *Controller) met(a *distribution.PullRequest) {
+func (c *Controller) handlePull(a *distribution.PullRequest) {
 	switch a.Kind {
 	case "agent":
-		c.pulled(a)
+		c.recordAgentPull(a)
 	case "controller":
-		e := c.core.members()
+		e := c.driver.currentEpoch()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.noticeLapse(e)
+		c.expireContact(e)
 		c.peers[a.Node] = peer{a.Life, a.IP, time.Now()}
-		c.pulls[c.newsAddr(a.IP)].heard()
+		c.pullLoops[c.distributionAddr(a.IP)].signalAlive()
 		if a.Word != nil {
-			c.judge.ReceiveReport(time.Now(), a.Node, *a.Word)
+			c.arbiter.ReceiveReport(time.Now(), a.Node, *a.Word)
 		} else {
-			c.judge.ReceiveReport(time.Now(), a.Node, failuredetector.WatchReport{})
+			c.arbiter.ReceiveReport(time.Now(), a.Node, failuredetector.WatchReport{})
 		}
 	}
 }
 
-// newsAddr is where the controller at an address serves news.
-func (c *Controller) newsAddr(ip string) string { return net.JoinHostPort(ip, NewsPort(c.set)) }
+// distributionAddr returns the address on which the controller at ip serves pulls.
+func (c *Controller) distributionAddr(ip string) string {
+	return net.JoinHostPort(ip, NewsPort(c.settings))
+}
 
-// forgetAfter is how long a process that isn't heard any more is counted.
-const forgetAfter = 5 * time.Second
+// livenessTimeout is how long a process counts as present after it was last heard from.
+const livenessTimeout = 5 * time.Second
--- a/controlplane/doc.go
+++ b/controlplane/doc.go
@@ -1,4 +1,5 @@
-// Package controlplane is what runs on core machines: it serves searchers and operators over HTTP, keeps the configuration
-// with the other core machines as consensus says, holds the list of searchers as registry does, and hands news to the agents
-// and to the other controllers by distribution. It moves bytes; what is decided is decided in consensus, registry and manifest.
+// Package controlplane implements the controller, the process that runs on each core machine. It serves searchers and
+// operators over HTTP, replicates the configuration among the controllers through package consensus, keeps the list of
+// searchers in package registry, and distributes both to the agents and to the other controllers through package
+// distribution. It does the I/O; the decisions are made in consensus, registry and manifest.
 package controlplane
--- a/controlplane/drains.go
+++ b/controlplane/drains.go
@@ -7,49 +7,50 @@
 	"peathollow/registry"
 )
 
-// keeps notes what news a controller's disk holds, by where it serves news.
-func (c *Controller) keeps(addr string, v registry.Vector) {
+// recordPersisted records what part of the list a controller has persisted, by its distribution address.
+func (c *Controller) recordPersisted(addr string, v registry.Vector) {
 	c.mu.Lock()
-	c.kept[addr] = v
+	c.persisted[addr] = v
 	c.mu.Unlock()
-	c.tellKept()
+	c.notifyPersisted()
 }
 
-// tellKept wakes those that wait for news to be on disks.
-func (c *Controller) tellKept() {
+// notifyPersisted wakes the callers that wait for updates to be persisted.
+func (c *Controller) notifyPersisted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	close(c.told)
-	c.told = make(chan struct{})
+	close(c.persistedChanged)
+	c.persistedChanged = make(chan struct{})
 }
 
-// known waits until a majority of the members holds on disk what v names. Then no cut, no loss within the tolerance and
-// no loss of all power makes a searcher that was told that it may leave come back as one that is ready.
-func (c *Controller) known(ctx context.Context, v registry.Vector) bool {
+// awaitPersisted waits until a majority of the members has persisted the updates in v. After that no network partition, no
+// loss within the tolerance and no power loss of all machines makes a searcher whose drain was acknowledged return as a
+// ready one.
+func (c *Controller) awaitPersisted(ctx context.Context, v registry.Vector) bool {
 	for {
 		c.mu.Lock()
-		told := c.told
+		changed := c.persistedChanged
 		c.mu.Unlock()
-		if c.onDisks(v) || c.plant.DrainsInMemory {
+		if c.persistedByQuorum(v) || c.injected.DrainsInMemory {
 			return true
 		}
 		select {
-		case <-told:
+		case <-changed:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// onDisks tells whether a majority of the members holds on disk what v names.
-func (c *Controller) onDisks(v registry.Vector) bool {
-	e, own := c.core.members(), c.board.Persisted()
+// persistedByQuorum reports whether a majority of the members has persisted the updates in v.
+func (c *Controller) persistedByQuorum(v registry.Vector) bool {
+	e, own := c.driver.currentEpoch(), c.replica.Persisted()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return quorumByIP(e, func(id consensus.ID, ip string) bool {
-		if ip == c.set.IP {
-			return id == c.core.node.ID() && own.Covers(v)
+		if ip == c.settings.IP {
+			return id == c.driver.node.ID() && own.Covers(v)
 		}
-		return c.kept[c.newsAddr(ip)].Covers(v)
+		return c.persisted[c.distributionAddr(ip)].Covers(v)
 	})
 }
--- a/controlplane/leave_test.go
+++ b/controlplane/leave_test.go
@@ -13,39 +13,39 @@
 	"peathollow/registry"
 )
 
-// called gives the status of a call of a searcher's.
-func statusOf(h *Controller, method, path, body string) int {
+// statusOf returns the status of a searcher's call.
+func statusOf(c *Controller, method, path, body string) int {
 	answer := httptest.NewRecorder()
-	h.doors().ServeHTTP(answer, httptest.NewRequest(method, path, strings.NewReader(body)))
+	c.handler().ServeHTTP(answer, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return answer.Code
 }
 
-// alone is a controller that is all of the core, in contact, and whose disk is written.
-func alone(t *testing.T) *Controller {
+// singleController returns a controller that is the only member, in contact, and persists its state.
+func singleController(t *testing.T) *Controller {
 	t.Helper()
-	h := stopped(t, 1)
-	h.contact = contact{touch: true, confirmed: true}
-	h.running.Go(func() { h.core.write(t.Context()) })
-	h.running.Go(func() { h.remember(t.Context()) })
-	return h
+	c := stopped(t, 1)
+	c.contact = contact{reachable: true, confirmed: true}
+	c.running.Go(func() { c.driver.writeLoop(t.Context()) })
+	c.running.Go(func() { c.persistLoop(t.Context()) })
+	return c
 }
 
-// TestLeavingIsRecordedBeforeItIsAcknowledged: an acknowledgement that a searcher leaves says that the list has it so. The code
-// before acknowledged a DELETE that a full list had refused, and a draining beat that counted as late.
+// TestLeavingIsRecordedBeforeItIsAcknowledged checks that a searcher's leaving is acknowledged only if the list shows it.
+// Earlier code acknowledged a DELETE that a full list had refused, and a draining heartbeat that counted as late.
 func TestLeavingIsRecordedBeforeItIsAcknowledged(t *testing.T) {
-	beat := func(state string, calls int) string {
+	heartbeat := func(state string, calls int) string {
 		return fmt.Sprintf(`{"plant":"p","address":"10.8.0.1:80","zone":"z","capacity":1,"state":%q,"call-count":%d}`, state, calls)
 	}
 	t.Run("late", func(t *testing.T) {
-		h := alone(t)
-		must.Eq(t, http.StatusOK, statusOf(h, "PUT", "/searchers/i-1", beat("ready", 9)))
-		must.Eq(t, http.StatusServiceUnavailable, statusOf(h, "PUT", "/searchers/i-1", beat("draining", 4)))
-		must.Eq(t, http.StatusOK, statusOf(h, "PUT", "/searchers/i-1", beat("draining", 10)))
-		must.Eq(t, http.StatusOK, statusOf(h, "PUT", "/searchers/i-1", beat("draining", 5))) // it is known to leave
+		c := singleController(t)
+		must.Eq(t, http.StatusOK, statusOf(c, "PUT", "/searchers/i-1", heartbeat("ready", 9)))
+		must.Eq(t, http.StatusServiceUnavailable, statusOf(c, "PUT", "/searchers/i-1", heartbeat("draining", 4)))
+		must.Eq(t, http.StatusOK, statusOf(c, "PUT", "/searchers/i-1", heartbeat("draining", 10)))
+		must.Eq(t, http.StatusOK, statusOf(c, "PUT", "/searchers/i-1", heartbeat("draining", 5))) // already listed as draining
 	})
 	t.Run("full", func(t *testing.T) {
-		h := alone(t)
-		h.board.WithRegistry(func(r *registry.Registry) bool {
+		c := singleController(t)
+		c.replica.WithRegistry(func(r *registry.Registry) bool {
 			for i := 0; ; i++ {
 				s := registry.Searcher{ID: fmt.Sprint("s", i), Plant: "p", Address: fmt.Sprint("10.8.0.2:", i), Calls: 1}
 				if r.Heartbeat(time.Now(), s).Refused {
@@ -53,6 +53,6 @@
 				}
 			}
 		})
-		must.Eq(t, http.StatusServiceUnavailable, statusOf(h, "DELETE", "/searchers/i-1", ""))
+		must.Eq(t, http.StatusServiceUnavailable, statusOf(c, "DELETE", "/searchers/i-1", ""))
 	})
 }
--- a/controlplane/mail.go
+++ b/controlplane/mail.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	queueMost   = 64
-	peersMost   = 64
-	unackedMost = 1200 * time.Millisecond
-	dialMost    = 500 * time.Millisecond
-	dialPause   = 200 * time.Millisecond // after a dial that failed
+	maxQueued      = 64
+	maxPeers       = 64
+	userTimeout    = 1200 * time.Millisecond
+	dialTimeout    = 500 * time.Millisecond
+	dialRetryDelay = 200 * time.Millisecond // after a failed dial
 )
 
-// mail carries messages between core machines, a connection for each direction. A message may be lost: what doesn't go
-// out soon is worth nothing later.
-type mail struct {
+// transport carries messages between controllers, over one connection for each direction. A message may be lost: one that is
+// not sent soon has no value later.
+type transport struct {
 	ctx     context.Context
 	network keepalive.Network
 
-	mu    sync.Mutex
-	boxes map[string]*mailbox // by address
+	mu       sync.Mutex
+	outboxes map[string]*outbox // by address
 }
 
-// mailbox is what waits for one peer.
-type mailbox struct {
-	queue chan consensus.Message
-	alive chan struct{} // of one place: the peer has been heard
-	used  time.Time
-	stop  func()
+// outbox holds the messages that wait for one peer.
+type outbox struct {
+	queue    chan consensus.Message
+	alive    chan struct{} // buffered, capacity 1: a message has arrived from the peer
+	lastUsed time.Time
+	stop     func()
 }
 
-// idleMost is how long a peer that nothing is sent to keeps its place when another needs one.
-const idleMost = 5 * time.Second
+// outboxIdleTimeout is how long an unused outbox is kept when another peer needs its slot.
+const outboxIdleTimeout = 5 * time.Second
 
-func newMail(ctx context.Context, network keepalive.Network) *mail {
-	return &mail{ctx: ctx, network: network, boxes: map[string]*mailbox{}}
+func newTransport(ctx context.Context, network keepalive.Network) *transport {
+	return &transport{ctx: ctx, network: network, outboxes: map[string]*outbox{}}
 }
 
-func (m *mail) send(x consensus.Message) {
+func (t *transport) send(x consensus.Message) {
 	if x.ToAddr == "" {
 		return
 	}
-	box := m.box(x.ToAddr)
+	box := t.outbox(x.ToAddr)
 	if box == nil {
 		return
 	}
@@ -59,59 +59,60 @@
 	}
 }
 
-// box gives the mailbox of an address; nil if there is no room for one more.
-func (m *mail) box(addr string) *mailbox {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// outbox returns the outbox of an address, or nil if there are too many.
+func (t *transport) outbox(addr string) *outbox {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
-	box := m.boxes[addr]
+	box := t.outboxes[addr]
 	if box == nil {
-		if len(m.boxes) >= peersMost && !m.forget(now) {
+		if len(t.outboxes) >= maxPeers && !t.evictIdle(now) {
 			return nil
 		}
-		box = &mailbox{queue: make(chan consensus.Message, queueMost), alive: make(chan struct{}, 1)}
+		box = &outbox{queue: make(chan consensus.Message, maxQueued), alive: make(chan struct{}, 1)}
 		var ctx context.Context
-		ctx, box.stop = context.WithCancel(m.ctx)
-		m.boxes[addr] = box
-		go m.deliver(ctx, addr, box)
+		ctx, box.stop = context.WithCancel(t.ctx)
+		t.outboxes[addr] = box
+		go t.deliver(ctx, addr, box)
 	}
-	box.used = now
+	box.lastUsed = now
 	return box
 }
 
-// forget makes room by ending the link that has been idle for longest: machines come and go, each at a new address.
-func (m *mail) forget(now time.Time) bool {
+// evictIdle frees a slot by closing the outbox that has been unused for longest, since machines come and go, each at a new
+// address.
+func (t *transport) evictIdle(now time.Time) bool {
 	oldest := ""
-	for addr, box := range m.boxes {
-		if oldest == "" || box.used.Before(m.boxes[oldest].used) {
+	for addr, box := range t.outboxes {
+		if oldest == "" || box.lastUsed.Before(t.outboxes[oldest].lastUsed) {
 			oldest = addr
 		}
 	}
-	if oldest == "" || now.Sub(m.boxes[oldest].used) < idleMost {
+	if oldest == "" || now.Sub(t.outboxes[oldest].lastUsed) < outboxIdleTimeout {
 		return false
 	}
-	m.boxes[oldest].stop()
-	delete(m.boxes, oldest)
+	t.outboxes[oldest].stop()
+	delete(t.outboxes, oldest)
 	return true
 }
 
-// deliver keeps a connection to one peer.
-func (m *mail) deliver(ctx context.Context, addr string, box *mailbox) {
+// deliver keeps a connection to one peer and sends its messages.
+func (t *transport) deliver(ctx context.Context, addr string, box *outbox) {
 	for ctx.Err() == nil {
-		c, err := keepalive.DialAgain(ctx, m.network, addr, dialMost, unackedMost, box.alive)
+		c, err := keepalive.DialAgain(ctx, t.network, addr, dialTimeout, userTimeout, box.alive)
 		if err != nil {
-			drop(ctx, box, dialPause)
+			discardQueued(ctx, box, dialRetryDelay)
 			continue
 		}
-		pump(ctx, c, box.queue)
+		writeMessages(ctx, c, box.queue)
 	}
 }
 
-// heard notes that a peer lives, so that no link to it waits any longer.
-func (m *mail) heard(addr string) {
-	m.mu.Lock()
-	box := m.boxes[addr]
-	m.mu.Unlock()
+// peerAlive reports a message from a peer, so that a waiting dial to it is retried at once.
+func (t *transport) peerAlive(addr string) {
+	t.mu.Lock()
+	box := t.outboxes[addr]
+	t.mu.Unlock()
 	if box == nil {
 		return
 	}
@@ -121,17 +122,17 @@
 	}
 }
 
-// drop throws away what waits: a peer that can't be reached should not be told old things first. It ends when the peer is
-// heard.
-func drop(ctx context.Context, box *mailbox, pause time.Duration) {
-	t := time.NewTimer(pause)
-	defer t.Stop()
+// discardQueued drops the queued messages for the length of pause, so that a peer that was unreachable does not receive
+// outdated messages first. It ends early when the peer is heard from.
+func discardQueued(ctx context.Context, box *outbox, pause time.Duration) {
+	timer := time.NewTimer(pause)
+	defer timer.Stop()
 	for {
 		select {
 		case <-box.queue:
 		case <-box.alive:
 			return
-		case <-t.C:
+		case <-timer.C:
 			return
 		case <-ctx.Done():
 			return
@@ -139,19 +140,19 @@
 	}
 }
 
-func pump(ctx context.Context, c net.Conn, ch chan consensus.Message) {
+func writeMessages(ctx context.Context, c net.Conn, ch chan consensus.Message) {
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	w := bufio.NewWriterSize(c, 4096)
-	out := gob.NewEncoder(w)
+	encoder := gob.NewEncoder(w)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case x := <-ch:
 			c.SetWriteDeadline(time.Now().Add(time.Second))
-			if out.Encode(&x) != nil {
+			if encoder.Encode(&x) != nil {
 				return
 			}
 			if len(ch) == 0 && w.Flush() != nil {
@@ -161,14 +162,14 @@
 	}
 }
 
-// receive takes messages from peers until ctx ends; heard is told from whom.
-func receive(ctx context.Context, ln net.Listener, to chan<- consensus.Message, heard func(addr string)) {
+// receiveMessages accepts messages from peers until ctx ends, and calls heard with the sender's address of each.
+func receiveMessages(ctx context.Context, ln net.Listener, to chan<- consensus.Message, heard func(addr string)) {
 	keepalive.Accept(ctx, ln, func(c net.Conn) {
-		in := gob.NewDecoder(bufio.NewReaderSize(c, 4096))
+		decoder := gob.NewDecoder(bufio.NewReaderSize(c, 4096))
 		for {
 			var x consensus.Message
 			c.SetReadDeadline(time.Now().Add(10 * time.Second))
-			if in.Decode(&x) != nil {
+			if decoder.Decode(&x) != nil {
 				return
 			}
 			heard(x.FromAddr)
--- a/controlplane/mixers.go
+++ b/controlplane/mixers.go
@@ -15,19 +15,20 @@
 	"peathollow/retrybudget"
 )
 
-// A controller is a first-hand source of which mixers there are, as it is of searchers: an agent's pull is a beat. Those
-// that don't pull but are heard by the mixers that watch them get a beat by this controller (failuredetector).
+// A controller is a primary source of the list of mixers, as it is for searchers: an agent's pull counts as a heartbeat.
+// Mixers that do not pull but are heard by the mixers that watch them get a heartbeat from this controller (package
+// failuredetector).
 
-// front is an agent as heard here.
-type front struct {
-	node    string
-	at      time.Time
-	version uint64
-	calls   uint64 // the registry keeps that of a plain repeat to itself
+// pullingAgent is the state of an agent that pulls from this controller.
+type pullingAgent struct {
+	node     string
+	lastPull time.Time
+	version  uint64
+	calls    uint64 // the registry does not publish the counter of a heartbeat without other changes
 }
 
-// pulled takes in an agent's ask.
-func (c *Controller) pulled(a *distribution.PullRequest) {
+// recordAgentPull handles an agent's pull request.
+func (c *Controller) recordAgentPull(a *distribution.PullRequest) {
 	if a.Mixer == nil || a.Life == "" || len(a.Life) > 256 {
 		return
 	}
@@ -35,16 +36,16 @@
 	m := distribution.Mixer{Incarnation: a.Life, Zone: a.Mixer.Zone, Leaving: a.Mixer.Leaving, Calls: a.Mixer.Calls}
 	m.Addr, _ = netip.ParseAddrPort(a.Mixer.Addr)
 	c.mu.Lock()
-	c.judge.ReceivePull(now, a.Life, a.Mixer.Missed, a.Mixer.Seen)
-	f := c.fronts[a.Life]
-	if f == nil {
-		f = &front{node: a.Node}
-		c.fronts[a.Life] = f
+	c.arbiter.ReceivePull(now, a.Life, a.Mixer.Missed, a.Mixer.Seen)
+	agent := c.agents[a.Life]
+	if agent == nil {
+		agent = &pullingAgent{node: a.Node}
+		c.agents[a.Life] = agent
 	}
-	f.at, f.version, f.calls = now, a.Version, max(f.calls, m.Calls)
+	agent.lastPull, agent.version, agent.calls = now, a.Version, max(agent.calls, m.Calls)
 	c.mu.Unlock()
 	var b registry.HeartbeatResult
-	c.board.WithRegistry(func(r *registry.Registry) bool {
+	c.replica.WithRegistry(func(r *registry.Registry) bool {
 		b = r.Heartbeat(now, m.Searcher())
 		return b.Published
 	})
@@ -53,98 +54,99 @@
 	}
 }
 
-// say tells another controller of the mixers that pull here.
-func (c *Controller) say(a *distribution.PullRequest, _ bool) {
+// attachWatchReport adds what this controller knows of the mixers that pull here to a pull request for another controller.
+func (c *Controller) attachWatchReport(a *distribution.PullRequest, _ bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.judge.WatchReport(time.Now()); len(w.Missed)+len(w.Seen)+len(w.Unheard) > 0 {
+	if w := c.arbiter.WatchReport(time.Now()); len(w.Missed)+len(w.Seen)+len(w.Unheard) > 0 {
 		a.Word = &w
 	}
 }
 
-// mind gives a beat to mixers that fall to this controller and are to be taken for alive; the registry's lock is held. It
-// tells whether that made news.
-func (c *Controller) mind(r *registry.Registry, alone bool) (news bool) {
+// heartbeatMonitored sends a heartbeat for each mixer that this controller monitors and that the arbiter considers alive. It
+// reports whether one of them changed the list. The registry's lock is held.
+func (c *Controller) heartbeatMonitored(r *registry.Registry, isolated bool) (changed bool) {
 	now := time.Now()
-	live := c.lives()
+	live := c.liveIncarnations()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if gen := r.Generation(); gen != c.nodesAt {
-		c.nodesAt = gen
-		c.know(r, c.listed(r))
+	if gen := r.Generation(); gen != c.nodesGeneration {
+		c.nodesGeneration = gen
+		c.setNodes(r, c.nodeList(r))
 	}
-	var minded []failuredetector.Monitored
+	var monitored []failuredetector.Monitored
 	for i := range c.nodes {
-		// Whose it is may change without the list's doing so.
+		// A mixer's source may change without a new generation of the list.
 		if m, ok := distribution.GetMixer(r, c.nodes[i].Incarnation); !ok {
 			continue
-		} else if m.Source == c.life || !alone && !live[m.Source] {
-			minded = append(minded, failuredetector.Monitored{Incarnation: m.Incarnation, Silent: m.Silent, Leaving: m.Leaving})
+		} else if m.Source == c.incarnation || !isolated && !live[m.Source] {
+			monitored = append(monitored, failuredetector.Monitored{Incarnation: m.Incarnation, Silent: m.Silent, Leaving: m.Leaving})
 		}
 	}
-	for _, life := range c.judge.Tick(now, minded) {
-		m, ok := distribution.GetMixer(r, life)
+	for _, incarnation := range c.arbiter.Tick(now, monitored) {
+		m, ok := distribution.GetMixer(r, incarnation)
 		if !ok {
 			continue
 		}
-		f := c.fronts[life]
-		if f != nil {
-			m.Calls = max(m.Calls, f.calls)
+		agent := c.agents[incarnation]
+		if agent != nil {
+			m.Calls = max(m.Calls, agent.calls)
 		}
-		m.Calls++ // well below the number of the mixer's own next ask
-		if f != nil {
-			f.calls = m.Calls
+		m.Calls++ // well below the counter of the mixer's own next pull
+		if agent != nil {
+			agent.calls = m.Calls
 		}
 		b := r.Heartbeat(now, m.Searcher())
-		news = news || b.Published
+		changed = changed || b.Published
 		if m.Silent && b.Published {
-			c.log.Info().Str("event", "mixer-lives").Str("life", life).Msg("")
+			c.log.Info().Str("event", "mixer-lives").Str("life", incarnation).Msg("")
 		}
 	}
-	for life, f := range c.fronts {
-		if time.Since(f.at) > forgetAfter {
-			if m, ok := distribution.GetMixer(r, life); !ok || m.Silent {
-				delete(c.fronts, life)
+	for incarnation, agent := range c.agents {
+		if time.Since(agent.lastPull) > livenessTimeout {
+			if m, ok := distribution.GetMixer(r, incarnation); !ok || m.Silent {
+				delete(c.agents, incarnation)
 			}
 		}
 	}
-	return news
+	return changed
 }
 
-// know hands the judge a list that has changed, and notes who has fallen silent.
-func (c *Controller) know(r *registry.Registry, nodes []failuredetector.Node) {
-	was := map[string]bool{}
+// setNodes gives a changed list to the arbiter, and logs the mixers that have become silent.
+func (c *Controller) setNodes(r *registry.Registry, nodes []failuredetector.Node) {
+	wasSilent := map[string]bool{}
 	for i := range c.nodes {
-		was[c.nodes[i].Incarnation] = c.nodes[i].Silent
+		wasSilent[c.nodes[i].Incarnation] = c.nodes[i].Silent
 	}
 	for i := range nodes {
 		n := &nodes[i]
-		if !n.Silent || n.Leaving || was[n.Incarnation] {
+		if !n.Silent || n.Leaving || wasSilent[n.Incarnation] {
 			continue
 		}
-		if m, _ := distribution.GetMixer(r, n.Incarnation); m.Source == c.life { // the others say what they were told
+		// The other controllers only repeat what the source has reported.
+		if m, _ := distribution.GetMixer(r, n.Incarnation); m.Source == c.incarnation {
 			c.log.Info().Str("event", "mixer-silent").Str("life", n.Incarnation).Msg("")
 		}
 	}
 	c.nodes = nodes
-	c.judge.SetNodes(nodes)
+	c.arbiter.SetNodes(nodes)
 }
 
-// listed is the list of mixers as failuredetector takes it.
-func (c *Controller) listed(r *registry.Registry) []failuredetector.Node {
+// nodeList returns the list of mixers in the form that failuredetector takes.
+func (c *Controller) nodeList(r *registry.Registry) []failuredetector.Node {
 	var nodes []failuredetector.Node
 	for m := range distribution.Mixers(r) {
-		nodes = append(nodes, failuredetector.Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone, Region: c.set.Zones[m.Zone],
+		nodes = append(nodes, failuredetector.Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone, Region: c.settings.Zones[m.Zone],
 			Silent: m.Silent, Leaving: m.Leaving})
 	}
 	return nodes
 }
 
-// mixers tells how many mixers budgets reckon with, and which machines' are silent.
-func (c *Controller) mixers() (n int, silent []string) {
+// mixerCounts returns the number of mixers that retry budgets are divided by, and the machines whose mixers are all silent.
+func (c *Controller) mixerCounts() (n int, silent []string) {
 	heard := map[string]bool{}
-	c.board.WithRegistry(func(r *registry.Registry) bool {
-		n = distribution.CountMixers(r, retrybudget.ChargeLifetime(c.set.RetryWindow))
+	c.replica.WithRegistry(func(r *registry.Registry) bool {
+		n = distribution.CountMixers(r, retrybudget.ChargeLifetime(c.settings.RetryWindow))
 		for m := range distribution.Mixers(r) {
 			if !m.Silent {
 				heard[m.Machine()] = true
@@ -158,32 +160,32 @@
 	return n, slices.DeleteFunc(slices.Compact(silent), func(machine string) bool { return heard[machine] })
 }
 
-// nodes tells of this machine, of the fronts whose agent pulls here, and of those that are silent.
-func (c *Controller) tellNodes(context.Context, *http.Request, []byte) reply {
-	list := []client.Node{{Node: c.set.Node, Role: client.Controller, Version: c.version()}}
+// listNodes returns this machine, the fronts whose agent pulls from it, and the silent ones.
+func (c *Controller) listNodes(context.Context, *http.Request, []byte) reply {
+	list := []client.Node{{Node: c.settings.Node, Role: client.Controller, Version: c.version()}}
 	c.mu.Lock()
-	latest := map[string]*front{}
-	for _, f := range c.fronts {
-		if was := latest[f.node]; time.Since(f.at) <= forgetAfter && (was == nil || f.at.After(was.at)) {
-			latest[f.node] = f
+	latest := map[string]*pullingAgent{}
+	for _, agent := range c.agents {
+		if previous := latest[agent.node]; time.Since(agent.lastPull) <= livenessTimeout && (previous == nil || agent.lastPull.After(previous.lastPull)) {
+			latest[agent.node] = agent
 		}
 	}
-	for _, f := range latest {
-		list = append(list, client.Node{Node: f.node, Role: client.Front, Version: f.version,
-			HeardMs: time.Since(f.at).Milliseconds(), Via: c.set.Node})
+	for _, agent := range latest {
+		list = append(list, client.Node{Node: agent.node, Role: client.Front, Version: agent.version,
+			HeardMs: time.Since(agent.lastPull).Milliseconds(), Via: c.settings.Node})
 	}
 	c.mu.Unlock()
-	_, silent := c.mixers()
+	_, silent := c.mixerCounts()
 	for _, machine := range silent {
 		if latest[machine] == nil {
-			list = append(list, client.Node{Node: machine, Role: client.Front, HeardMs: silentFor.Milliseconds(), Via: c.set.Node,
+			list = append(list, client.Node{Node: machine, Role: client.Front, HeardMs: silentAge.Milliseconds(), Via: c.settings.Node,
 				Fault: "silent"})
 		}
 	}
 	slices.SortFunc(list[1:], func(a, b client.Node) int { return cmp.Compare(a.Node, b.Node) })
-	return tell(list)
+	return jsonReply(list)
 }
 
-// silentFor stands for how long a silent machine wasn't heard: longer than any that is, so that a controller that hears it
-// is believed.
-const silentFor = 2 * forgetAfter
+// silentAge is the reported age of the last heartbeat of a silent machine. It is greater than any real age, so that the
+// answer of a controller that does hear the machine takes precedence.
+const silentAge = 2 * livenessTimeout
--- a/controlplane/server.go
+++ b/controlplane/server.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Bounds on a connection to a door. Callers turn elsewhere after a second, or a few for a large body.
+// Bounds on a connection to an endpoint. Callers turn to another machine after one second, or a few for a large body.
 const (
-	headMost   = 2 * time.Second
-	callerMost = 10 * time.Second // for its body to come
-	answerMost = 20 * time.Second // from the end of its head until the answer is taken
-	restMost   = 30 * time.Second
-	headBytes  = 8 << 10
+	readHeaderTimeout = 2 * time.Second
+	readTimeout       = 10 * time.Second // until the whole request is read
+	writeTimeout      = 20 * time.Second // from the end of the request header until the answer is written
+	idleTimeout       = 30 * time.Second
+	maxHeaderBytes    = 8 << 10
 )
 
-// newServer makes the server of the doors.
-func newServer(doors http.Handler) *http.Server {
-	return &http.Server{Handler: doors, ReadHeaderTimeout: headMost, ReadTimeout: callerMost, WriteTimeout: answerMost,
-		IdleTimeout: restMost, MaxHeaderBytes: headBytes}
+// newServer returns the HTTP server of the endpoints.
+func newServer(endpoints http.Handler) *http.Server {
+	return &http.Server{Handler: endpoints, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
--- a/controlplane/server_test.go
+++ b/controlplane/server_test.go
@@ -8,15 +8,15 @@
 	"peathollow/internal/standin/pipes"
 )
 
-// TestCallerThatReadsNothingIsLeft: a caller that takes nothing of an answer is left after a while; before, it held the
-// connection, and what serves it, for as long as it pleased.
+// TestCallerThatReadsNothingIsLeft checks that the connection of a caller that reads nothing of its answer is closed after a
+// while. Earlier code kept the connection and its goroutine for as long as the caller stayed.
 func TestCallerThatReadsNothingIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const size = 300 << 10 // of a large configuration
+		const size = 300 << 10 // bytes of a large configuration
 		ln := make(pipes.Listener)
 		s := newServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(make([]byte, size)) }))
 		go s.Serve(ln)
 		defer s.Close()
-		ln.ReadsNothing(t, size, answerMost)
+		ln.ReadsNothing(t, size, writeTimeout)
 	})
 }
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -12,46 +12,46 @@
 	"peathollow/registry"
 )
 
-// Status is what a controller tells of itself, for operators; Member a core machine as an epoch names it.
+// Status is the state of a controller as reported to operators. Member is a core machine as listed in an epoch.
 type (
 	Status = client.Status
 	Member = client.Member
 )
 
-func (c *Controller) status(context.Context, *http.Request, []byte) reply {
-	c.core.mu.Lock()
-	e, primary := c.core.epoch, c.core.primary
-	c.core.mu.Unlock()
-	s := Status{Node: c.set.Node, ID: string(c.core.node.ID()), Zone: c.set.Zone, Epoch: e.N, Primary: primary,
-		Searchers: len(c.board.Entries()), Alone: !c.inContact(), Version: c.version()}
-	s.Mixers, s.SilentMixers = c.mixers()
+func (c *Controller) getStatus(context.Context, *http.Request, []byte) reply {
+	c.driver.mu.Lock()
+	e, primary := c.driver.epoch, c.driver.primary
+	c.driver.mu.Unlock()
+	s := Status{Node: c.settings.Node, ID: string(c.driver.node.ID()), Zone: c.settings.Zone, Epoch: e.N, Primary: primary,
+		Searchers: len(c.replica.Entries()), Alone: !c.inContact(), Version: c.version()}
+	s.Mixers, s.SilentMixers = c.mixerCounts()
 	for _, id := range e.InSync {
 		s.InSync = append(s.InSync, string(id))
 	}
-	_, port, _ := net.SplitHostPort(c.set.Control)
+	_, port, _ := net.SplitHostPort(c.settings.Control)
 	for _, m := range e.Members {
 		x := Member{ID: string(m.ID), Address: m.Addr, Zone: m.Zone}
 		if host, _, err := net.SplitHostPort(m.Addr); err == nil {
-			x.Control = net.JoinHostPort(host, port) // all machines have the same ports
+			x.Control = net.JoinHostPort(host, port) // all machines use the same ports
 		}
 		s.Members = append(s.Members, x)
 	}
-	return tell(s)
+	return jsonReply(s)
 }
 
-// version is that of the configuration in force here, 0 before the first.
+// version returns the version of the configuration in force here, or 0 before the first.
 func (c *Controller) version() uint64 {
-	if m := c.board.Document(); m != nil {
+	if m := c.replica.Document(); m != nil {
 		return m.Version
 	}
 	return 0
 }
 
-// searchers lists those known here, of one service if the query names it.
-func (c *Controller) searchers(_ context.Context, r *http.Request, _ []byte) reply {
+// listSearchers returns the known searchers, or those of one service if the query names it.
+func (c *Controller) listSearchers(_ context.Context, r *http.Request, _ []byte) reply {
 	service := r.URL.Query().Get("service")
 	list := []client.Searcher{}
-	for _, e := range c.board.Entries() {
+	for _, e := range c.replica.Entries() {
 		if service != "" && e.Plant != service {
 			continue
 		}
@@ -63,13 +63,13 @@
 		list = append(list, x)
 	}
 	slices.SortStableFunc(list, func(a, b client.Searcher) int { return cmp.Compare(a.Service, b.Service) })
-	return tell(list)
+	return jsonReply(list)
 }
 
-func tell(x any) reply {
+func jsonReply(x any) reply {
 	b, err := json.Marshal(x)
 	if err != nil {
-		return fault(http.StatusInternalServerError, err.Error())
+		return errorReply(http.StatusInternalServerError, err.Error())
 	}
 	return reply{http.StatusOK, b}
 }
