--- a/controlplane/simulation/check.go
+++ b/controlplane/simulation/check.go
@@ -9,146 +9,149 @@
 	"peathollow/registry"
 )
 
-const lookEvery = 100 * time.Millisecond
+const checkInterval = 100 * time.Millisecond
 
-// watch checks what proxies hold, again and again.
-func (w *World) watch() {
-	for w.pause(lookEvery) {
-		w.mu.Lock()
-		w.checkOrders()
-		for _, f := range w.fronts {
-			w.checkFront(f)
+// checkPeriodically checks what the proxies hold until the clients end.
+func (sim *World) checkPeriodically() {
+	for sim.pause(checkInterval) {
+		sim.mu.Lock()
+		sim.checkPendingChanges()
+		for _, f := range sim.fronts {
+			sim.checkFront(f)
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 	}
 }
 
-// settledSince is from when on the core counts as settled.
-func (w *World) settledSince() time.Time { return w.disturbed.Add(contactBound) }
+// settledSince is the time from which the controllers count as settled.
+func (sim *World) settledSince() time.Time { return sim.disturbedAt.Add(contactBound) }
 
-// checkOrders: in a stretch in which the core is settled no order waits for longer than the bound.
-func (w *World) checkOrders() {
+// checkPendingChanges checks that no change waits for longer than the bound while the controllers are settled.
+func (sim *World) checkPendingChanges() {
 	now := time.Now()
-	for o := range w.operator.open {
-		from := o.sent
-		if s := w.settledSince(); s.After(from) {
+	for change := range sim.operator.pending {
+		from := change.sent
+		if s := sim.settledSince(); s.After(from) {
 			from = s
 		}
-		if w.operator.taken[o.version] == nil && now.Sub(from) > ackBound {
-			w.fail("version %d has no answer for %v while the core is settled", o.version, now.Sub(from))
+		if sim.operator.accepted[change.version] == nil && now.Sub(from) > ackBound {
+			sim.fail("version %d is not acknowledged after %v while the controllers are settled", change.version, now.Sub(from))
 		}
 	}
 }
 
-func (w *World) checkFront(f *front) {
+func (sim *World) checkFront(f *front) {
 	now := time.Now()
-	for _, r := range []*relay{&f.agent, &f.proxy} {
+	for _, r := range []*replicaProcess{&f.agent, &f.proxy} {
 		if r.stop == nil {
 			continue
 		}
-		doc := r.board.Document()
+		doc := r.replica.Document()
 		if doc == nil {
 			continue
 		}
 		first := r.version == 0
 		switch {
 		case doc.Version < r.version:
-			w.fail("front %d goes back from version %d to %d", f.no, r.version, doc.Version)
+			sim.fail("front %d went back from version %d to %d", f.index, r.version, doc.Version)
 		case first:
-			w.checkFirst(f, r, doc.Version)
+			sim.checkFirstVersion(f, r, doc.Version)
 		}
 		r.version = doc.Version
-		if body := w.operator.taken[doc.Version]; body != nil && !bytes.Equal(body, doc.Raw) {
-			w.fail("front %d has another body of version %d than was acknowledged", f.no, doc.Version)
+		if body := sim.operator.accepted[doc.Version]; body != nil && !bytes.Equal(body, doc.Raw) {
+			sim.fail("front %d has another body of version %d than was acknowledged", f.index, doc.Version)
 		}
-		if w.operator.refused[string(doc.Raw)] {
-			w.fail("front %d has a body of version %d that was refused", f.no, doc.Version)
+		if sim.operator.rejected[string(doc.Raw)] {
+			sim.fail("front %d has a body of version %d that was rejected", f.index, doc.Version)
 		}
 	}
-	if now.Sub(w.settledSince()) < 0 || now.Sub(f.disturbed) < contactBound || f.proxy.stop == nil {
+	if now.Sub(sim.settledSince()) < 0 || now.Sub(f.disturbedAt) < contactBound || f.proxy.stop == nil {
 		return
 	}
-	// In touch from here on.
-	if due := w.operator.newest(now.Add(-applyBound)); f.proxy.version < due {
-		w.fail("front %d is in touch and has version %d, %d is due", f.no, f.proxy.version, due)
+	// From here on the front is in contact.
+	if due := sim.operator.newest(now.Add(-applyBound)); f.proxy.version < due {
+		sim.fail("front %d is in contact and has version %d, at least %d is expected", f.index, f.proxy.version, due)
 	}
-	w.checkList(f, now)
+	sim.checkSearcherList(f, now)
 }
 
-// checkFirst: the first configuration of a life is never older than what was acknowledged a bound before, in touch or not.
-func (w *World) checkFirst(f *front, r *relay, version uint64) {
+// checkFirstVersion checks that the first configuration of a process is never older than what was acknowledged a bound
+// before, whether in contact or not.
+func (sim *World) checkFirstVersion(f *front, r *replicaProcess, version uint64) {
 	const lag = applyBound + 500*time.Millisecond
-	if due := w.operator.newest(time.Now().Add(-lag)); version < due && r == &f.agent {
-		w.fail("front %d begins with version %d, %d was acknowledged %v before and more", f.no, version, due, lag)
+	if due := sim.operator.newest(time.Now().Add(-lag)); version < due && r == &f.agent {
+		sim.fail("front %d starts with version %d, but %d was acknowledged more than %v before", f.index, version, due, lag)
 	}
 }
 
-// checkList: a searcher that was told that it may leave is no longer listed as ready a bound later, and those that live
-// are listed.
-func (w *World) checkList(f *front, now time.Time) {
+// checkSearcherList checks that a searcher whose drain was acknowledged is no longer listed as ready a bound later, and that
+// live searchers are listed.
+func (sim *World) checkSearcherList(f *front, now time.Time) {
 	var listed map[string]registry.State
-	f.proxy.board.WithRegistry(func(r *registry.Registry) bool {
+	f.proxy.replica.WithRegistry(func(r *registry.Registry) bool {
 		listed = map[string]registry.State{}
 		for e := range r.Service("p") {
 			listed[e.ID] = e.State
 		}
 		return false
 	})
-	for id, s := range w.searchers {
+	for id, s := range sim.searchers {
 		state, there := listed[id]
-		if !s.leaves.IsZero() && now.Sub(s.leaves) > drainBound && there && state == registry.Ready {
-			w.fail("front %d lists %s as ready %v after it was told that it may leave", f.no, id, now.Sub(s.leaves))
+		if !s.leaveAckedAt.IsZero() && now.Sub(s.leaveAckedAt) > drainBound && there && state == registry.Ready {
+			sim.fail("front %d lists %s as ready %v after its drain was acknowledged", f.index, id, now.Sub(s.leaveAckedAt))
 		}
-		if !s.over && s.asksFrom.IsZero() && !there && now.Sub(s.born) > 2*contactBound && now.Sub(w.settledSince()) > beatPeriod {
-			w.fail("front %d does not list %s", f.no, id)
+		if !s.ended && s.leavingSince.IsZero() && !there && now.Sub(s.started) > 2*contactBound &&
+			now.Sub(sim.settledSince()) > heartbeatPeriod {
+			sim.fail("front %d does not list %s", f.index, id)
 		}
 	}
 }
 
-// ending: trouble ends, and all that was acknowledged is there; orders and drains are taken again.
-func (w *World) ending() {
-	w.calm()
+// checkFinalState ends all faults and checks that everything acknowledged is still there and that a new change is accepted
+// and reaches all fronts.
+func (sim *World) checkFinalState() {
+	sim.healAll()
 	time.Sleep(12 * time.Second)
-	c := newCaller(w.net.Start("10.9.0.99"))
-	w.mu.Lock()
-	due := w.operator.newest(time.Now())
-	last := &order{version: w.operator.top + 1, sent: time.Now()}
-	w.operator.top++
+	c := newCaller(sim.net.Start("10.9.0.99"))
+	sim.mu.Lock()
+	due := sim.operator.newest(time.Now())
+	last := &configChange{version: sim.operator.highest + 1, sent: time.Now()}
+	sim.operator.highest++
 	last.body = document(last.version, "last")
-	w.mu.Unlock()
-	for _, addr := range w.controls() {
+	sim.mu.Unlock()
+	for _, addr := range sim.controlAddrs() {
 		status, body := c.call(http.MethodGet, addr, "/config", nil)
-		w.checkRead(addr, status, body, due)
+		sim.checkConfigRead(addr, status, body, due)
 	}
-	w.mu.Lock()
-	w.operator.open[last] = true
-	w.mu.Unlock()
-	w.insist(c, last)
+	sim.mu.Lock()
+	sim.operator.pending[last] = true
+	sim.mu.Unlock()
+	sim.sendUntilAnswered(c, last)
 	time.Sleep(applyBound + time.Second)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, f := range w.fronts {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, f := range sim.fronts {
 		if f.proxy.version < last.version {
-			w.fail("in calm: front %d has version %d after the last change %d", f.no, f.proxy.version, last.version)
+			sim.fail("after the faults: front %d has version %d after the last change %d", f.index, f.proxy.version, last.version)
 		}
 	}
 }
 
-func (w *World) checkRead(addr string, status int, body []byte, due uint64) {
+func (sim *World) checkConfigRead(addr string, status int, body []byte, due uint64) {
 	var version uint64
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	if status == http.StatusNotFound && due == 0 {
 		return
 	}
 	if status != http.StatusOK {
-		w.fail("in calm: %s gives no configuration: %d %s", addr, status, body)
+		sim.fail("after the faults: %s returns no configuration: %d %s", addr, status, body)
 		return
 	}
 	if _, err := fmt.Sscanf(string(body), `{"config-version":%d`, &version); err != nil || version < due {
-		w.fail("in calm: %s gives version %d, %d was acknowledged", addr, version, due)
+		sim.fail("after the faults: %s returns version %d, %d was acknowledged", addr, version, due)
 	}
-	if taken := w.operator.taken[version]; taken != nil && !bytes.Equal(taken, body) {
-		w.fail("in calm: %s gives another body of version %d than was acknowledged", addr, version)
+	if accepted := sim.operator.accepted[version]; accepted != nil && !bytes.Equal(accepted, body) {
+		sim.fail("after the faults: %s returns another body of version %d than was acknowledged", addr, version)
 	}
 }
--- a/controlplane/simulation/clients.go
+++ b/controlplane/simulation/clients.go
@@ -12,7 +12,7 @@
 	"peathollow/internal/simnet"
 )
 
-// caller makes HTTP calls from a machine of its own.
+// caller makes HTTP calls from a host of its own.
 type caller struct {
 	client http.Client
 }
@@ -24,7 +24,7 @@
 		}}}}
 }
 
-// call asks once, with the patience of a second that callers have; status 0 is no answer.
+// call sends a request once, with the callers' timeout of one second. Status 0 means that there was no answer.
 func (c *caller) call(method, addr, path string, body []byte) (status int, answer []byte) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
@@ -44,35 +44,35 @@
 	return a.StatusCode, answer
 }
 
-// order is one change that an operator wants.
-type order struct {
+// configChange is a configuration change that an operator submits.
+type configChange struct {
 	version uint64
 	body    []byte
-	sent    time.Time // first
+	sent    time.Time // for the first time
 }
 
-// operator holds what all operators together saw.
+// operator holds what all operators together have observed.
 type operator struct {
-	top     uint64
-	last    *order
-	open    map[*order]bool
-	taken   map[uint64][]byte // what was acknowledged, by version
-	refused map[string]bool   // bodies that got 409
-	acked   []acknowledged    // by time
+	highest  uint64
+	latest   *configChange
+	pending  map[*configChange]bool
+	accepted map[uint64][]byte // acknowledged bodies by version
+	rejected map[string]bool   // bodies that were answered with 409
+	history  []acknowledgement // in order of time
 }
 
-type acknowledged struct {
+type acknowledgement struct {
 	version uint64
 	at      time.Time
 }
 
-func (o *operator) init() {
-	o.open, o.taken, o.refused = map[*order]bool{}, map[uint64][]byte{}, map[string]bool{}
+func (op *operator) init() {
+	op.pending, op.accepted, op.rejected = map[*configChange]bool{}, map[uint64][]byte{}, map[string]bool{}
 }
 
-// newest is the highest version acknowledged before a moment.
-func (o *operator) newest(before time.Time) (version uint64) {
-	for _, a := range o.acked {
+// newest returns the highest version acknowledged before the given time.
+func (op *operator) newest(before time.Time) (version uint64) {
+	for _, a := range op.history {
 		if a.at.Before(before) {
 			version = max(version, a.version)
 		}
@@ -84,103 +84,103 @@
 	return fmt.Appendf(nil, `{"config-version":%d,"routes":[{"name":"a","host":"%s","path-prefix":"/","mode":"idempotent","horizon-ms":900,"plant":"p"}],"plants":[{"name":"p"}],"limits":{}}`, version, tag)
 }
 
-// operate sends orders until the end, several under way at once.
-func (w *World) operate(id int) {
-	c := newCaller(w.net.Start(fmt.Sprintf("10.9.0.%d", id+1)))
-	places := make(chan struct{}, 4)
-	for n := 0; w.pause(w.span(100*time.Millisecond, 2500*time.Millisecond)); n++ {
+// runOperator submits changes until the run ends, several of them concurrently.
+func (sim *World) runOperator(id int) {
+	c := newCaller(sim.net.Start(fmt.Sprintf("10.9.0.%d", id+1)))
+	slots := make(chan struct{}, 4)
+	for n := 0; sim.pause(sim.randomDuration(100*time.Millisecond, 2500*time.Millisecond)); n++ {
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			continue
 		}
-		o := w.draw(id, n)
-		w.asks.Go(func() {
-			w.carryOut(c, o)
-			<-places
+		change := sim.newChange(id, n)
+		sim.clients.Go(func() {
+			sim.submit(c, change)
+			<-slots
 		})
 	}
 }
 
-// draw is mostly a higher version, at times the one that the other operator is at, with another body.
-func (w *World) draw(id, n int) *order {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p := &w.operator
-	o := &order{sent: time.Now()}
-	if p.last != nil && w.rng.Float64() < 0.3 {
-		o.version = p.last.version
+// newChange mostly draws a higher version, and sometimes the latest version of the other operator with another body.
+func (sim *World) newChange(id, n int) *configChange {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	p := &sim.operator
+	change := &configChange{sent: time.Now()}
+	if p.latest != nil && sim.rng.Float64() < 0.3 {
+		change.version = p.latest.version
 	} else {
-		o.version = p.top + 1 + uint64(w.rng.IntN(3))
-		p.top = o.version
+		change.version = p.highest + 1 + uint64(sim.rng.IntN(3))
+		p.highest = change.version
 	}
-	o.body = document(o.version, fmt.Sprintf("h%d-%d", id, n))
-	p.last = o
-	p.open[o] = true
-	w.result.Orders++
-	return o
+	change.body = document(change.version, fmt.Sprintf("h%d-%d", id, n))
+	p.latest = change
+	p.pending[change] = true
+	sim.result.Orders++
+	return change
 }
 
-// carryOut sends an order until it gets a clear answer; an answer may be lost on its way. Some are sent once more later.
-func (w *World) carryOut(c *caller, o *order) {
-	w.insist(c, o)
-	w.mu.Lock()
-	delete(w.operator.open, o)
-	w.mu.Unlock()
-	if w.chance(0.3) && w.pause(w.span(0, 20*time.Second)) {
-		w.insist(c, o)
+// submit sends a change until it gets a definite answer; answers may be lost. Some changes are sent again later.
+func (sim *World) submit(c *caller, change *configChange) {
+	sim.sendUntilAnswered(c, change)
+	sim.mu.Lock()
+	delete(sim.operator.pending, change)
+	sim.mu.Unlock()
+	if sim.chance(0.3) && sim.pause(sim.randomDuration(0, 20*time.Second)) {
+		sim.sendUntilAnswered(c, change)
 	}
 }
 
-func (w *World) insist(c *caller, o *order) {
+func (sim *World) sendUntilAnswered(c *caller, change *configChange) {
 	pause := 50 * time.Millisecond
 	for {
-		list := w.controls()
-		status, _ := c.call(http.MethodPut, list[w.pick(len(list))], "/config", o.body)
-		clear := w.answered(o, status)
-		if clear && !w.chance(0.25) {
+		list := sim.controlAddrs()
+		status, _ := c.call(http.MethodPut, list[sim.pick(len(list))], "/config", change.body)
+		clear := sim.checkResponse(change, status)
+		if clear && !sim.chance(0.25) {
 			return
 		}
-		if !w.pause(w.span(pause/2, pause)) {
+		if !sim.pause(sim.randomDuration(pause/2, pause)) {
 			return
 		}
 		pause = min(2*pause, 800*time.Millisecond)
 	}
 }
 
-// answered checks an answer to an order; it tells whether the answer is clear.
-func (w *World) answered(o *order, status int) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p := &w.operator
+// checkResponse checks the answer to a change, and reports whether it is definite.
+func (sim *World) checkResponse(change *configChange, status int) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	p := &sim.operator
 	switch status {
 	case http.StatusOK:
-		if body, had := p.taken[o.version]; had && !bytes.Equal(body, o.body) {
-			w.fail("version %d was acknowledged with two bodies", o.version)
+		if body, had := p.accepted[change.version]; had && !bytes.Equal(body, change.body) {
+			sim.fail("version %d was acknowledged with two bodies", change.version)
 		}
-		if p.refused[string(o.body)] {
-			w.fail("an order of version %d was refused, and is acknowledged now", o.version)
+		if p.rejected[string(change.body)] {
+			sim.fail("a change to version %d was rejected, and is acknowledged now", change.version)
 		}
-		if p.taken[o.version] == nil {
-			w.result.Acknowledged++
-			p.taken[o.version] = o.body
-			p.acked = append(p.acked, acknowledged{o.version, time.Now()})
-			w.tell("version %d is acknowledged", o.version)
-			w.spring(OrderTaken)
+		if p.accepted[change.version] == nil {
+			sim.result.Acknowledged++
+			p.accepted[change.version] = change.body
+			p.history = append(p.history, acknowledgement{change.version, time.Now()})
+			sim.record("version %d is acknowledged", change.version)
+			sim.triggerFault(OrderTaken)
 		}
 		return true
 	case http.StatusConflict:
-		if bytes.Equal(p.taken[o.version], o.body) {
-			w.fail("an order of version %d was acknowledged, and is refused now", o.version)
+		if bytes.Equal(p.accepted[change.version], change.body) {
+			sim.fail("a change to version %d was acknowledged, and is rejected now", change.version)
 		}
-		if !p.refused[string(o.body)] {
-			w.result.Refused++
-			p.refused[string(o.body)] = true
+		if !p.rejected[string(change.body)] {
+			sim.result.Refused++
+			p.rejected[string(change.body)] = true
 		}
 		return true
 	case 0, http.StatusServiceUnavailable:
 	default:
-		w.fail("an order of version %d got %d", o.version, status)
+		sim.fail("a change to version %d got status %d", change.version, status)
 	}
 	return false
 }
--- a/controlplane/simulation/doc.go
+++ b/controlplane/simulation/doc.go
@@ -1,7 +1,8 @@
-// Package simulation plays the control side whole, in simulated time: the shipped controllers with their disks, registries
-// and doors, and the boards and pullers of agents and proxies, over a network in memory, under operators who race and send
-// again, searchers who beat, drain and move on, and machines that are killed, lose power or disks, are cut off or replaced.
-// It checks what operators, searchers and proxies saw, by the rules that the system is judged by. Faults and clients are
-// drawn from a seed; which of two things of the same simulated moment comes first is the scheduler's choice, so a seed
-// tells its story again with small differences. It runs in a bubble of testing/synctest and serves tests only.
+// Package simulation runs the whole control plane in simulated time: the real controllers with their disks, registries and
+// HTTP endpoints, and the replicas and pullers of agents and proxies, over an in-memory network. Operators submit concurrent
+// changes and send them again, searchers send heartbeats, drain and restart, and machines are killed, lose power or disks,
+// are partitioned or replaced. It checks what operators, searchers and proxies observe against the system's requirements.
+// Faults and clients are drawn from a seed. The order of two events at the same simulated time is up to the scheduler, so a
+// seed reproduces its run only with small differences. The package runs in a testing/synctest bubble and is used by tests
+// only.
 package simulation
--- a/controlplane/simulation/faults.go
+++ b/controlplane/simulation/faults.go
@@ -5,338 +5,341 @@
 	"time"
 )
 
-// Fault is a kind of trouble.
+// Fault is a kind of fault.
 type Fault string
 
-// The faults. Those that take a core machine away wait until the one before counts as back; what befalls all keeps disks.
+// The kinds of faults. One that takes a core machine away waits until the machine of the fault before counts as back. Those
+// that affect all machines keep the disks.
 const (
-	Kill      Fault = "kill"            // a controller's process is killed
-	Power     Fault = "power"           // a core machine loses power
-	PowerAll  Fault = "power-all"       // all core machines lose power
-	KillAll   Fault = "kill-all"        // all controllers are killed
-	BlackOut  Fault = "black-out"       // all machines lose power, fronts too
-	Wipe      Fault = "wipe"            // a core machine comes back with an empty disk
-	WipeDark  Fault = "wipe-dark"       // so does one, while all others lose power
+	Kill      Fault = "kill"            // kills a controller's process
+	Power     Fault = "power"           // takes a core machine's power
+	PowerAll  Fault = "power-all"       // takes the power of all core machines
+	KillAll   Fault = "kill-all"        // kills all controllers
+	BlackOut  Fault = "black-out"       // takes the power of all machines, fronts included
+	Wipe      Fault = "wipe"            // restarts a core machine with an empty disk
+	WipeDark  Fault = "wipe-dark"       // the same, while all other core machines lose power
 	WipeBlack Fault = "wipe-black"      // the same, and all fronts lose power as well
-	Replace   Fault = "replace"         // one goes for good, an empty one comes at another address
-	Planned   Fault = "replace-planned" // the new one first, then the old one is told to leave
-	Leave     Fault = "leave"           // a controller is told to end, and starts again
-	Cut       Fault = "cut"             // a core machine is cut off from the others of the core
-	CutOneWay Fault = "cut-one-way"     // in one direction
-	CutAll    Fault = "cut-all"         // from everything
+	Replace   Fault = "replace"         // removes a core machine for good, and an empty one joins at another address
+	Planned   Fault = "replace-planned" // adds the new machine first and then asks the old one to shut down
+	Leave     Fault = "leave"           // asks a controller to shut down, and starts it again
+	Cut       Fault = "cut"             // partitions a core machine from the other core machines
+	CutOneWay Fault = "cut-one-way"     // the same in one direction
+	CutAll    Fault = "cut-all"         // partitions a core machine from everything
 	DiskFull  Fault = "disk-full"
 	DiskStall Fault = "disk-stall"
-	Fronts    Fault = "fronts" // fronts start anew: agent, proxy or both
+	Fronts    Fault = "fronts" // restarts fronts: agent, proxy or both
 )
 
-// Faults lists them.
+// Faults lists all kinds of faults.
 func Faults() []Fault {
 	return []Fault{Kill, Power, PowerAll, KillAll, BlackOut, Wipe, WipeDark, WipeBlack, Replace, Planned, Leave, Cut, CutOneWay, CutAll, DiskFull,
 		DiskStall, Fronts}
 }
 
-// trouble draws one fault after the other.
-func (w *World) trouble(span time.Duration) {
-	kinds := w.o.Faults
+// injectFaults draws and injects one fault after the other.
+func (sim *World) injectFaults(duration time.Duration) {
+	kinds := sim.options.Faults
 	if kinds == nil {
 		kinds = Faults()
 	}
-	step := w.o.Step
+	step := sim.options.Step
 	if step == 0 {
 		step = 3 * time.Second
 	}
-	for end := time.Now().Add(span); time.Now().Before(end) && !w.failed(); {
-		time.Sleep(w.span(step/10, 2*step))
-		kind := kinds[w.pick(len(kinds))]
-		w.mu.Lock()
-		if w.o.Armed {
-			w.armed, w.trigger = kind, w.o.At
-		} else if w.rng.Float64() < 0.4 {
-			w.armed, w.trigger = kind, []Moment{OrderTaken, DrainTaken}[w.rng.IntN(2)]
+	for end := time.Now().Add(duration); time.Now().Before(end) && !sim.failed(); {
+		time.Sleep(sim.randomDuration(step/10, 2*step))
+		kind := kinds[sim.pick(len(kinds))]
+		sim.mu.Lock()
+		if sim.options.Armed {
+			sim.pendingFault, sim.pendingTrigger = kind, sim.options.At
+		} else if sim.rng.Float64() < 0.4 {
+			sim.pendingFault, sim.pendingTrigger = kind, []Moment{OrderTaken, DrainTaken}[sim.rng.IntN(2)]
 		} else {
-			w.strike(kind)
+			sim.inject(kind)
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 	}
 }
 
-// Moment is what a fault that is armed waits for: the next acknowledgement of its kind.
+// Moment is the kind of acknowledgement that a pending fault waits for.
 type Moment uint8
 
-// The moments.
+// The kinds of acknowledgement.
 const (
 	OrderTaken Moment = iota
 	DrainTaken
 )
 
-// spring does the fault that waits for this; the lock is held.
-func (w *World) spring(at Moment) {
-	if kind := w.armed; kind != "" && w.trigger == at {
-		w.armed = ""
-		w.strike(kind)
+// triggerFault injects the pending fault if it waits for this kind of acknowledgement. The lock is held.
+func (sim *World) triggerFault(at Moment) {
+	if kind := sim.pendingFault; kind != "" && sim.pendingTrigger == at {
+		sim.pendingFault = ""
+		sim.inject(kind)
 	}
 }
 
-// between is like span, with the lock held.
-func (w *World) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rng.Int64N(int64(most-least)+1))
+// randomDurationLocked is randomDuration for a caller that holds the lock.
+func (sim *World) randomDurationLocked(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(sim.rng.Int64N(int64(longest-shortest)+1))
 }
 
-// someone is a running core machine; nil if there is none. The lock is held.
-func (w *World) someone() *machine {
+// randomMachine returns a running core machine, or nil if there is none. The lock is held.
+func (sim *World) randomMachine() *machine {
 	var running []*machine
-	for _, m := range w.present() {
-		if m.life != nil {
+	for _, m := range sim.activeMachines() {
+		if m.process != nil {
 			running = append(running, m)
 		}
 	}
 	if len(running) == 0 {
 		return nil
 	}
-	return running[w.rng.IntN(len(running))]
+	return running[sim.rng.IntN(len(running))]
 }
 
-// lose takes the place of the one loss that the tolerance allows; false if it is taken. The lock is held.
-func (w *World) lose(d time.Duration) bool {
-	if time.Now().Before(w.lostTo) {
+// reserveLoss reserves the one loss within the tolerance for a duration. It returns false if another loss holds it. The lock
+// is held.
+func (sim *World) reserveLoss(d time.Duration) bool {
+	if time.Now().Before(sim.lossUntil) {
 		return false
 	}
-	w.lostTo = time.Now().Add(d + syncBound)
+	sim.lossUntil = time.Now().Add(d + syncBound)
 	return true
 }
 
-// strike does one fault; the lock is held.
-func (w *World) strike(kind Fault) {
-	m := w.someone()
+// inject injects one fault. The lock is held.
+func (sim *World) inject(kind Fault) {
+	m := sim.randomMachine()
 	if m == nil {
 		return
 	}
-	short, long := w.between(300*time.Millisecond, 2*time.Second), w.between(500*time.Millisecond, 8*time.Second)
-	if w.rng.Float64() < 0.4 {
-		long = w.between(18*time.Second, 24*time.Second)
+	short, long := sim.randomDurationLocked(300*time.Millisecond, 2*time.Second),
+		sim.randomDurationLocked(500*time.Millisecond, 8*time.Second)
+	if sim.rng.Float64() < 0.4 {
+		long = sim.randomDurationLocked(18*time.Second, 24*time.Second)
 	}
 	switch kind {
 	case PowerAll, KillAll, BlackOut:
-		w.strikeAll(kind)
+		sim.injectAll(kind)
 		return
 	case Fronts:
-		w.restartFronts()
+		sim.restartRandomFronts()
 		return
 	}
-	lost := long
+	outage := long
 	switch kind {
 	case Kill, Power, Wipe, WipeDark, WipeBlack, Replace, Planned:
-		lost = short
+		outage = short
 	case Leave:
-		lost = short + 3*time.Second
+		outage = short + 3*time.Second
 	}
-	if !w.lose(lost) {
+	if !sim.reserveLoss(outage) {
 		return
 	}
-	w.result.Faults++
-	w.tell("%s: %s for %v", m.node, kind, lost)
+	sim.result.Faults++
+	sim.record("%s: %s for %v", m.node, kind, outage)
 	switch kind {
 	case Kill, Power:
-		w.end(m, kind == Power)
-		w.back(m, short)
+		sim.kill(m, kind == Power)
+		sim.restartLater(m, short)
 	case Wipe:
-		w.wipe(m)
-		w.back(m, short)
+		sim.wipe(m)
+		sim.restartLater(m, short)
 	case WipeDark, WipeBlack:
-		for _, o := range w.present() {
-			if o != m {
-				w.end(o, true)
-				w.back(o, w.between(200*time.Millisecond, time.Second))
+		for _, other := range sim.activeMachines() {
+			if other != m {
+				sim.kill(other, true)
+				sim.restartLater(other, sim.randomDurationLocked(200*time.Millisecond, time.Second))
 			}
 		}
-		w.wipe(m)
-		w.back(m, short)
+		sim.wipe(m)
+		sim.restartLater(m, short)
 		if kind == WipeBlack {
-			w.restartAllFronts()
+			sim.restartAllFronts()
 		}
 	case Replace:
-		w.replace(m, short, false)
+		sim.replace(m, short, false)
 	case Planned:
-		w.replace(m, short, true)
+		sim.replace(m, short, true)
 	case Leave:
-		w.leave(m, func() { w.back(m, short) })
+		sim.leave(m, func() { sim.restartLater(m, short) })
 	case Cut, CutOneWay, CutAll:
-		w.cut(m, kind, long)
+		sim.partition(m, kind, long)
 	case DiskFull:
-		m.life.disk.fullTo.Store(int64(time.Since(w.start) + long))
-		w.unsettle(long)
+		m.process.disk.fullTo.Store(int64(time.Since(sim.start) + long))
+		sim.markDisturbed(long)
 	case DiskStall:
-		m.life.disk.stallTo.Store(int64(time.Since(w.start) + long))
-		w.unsettle(long)
+		m.process.disk.stallTo.Store(int64(time.Since(sim.start) + long))
+		sim.markDisturbed(long)
 	}
 }
 
-// unsettle counts the core as disturbed now and again after a while; the lock is held.
-func (w *World) unsettle(d time.Duration) {
-	w.disturbed = time.Now()
-	w.work.Go(func() {
+// markDisturbed marks the controllers as disturbed now and again after the duration. The lock is held.
+func (sim *World) markDisturbed(d time.Duration) {
+	sim.disturbedAt = time.Now()
+	sim.processes.Go(func() {
 		time.Sleep(d)
-		w.mu.Lock()
-		w.disturbed = time.Now()
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.disturbedAt = time.Now()
+		sim.mu.Unlock()
 	})
 }
 
-func (w *World) strikeAll(kind Fault) {
-	w.result.Faults++
-	w.tell("%s", kind)
-	for _, m := range w.present() {
-		if m.life != nil {
-			w.end(m, kind != KillAll)
-			w.back(m, w.between(100*time.Millisecond, time.Second))
+func (sim *World) injectAll(kind Fault) {
+	sim.result.Faults++
+	sim.record("%s", kind)
+	for _, m := range sim.activeMachines() {
+		if m.process != nil {
+			sim.kill(m, kind != KillAll)
+			sim.restartLater(m, sim.randomDurationLocked(100*time.Millisecond, time.Second))
 		}
 	}
-	if t := time.Now().Add(time.Second + syncBound); t.After(w.lostTo) {
-		w.lostTo = t
+	if t := time.Now().Add(time.Second + syncBound); t.After(sim.lossUntil) {
+		sim.lossUntil = t
 	}
 	if kind == BlackOut {
-		w.restartAllFronts()
+		sim.restartAllFronts()
 	}
 }
 
-// restartAllFronts has all fronts lose power; the lock is held.
-func (w *World) restartAllFronts() {
-	for _, f := range w.fronts {
-		w.restart(f, true, true)
+// restartAllFronts makes all fronts lose power. The lock is held.
+func (sim *World) restartAllFronts() {
+	for _, f := range sim.fronts {
+		sim.restartFront(f, true, true)
 	}
 }
 
-func (w *World) restartFronts() {
-	w.tell("fronts start anew")
-	for _, f := range w.fronts {
-		switch w.rng.IntN(4) {
+func (sim *World) restartRandomFronts() {
+	sim.record("fronts restart")
+	for _, f := range sim.fronts {
+		switch sim.rng.IntN(4) {
 		case 0:
-			w.restart(f, true, false)
+			sim.restartFront(f, true, false)
 		case 1:
-			w.restart(f, false, true)
+			sim.restartFront(f, false, true)
 		case 2:
-			w.restart(f, true, true)
+			sim.restartFront(f, true, true)
 		}
 	}
 }
 
-// restart ends a front's processes and starts them again soon; the lock is held.
-func (w *World) restart(f *front, anAgent, aProxy bool) {
-	f.disturbed = time.Now()
-	after := w.between(100*time.Millisecond, 800*time.Millisecond)
-	if anAgent {
-		f.agent.end()
+// restartFront ends processes of a front and starts them again soon. The lock is held.
+func (sim *World) restartFront(f *front, withAgent, withProxy bool) {
+	f.disturbedAt = time.Now()
+	after := sim.randomDurationLocked(100*time.Millisecond, 800*time.Millisecond)
+	if withAgent {
+		f.agent.kill()
 	}
-	if aProxy {
-		f.proxy.end()
+	if withProxy {
+		f.proxy.kill()
 	}
-	w.work.Go(func() {
+	sim.processes.Go(func() {
 		time.Sleep(after)
-		if anAgent {
-			w.startAgent(f)
+		if withAgent {
+			sim.startAgent(f)
 		}
-		if aProxy {
-			w.startProxy(f)
+		if withProxy {
+			sim.startProxy(f)
 		}
 	})
 }
 
-func (w *World) replace(m *machine, after time.Duration, planned bool) {
-	goes := func() {
-		w.end(m, true)
-		m.gone = true
+func (sim *World) replace(m *machine, after time.Duration, planned bool) {
+	retire := func() {
+		sim.kill(m, true)
+		m.removed = true
 	}
 	if !planned {
-		goes()
+		retire()
 	}
-	n := len(w.machines)
-	w.work.Go(func() {
+	n := len(sim.machines)
+	sim.processes.Go(func() {
 		if !planned {
 			time.Sleep(after)
 		}
-		w.addMachine(n, false)
+		sim.addMachine(n, false)
 		if planned {
 			time.Sleep(after)
-			w.mu.Lock()
-			if m.life != nil {
-				w.leave(m, func() { m.gone = true })
+			sim.mu.Lock()
+			if m.process != nil {
+				sim.leave(m, func() { m.removed = true })
 			}
-			w.mu.Unlock()
+			sim.mu.Unlock()
 		}
 	})
 }
 
-// leave tells a controller to end; what follows is done with the lock held once it has ended, or at the end of its grace.
-func (w *World) leave(m *machine, then func()) {
-	l := m.life
-	w.disturbed = time.Now()
-	l.stop()
-	w.work.Go(func() {
+// leave asks a controller to shut down. Once it has ended, or at the end of its grace period, then runs with the lock held.
+func (sim *World) leave(m *machine, then func()) {
+	p := m.process
+	sim.disturbedAt = time.Now()
+	p.stop()
+	sim.processes.Go(func() {
 		select {
-		case <-l.ended:
+		case <-p.ended:
 		case <-time.After(3 * time.Second):
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if m.life != l {
-			return // something else has befallen it
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		if m.process != p {
+			return // another fault has ended this process
 		}
-		w.end(m, false)
+		sim.kill(m, false)
 		then()
 	})
 }
 
-// cut takes a machine's links away for a while; the lock is held.
-func (w *World) cut(m *machine, kind Fault, d time.Duration) {
+// partition cuts a machine's links for a duration. The lock is held.
+func (sim *World) partition(m *machine, kind Fault, d time.Duration) {
 	var peers []string
-	for _, o := range w.machines {
-		if o != m {
-			peers = append(peers, o.ip)
+	for _, other := range sim.machines {
+		if other != m {
+			peers = append(peers, other.ip)
 		}
 	}
 	if kind == CutAll {
-		for _, f := range w.fronts {
-			peers = append(peers, frontIP(f.no))
+		for _, f := range sim.fronts {
+			peers = append(peers, frontIP(f.index))
 		}
-		for i := range w.o.Searchers {
+		for i := range sim.options.Searchers {
 			peers = append(peers, fmt.Sprintf("10.8.0.%d", i+1))
 		}
 		peers = append(peers, "10.9.0.1", "10.9.0.2", "10.9.0.99")
 	}
 	out, in := true, true
 	if kind == CutOneWay {
-		out = w.rng.Float64() < 0.5
+		out = sim.rng.Float64() < 0.5
 		in = !out
 	}
 	for _, p := range peers {
-		w.net.Cut(m.ip, p, out)
-		w.net.Cut(p, m.ip, in)
+		sim.net.Cut(m.ip, p, out)
+		sim.net.Cut(p, m.ip, in)
 	}
-	w.disturbed = time.Now()
-	w.work.Go(func() {
+	sim.disturbedAt = time.Now()
+	sim.processes.Go(func() {
 		time.Sleep(d)
 		for _, p := range peers {
-			w.net.Cut(m.ip, p, false)
-			w.net.Cut(p, m.ip, false)
+			sim.net.Cut(m.ip, p, false)
+			sim.net.Cut(p, m.ip, false)
 		}
-		w.mu.Lock()
-		w.disturbed = time.Now()
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.disturbedAt = time.Now()
+		sim.mu.Unlock()
 	})
 }
 
-// calm ends all trouble.
-func (w *World) calm() {
-	w.net.Heal()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.tell("calm")
-	w.armed = ""
-	w.disturbed = time.Now()
-	for _, m := range w.present() {
-		if m.life != nil {
-			m.life.disk.fullTo.Store(0)
-			m.life.disk.stallTo.Store(0)
+// healAll ends all faults.
+func (sim *World) healAll() {
+	sim.net.Heal()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.record("calm")
+	sim.pendingFault = ""
+	sim.disturbedAt = time.Now()
+	for _, m := range sim.activeMachines() {
+		if m.process != nil {
+			m.process.disk.fullTo.Store(0)
+			m.process.disk.stallTo.Store(0)
 		}
 	}
 }
--- a/controlplane/simulation/front.go
+++ b/controlplane/simulation/front.go
@@ -14,25 +14,25 @@
 	"peathollow/registry"
 )
 
-// front is a front machine: an agent and the proxy beside it, as far as the control side knows them: two boards that pull.
-// Its fields are guarded by the world's lock.
+// front is a front machine as the control plane sees it: an agent and the proxy beside it, two replicas that pull. Its
+// fields are guarded by the simulation's lock.
 type front struct {
-	no        int
-	disturbed time.Time // the last event on this machine
-	agent     relay
-	proxy     relay
+	index       int
+	disturbedAt time.Time // time of the last fault or restart on this machine
+	agent       replicaProcess
+	proxy       replicaProcess
 }
 
-// relay is a process that holds news.
-type relay struct {
+// replicaProcess is a process that holds a replica.
+type replicaProcess struct {
 	host    *simnet.Host
-	board   *distribution.Replica
+	replica *distribution.Replica
 	stop    context.CancelFunc
 	started time.Time
-	version uint64 // of the configuration, as last seen
+	version uint64 // of the configuration, at the last check
 }
 
-func (r *relay) end() {
+func (r *replicaProcess) kill() {
 	if r.stop != nil {
 		r.stop()
 		r.host.Kill()
@@ -43,70 +43,72 @@
 func frontIP(i int) string { return fmt.Sprintf("10.1.0.%d", i+1) }
 func proxyIP(i int) string { return fmt.Sprintf("10.2.0.%d", i+1) }
 
-func (w *World) addFront(i int) {
-	f := &front{no: i}
-	w.mu.Lock()
-	w.fronts = append(w.fronts, f)
-	w.mu.Unlock()
-	w.startAgent(f)
-	w.startProxy(f)
+func (sim *World) addFront(i int) {
+	f := &front{index: i}
+	sim.mu.Lock()
+	sim.fronts = append(sim.fronts, f)
+	sim.mu.Unlock()
+	sim.startAgent(f)
+	sim.startProxy(f)
 }
 
-func (w *World) begin(f *front, r *relay, ip, name string) context.Context {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r.end()
+func (sim *World) startReplica(f *front, r *replicaProcess, ip, name string) context.Context {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	r.kill()
 	ctx, stop := context.WithCancel(context.Background())
 	now := time.Now()
-	*r = relay{host: w.net.Start(ip), stop: stop, started: now,
-		board: distribution.NewReplica(registry.New(registry.Config{Name: fmt.Sprintf("%s-%d/%d", name, f.no, now.UnixNano()), Relay: true,
-			Period: beatPeriod, Start: now}))}
-	f.disturbed = now
+	*r = replicaProcess{host: sim.net.Start(ip), stop: stop, started: now,
+		replica: distribution.NewReplica(registry.New(registry.Config{Name: fmt.Sprintf("%s-%d/%d", name, f.index, now.UnixNano()),
+			Relay: true, Period: heartbeatPeriod, Start: now}))}
+	f.disturbedAt = now
 	return ctx
 }
 
-func (w *World) startAgent(f *front) {
-	ip := frontIP(f.no)
-	ctx := w.begin(f, &f.agent, ip, "agent")
-	s := w.settings(fmt.Sprint("front-", f.no), ip, f.no)
+func (sim *World) startAgent(f *front) {
+	ip := frontIP(f.index)
+	ctx := sim.startReplica(f, &f.agent, ip, "agent")
+	s := sim.settings(fmt.Sprint("front-", f.index), ip, f.index)
 	r := f.agent
-	ln, err := r.host.Listen(agentAddr(f.no))
+	ln, err := r.host.Listen(agentAddr(f.index))
 	if err != nil {
 		return
 	}
-	server := distribution.Server{Replica: r.board}
-	w.work.Go(func() { server.Serve(ctx, ln) })
+	server := distribution.Server{Replica: r.replica}
+	sim.processes.Go(func() { server.Serve(ctx, ln) })
 	var seeds []string
 	for _, seed := range s.Seeds {
 		host, _, _ := net.SplitHostPort(seed)
 		seeds = append(seeds, net.JoinHostPort(host, controlplane.NewsPort(s)))
 	}
-	choice := agent.Choice{Set: s, Board: r.board, Seeds: seeds}
+	choice := agent.Choice{Set: s, Board: r.replica, Seeds: seeds}
 	calls := uint64(0)
-	p := distribution.Puller{Replica: r.board, Node: s.Node, Incarnation: fmt.Sprint("agent/", f.no, "/", r.started.UnixNano()), Kind: "agent",
+	p := distribution.Puller{Replica: r.replica, Node: s.Node,
+		Incarnation: fmt.Sprint("agent/", f.index, "/", r.started.UnixNano()), Kind: "agent",
 		Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better, Network: r.host,
 		PrepareRequest: func(a *distribution.PullRequest, _ bool) {
 			calls++
 			a.Mixer = &distribution.AgentHeartbeat{Calls: calls}
 		}}
-	w.work.Go(func() { p.Run(ctx) })
-	w.tickBoard(ctx, r.board)
+	sim.processes.Go(func() { p.Run(ctx) })
+	sim.tickReplica(ctx, r.replica)
 }
 
 func agentAddr(i int) string { return fmt.Sprintf("%s:%d", frontIP(i), portFirst+2) }
 
-func (w *World) startProxy(f *front) {
-	ctx := w.begin(f, &f.proxy, proxyIP(f.no), "proxy")
+func (sim *World) startProxy(f *front) {
+	ctx := sim.startReplica(f, &f.proxy, proxyIP(f.index), "proxy")
 	r := f.proxy
-	p := distribution.Puller{Replica: r.board, Node: fmt.Sprint("front-", f.no), Incarnation: fmt.Sprint("proxy/", f.no, "/", r.started.UnixNano()), Kind: "proxy",
-		Choose: func(int) string { return agentAddr(f.no) }, Network: r.host}
-	w.work.Go(func() { p.Run(ctx) })
-	w.tickBoard(ctx, r.board)
+	p := distribution.Puller{Replica: r.replica, Node: fmt.Sprint("front-", f.index),
+		Incarnation: fmt.Sprint("proxy/", f.index, "/", r.started.UnixNano()), Kind: "proxy",
+		Choose: func(int) string { return agentAddr(f.index) }, Network: r.host}
+	sim.processes.Go(func() { p.Run(ctx) })
+	sim.tickReplica(ctx, r.replica)
 }
 
-func (w *World) tickBoard(ctx context.Context, b *distribution.Replica) {
-	w.work.Go(func() {
-		periodic.Each(ctx, beatPeriod/2, func() {
+func (sim *World) tickReplica(ctx context.Context, b *distribution.Replica) {
+	sim.processes.Go(func() {
+		periodic.Each(ctx, heartbeatPeriod/2, func() {
 			b.WithRegistry(func(r *registry.Registry) bool { return r.Tick(time.Now()) })
 		})
 	})
--- a/controlplane/simulation/machine.go
+++ b/controlplane/simulation/machine.go
@@ -17,24 +17,24 @@
 	"peathollow/internal/simnet"
 )
 
-// syncTime is how long a disk takes for a sync.
+// syncTime is the duration of a disk sync.
 const syncTime = 5 * time.Millisecond
 
-// disk is what survives the processes of a machine.
+// disk is the state of a machine that survives its processes.
 type disk struct {
 	files           *vfs.MemFS
-	stallTo, fullTo atomic.Int64 // as time since the beginning of the run
+	stallTo, fullTo atomic.Int64 // since the start of the run
 	start           time.Time
 	syncTime        time.Duration
 }
 
-func (w *World) newDisk(files *vfs.MemFS) *disk {
-	return &disk{files: files, start: w.start, syncTime: cmp.Or(w.o.SyncTime, syncTime)}
+func (sim *World) newDisk(files *vfs.MemFS) *disk {
+	return &disk{files: files, start: sim.start, syncTime: cmp.Or(sim.options.SyncTime, syncTime)}
 }
 
-// fs is the disk as a process sees it. Only writes and syncs of pebble's log take time, stall or are refused: pebble does
-// others with its lock held, and a bubble's time stands still while anybody waits for a lock. Tests of package storage
-// play faults of all calls.
+// fs returns the disk as a process sees it. Only writes and syncs of pebble's log take time, stall or fail: pebble makes
+// other calls with its lock held, and a bubble's time stands still while any goroutine waits for a lock. Tests of package
+// storage inject faults into all calls.
 func (d *disk) fs() vfs.FS {
 	return errorfs.Wrap(d.files, errorfs.InjectorFunc(func(op errorfs.Op) error {
 		if !strings.HasSuffix(op.Path, ".log") {
@@ -55,65 +55,67 @@
 			if left <= 0 {
 				return nil
 			}
-			time.Sleep(min(left, 100*time.Millisecond)) // it may be mended before
+			time.Sleep(min(left, 100*time.Millisecond)) // the stall may be ended early
 		}
 	}))
 }
 
-// machine is a core machine. Its fields are guarded by the world's lock.
+// machine is a core machine. Its fields are guarded by the simulation's lock.
 type machine struct {
-	ip, node string
-	no       int
-	cold     bool
-	gone     bool // for good
-	disk     *disk
-	life     *life
-	lives    int
+	ip, node  string
+	index     int
+	coldStart bool
+	removed   bool // permanently
+	disk      *disk
+	process   *process
+	starts    int
 }
 
-// life is a process of a machine.
-type life struct {
+// process is a process of a machine.
+type process struct {
 	host  *simnet.Host
 	stop  context.CancelFunc
 	ended chan struct{}
 	disk  *disk
 }
 
-func (w *World) addMachine(i int, cold bool) *machine {
-	m := &machine{ip: controllerIP(i), node: fmt.Sprint("core-", i), no: i, cold: cold, disk: w.newDisk(vfs.NewCrashableMem())}
-	w.mu.Lock()
-	w.machines = append(w.machines, m)
-	w.mu.Unlock()
-	w.work.Go(func() {
-		time.Sleep(w.span(0, 300*time.Millisecond))
-		w.startMachine(m)
+func (sim *World) addMachine(i int, coldStart bool) *machine {
+	m := &machine{ip: controllerIP(i), node: fmt.Sprint("core-", i), index: i, coldStart: coldStart,
+		disk: sim.newDisk(vfs.NewCrashableMem())}
+	sim.mu.Lock()
+	sim.machines = append(sim.machines, m)
+	sim.mu.Unlock()
+	sim.processes.Go(func() {
+		time.Sleep(sim.randomDuration(0, 300*time.Millisecond))
+		sim.startMachine(m)
 	})
 	return m
 }
 
-// startMachine begins a life on what the disk holds.
-func (w *World) startMachine(m *machine) {
-	s := w.settings(m.node, m.ip, m.no)
-	s.Control, s.CountsLoss, s.DataDir = control(m.ip), true, "data"
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if m.gone || m.life != nil {
+// startMachine starts a process on what the disk holds.
+func (sim *World) startMachine(m *machine) {
+	s := sim.settings(m.node, m.ip, m.index)
+	s.Control, s.CountsLoss, s.DataDir = controlAddr(m.ip), true, "data"
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if m.removed || m.process != nil {
 		return
 	}
-	m.lives++
-	s.ColdStart = m.cold && m.lives == 1
-	w.disturbed = time.Now()
-	l := &life{host: w.net.Start(m.ip), ended: make(chan struct{}), disk: m.disk}
+	m.starts++
+	s.ColdStart = m.coldStart && m.starts == 1
+	sim.disturbedAt = time.Now()
+	p := &process{host: sim.net.Start(m.ip), ended: make(chan struct{}), disk: m.disk}
 	var ctx context.Context
-	ctx, l.stop = context.WithCancel(context.Background())
-	m.life = l
-	name := fmt.Sprintf("controller/%s/%d", m.node, m.lives)
-	w.work.Go(func() {
-		defer close(l.ended)
+	ctx, p.stop = context.WithCancel(context.Background())
+	m.process = p
+	name := fmt.Sprintf("controller/%s/%d", m.node, m.starts)
+	sim.processes.Go(func() {
+		defer close(p.ended)
 		for ctx.Err() == nil {
-			c, err := controlplane.NewOn(controlplane.Platform{Network: l.host, Files: l.disk.fs(), Plant: w.o.Plant}, s, name, w.logs)
+			c, err := controlplane.NewOn(controlplane.Platform{Network: p.host, Files: p.disk.fs(), Plant: sim.options.Plant},
+				s, name, sim.logs)
 			if err != nil {
-				time.Sleep(500 * time.Millisecond) // the platform starts it again
+				time.Sleep(500 * time.Millisecond) // the platform restarts it
 				continue
 			}
 			err = c.Run(ctx)
@@ -121,98 +123,98 @@
 			if err == nil || ctx.Err() != nil {
 				return
 			}
-			w.mu.Lock()
-			if w.machines[m.no].life == l && !l.over() {
-				w.fail("%s ends by itself: %v", m.node, err)
+			sim.mu.Lock()
+			if sim.machines[m.index].process == p && !p.terminated() {
+				sim.fail("%s ends by itself: %v", m.node, err)
 			}
-			w.mu.Unlock()
+			sim.mu.Unlock()
 			return
 		}
 	})
 }
 
-// over tells that the network has given the process up.
-func (l *life) over() bool {
-	_, err := l.host.Listen("0.0.0.0:1")
+// terminated reports whether the process was killed, which is when the network refuses to listen for it.
+func (p *process) terminated() bool {
+	_, err := p.host.Listen("0.0.0.0:1")
 	return err != nil
 }
 
-// end takes a process away at once; its disk keeps what it has, or with a loss of power any part of what was not synced.
-// The lock is held.
-func (w *World) end(m *machine, power bool) {
-	l := m.life
-	if l == nil {
+// kill ends a process at once. Its disk keeps what was written or, on a power loss, any part of what was not synced. The
+// lock is held.
+func (sim *World) kill(m *machine, power bool) {
+	p := m.process
+	if p == nil {
 		return
 	}
-	w.disturbed = time.Now()
-	kept := vfs.CrashCloneCfg{UnsyncedDataPercent: 100, RNG: rand.New(rand.NewPCG(w.rng.Uint64(), 1))}
+	sim.disturbedAt = time.Now()
+	crashConfig := vfs.CrashCloneCfg{UnsyncedDataPercent: 100, RNG: rand.New(rand.NewPCG(sim.rng.Uint64(), 1))}
 	if power {
-		kept.UnsyncedDataPercent = w.rng.IntN(101)
-		if w.o.Armed {
-			kept.UnsyncedDataPercent = 0
+		crashConfig.UnsyncedDataPercent = sim.rng.IntN(101)
+		if sim.options.Armed {
+			crashConfig.UnsyncedDataPercent = 0
 		}
-		l.host.PowerOff()
+		p.host.PowerOff()
 	} else {
-		l.host.Kill()
+		p.host.Kill()
 	}
-	m.disk = w.newDisk(l.disk.files.CrashClone(kept))
-	l.disk.stallTo.Store(0) // what is left of the process must be able to end
-	l.disk.fullTo.Store(0)
-	l.stop()
-	m.life = nil
+	m.disk = sim.newDisk(p.disk.files.CrashClone(crashConfig))
+	p.disk.stallTo.Store(0) // so that the remaining goroutines of the process can end
+	p.disk.fullTo.Store(0)
+	p.stop()
+	m.process = nil
 }
 
-// wipe takes what a disk holds; the lock is held.
-func (w *World) wipe(m *machine) {
-	w.end(m, true)
-	m.cold = false
-	m.disk = w.newDisk(vfs.NewCrashableMem())
+// wipe replaces a machine's disk with an empty one. The lock is held.
+func (sim *World) wipe(m *machine) {
+	sim.kill(m, true)
+	m.coldStart = false
+	m.disk = sim.newDisk(vfs.NewCrashableMem())
 }
 
-// back starts a machine again after a while.
-func (w *World) back(m *machine, after time.Duration) {
-	w.work.Go(func() {
+// restartLater starts a machine again after a delay.
+func (sim *World) restartLater(m *machine, after time.Duration) {
+	sim.processes.Go(func() {
 		time.Sleep(after)
-		w.startMachine(m)
+		sim.startMachine(m)
 	})
 }
 
-// present are the machines that are not gone for good; the lock is held.
-func (w *World) present() (list []*machine) {
-	for _, m := range w.machines {
-		if !m.gone {
+// activeMachines returns the machines that are not removed for good. The lock is held.
+func (sim *World) activeMachines() (list []*machine) {
+	for _, m := range sim.machines {
+		if !m.removed {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// controls are the addresses of control, as an operator's list has them.
-func (w *World) controls() (addrs []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, m := range w.present() {
-		addrs = append(addrs, control(m.ip))
+// controlAddrs returns the control addresses, as in an operator's list.
+func (sim *World) controlAddrs() (addrs []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, m := range sim.activeMachines() {
+		addrs = append(addrs, controlAddr(m.ip))
 	}
 	return addrs
 }
 
-func (w *World) stopAll() {
-	w.mu.Lock()
+func (sim *World) stopAll() {
+	sim.mu.Lock()
 	var ends []chan struct{}
-	for _, m := range w.machines {
-		if m.life != nil {
-			ends = append(ends, m.life.ended)
-			w.end(m, false)
+	for _, m := range sim.machines {
+		if m.process != nil {
+			ends = append(ends, m.process.ended)
+			sim.kill(m, false)
 		}
 	}
-	for _, f := range w.fronts {
-		f.agent.end()
-		f.proxy.end()
+	for _, f := range sim.fronts {
+		f.agent.kill()
+		f.proxy.kill()
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	for _, ended := range ends {
 		<-ended
 	}
-	w.work.Wait()
+	sim.processes.Wait()
 }
--- a/controlplane/simulation/searcher.go
+++ b/controlplane/simulation/searcher.go
@@ -7,118 +7,118 @@
 	"time"
 )
 
-// searcher is one life of a searcher. Its fields are guarded by the world's lock.
+// searcher is one incarnation of a searcher. Its fields are guarded by the simulation's lock.
 type searcher struct {
-	id       string
-	born     time.Time
-	leaves   time.Time // when a controller acknowledged that it leaves; zero before
-	over     bool      // it has ended
-	crashed  bool
-	asksFrom time.Time // since when it says that it leaves
+	id           string
+	started      time.Time
+	leaveAckedAt time.Time // when a controller acknowledged the drain; zero before
+	ended        bool      // the process has ended
+	crashed      bool
+	leavingSince time.Time // when it first reported draining
 }
 
-// searcherPlace is where one searcher after the other lives.
-func (w *World) searcherPlace(i int) {
-	c := newCaller(w.net.Start(fmt.Sprintf("10.8.0.%d", i+1)))
+// runSearcherSlot runs one searcher after the other at one address.
+func (sim *World) runSearcherSlot(i int) {
+	c := newCaller(sim.net.Start(fmt.Sprintf("10.8.0.%d", i+1)))
 	for n := 0; ; n++ {
-		s := &searcher{id: fmt.Sprintf("s%d-%d", i, n), born: time.Now()}
-		w.mu.Lock()
-		w.searchers[s.id] = s
-		w.mu.Unlock()
-		if !w.liveSearcher(c, s, i) {
+		s := &searcher{id: fmt.Sprintf("s%d-%d", i, n), started: time.Now()}
+		sim.mu.Lock()
+		sim.searchers[s.id] = s
+		sim.mu.Unlock()
+		if !sim.runSearcher(c, s, i) {
 			return
 		}
 	}
 }
 
-// liveSearcher beats until the searcher leaves, mostly in order; false when the run is over.
-func (w *World) liveSearcher(c *caller, s *searcher, i int) bool {
-	b := &beats{w: w, c: c, s: s, place: i}
-	until := time.Now().Add(w.span(8*time.Second, 40*time.Second))
+// runSearcher runs a searcher until it leaves, in most cases by draining. It returns false when the run is over.
+func (sim *World) runSearcher(c *caller, s *searcher, i int) bool {
+	b := &heartbeater{sim: sim, c: c, s: s, slot: i}
+	until := time.Now().Add(sim.randomDuration(8*time.Second, 40*time.Second))
 	for time.Now().Before(until) {
 		b.send("ready")
-		if !w.pause(w.span(beatPeriod*9/10, beatPeriod*11/10)) {
+		if !sim.pause(sim.randomDuration(heartbeatPeriod*9/10, heartbeatPeriod*11/10)) {
 			return false
 		}
 	}
-	if w.chance(0.2) { // it crashes, and says nothing
-		w.mu.Lock()
-		s.over, s.crashed = true, true
-		w.mu.Unlock()
-		return w.pause(w.span(time.Second, 5*time.Second))
+	if sim.chance(0.2) { // crashes without draining
+		sim.mu.Lock()
+		s.ended, s.crashed = true, true
+		sim.mu.Unlock()
+		return sim.pause(sim.randomDuration(time.Second, 5*time.Second))
 	}
-	w.mu.Lock()
-	s.asksFrom = time.Now()
-	w.mu.Unlock()
+	sim.mu.Lock()
+	s.leavingSince = time.Now()
+	sim.mu.Unlock()
 	for !b.send("draining") {
-		if !w.pause(300 * time.Millisecond) {
+		if !sim.pause(300 * time.Millisecond) {
 			return false
 		}
 	}
-	w.mu.Lock()
-	s.leaves = time.Now()
-	w.result.Drains++
-	w.tell("%s is told that it may leave", s.id)
-	silent := w.rng.Float64() < 0.5 // it says no more until it ends
-	w.spring(DrainTaken)
-	w.mu.Unlock()
-	for end := time.Now().Add(drainBound + w.span(0, 8*time.Second)); time.Now().Before(end); {
-		if !w.pause(beatPeriod) {
+	sim.mu.Lock()
+	s.leaveAckedAt = time.Now()
+	sim.result.Drains++
+	sim.record("drain of %s is acknowledged", s.id)
+	silent := sim.rng.Float64() < 0.5 // sends no heartbeat until it ends
+	sim.triggerFault(DrainTaken)
+	sim.mu.Unlock()
+	for end := time.Now().Add(drainBound + sim.randomDuration(0, 8*time.Second)); time.Now().Before(end); {
+		if !sim.pause(heartbeatPeriod) {
 			return false
 		}
 		if !silent {
 			b.send("draining")
 		}
 	}
-	b.once(http.MethodDelete, nil)
-	w.mu.Lock()
-	s.over = true
-	w.mu.Unlock()
-	return w.pause(w.span(time.Second, 3*time.Second))
+	b.sendOnce(http.MethodDelete, nil)
+	sim.mu.Lock()
+	s.ended = true
+	sim.mu.Unlock()
+	return sim.pause(sim.randomDuration(time.Second, 3*time.Second))
 }
 
-// beats are the reports of one searcher.
-type beats struct {
-	w      *World
+// heartbeater sends the heartbeats of one searcher.
+type heartbeater struct {
+	sim    *World
 	c      *caller
 	s      *searcher
-	place  int
+	slot   int
 	calls  uint64
 	target string
 }
 
-// send reports until it is acknowledged, at a few machines at most.
-func (b *beats) send(state string) bool {
+// send sends a heartbeat until it is acknowledged, up to four times.
+func (b *heartbeater) send(state string) bool {
 	for range 4 {
 		b.calls++
 		body := fmt.Appendf(nil, `{"plant":"p","address":"10.8.0.%d:80","zone":%q,"config-version":"v1","capacity":3,"state":%q,"warmup-left-ms":0,"call-count":%d}`,
-			b.place+1, zone(b.place), state, b.calls)
-		if b.once(http.MethodPut, body) {
+			b.slot+1, zone(b.slot), state, b.calls)
+		if b.sendOnce(http.MethodPut, body) {
 			return true
 		}
-		if !b.w.pause(50 * time.Millisecond) {
+		if !b.sim.pause(50 * time.Millisecond) {
 			return false
 		}
 	}
 	return false
 }
 
-func (b *beats) once(method string, body []byte) bool {
+func (b *heartbeater) sendOnce(method string, body []byte) bool {
 	addr := b.target
 	if addr == "" {
-		list := b.w.controls()
-		addr = list[b.w.pick(len(list))]
+		list := b.sim.controlAddrs()
+		addr = list[b.sim.pick(len(list))]
 	}
 	status, answer := b.c.call(method, addr, "/searchers/"+b.s.id, body)
 	b.target = ""
 	if status != http.StatusOK {
 		return false
 	}
-	var named struct {
+	var response struct {
 		Target string `json:"beat-target"`
 	}
-	if json.Unmarshal(answer, &named) == nil {
-		b.target = named.Target
+	if json.Unmarshal(answer, &response) == nil {
+		b.target = response.Target
 	}
 	if b.target == "" {
 		b.target = addr
--- a/controlplane/simulation/simulation_test.go
+++ b/controlplane/simulation/simulation_test.go
@@ -13,15 +13,16 @@
 	"peathollow/controlplane/simulation"
 )
 
-// number reads a setting of a run from the environment: SIMULATION_SEEDS for how many, SIMULATION_FIRST for the first.
-func number(name string, otherwise int) int {
+// envInt reads a parameter of a run from the environment: SIMULATION_SEEDS is the number of seeds, SIMULATION_FIRST the
+// first one.
+func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-func play(t *testing.T, o simulation.Options) (r simulation.Result) {
+func simulate(t *testing.T, o simulation.Options) (r simulation.Result) {
 	t.Helper()
 	if o.Controllers == 0 {
 		o.Controllers, o.Fronts, o.Searchers = 5, 3, 6
@@ -30,38 +31,39 @@
 		o.Logs = &log.Logger{Level: log.ParseLevel(os.Getenv("SIMULATION_LOG")), Writer: &log.IOWriter{Writer: os.Stderr}}
 	}
 	synctest.Test(t, func(t *testing.T) {
-		var story []string
+		var trace []string
 		var err error
-		r, story, err = simulation.Play(o)
+		r, trace, err = simulation.Play(o)
 		if err != nil {
-			t.Errorf("seed %d: %v\n%s", o.Seed, err, strings.Join(story, "\n"))
+			t.Errorf("seed %d: %v\n%s", o.Seed, err, strings.Join(trace, "\n"))
 		}
 	})
 	return r
 }
 
 func TestCalm(t *testing.T) {
-	r := play(t, simulation.Options{Seed: 1, Span: 20 * time.Second, Calm: true})
+	r := simulate(t, simulation.Options{Seed: 1, Span: 20 * time.Second, Calm: true})
 	t.Logf("%+v", r)
 }
 
 func TestTrouble(t *testing.T) {
-	first := number("SIMULATION_FIRST", 1)
-	for i := range number("SIMULATION_SEEDS", 3) {
-		r := play(t, simulation.Options{Seed: uint64(first + i), Span: 60 * time.Second})
+	first := envInt("SIMULATION_FIRST", 1)
+	for i := range envInt("SIMULATION_SEEDS", 3) {
+		r := simulate(t, simulation.Options{Seed: uint64(first + i), Span: 60 * time.Second})
 		t.Logf("seed %d: %+v", first+i, r)
 	}
 }
 
-// TestDiskLostWhileAllGoDark: right after an acknowledgement a disk is lost and all other machines lose power, fronts too, again
-// and again. What was acknowledged is there, and fronts that know nothing serve by nothing older.
+// TestDiskLostWhileAllGoDark loses a disk right after an acknowledgement while all other machines, fronts included, lose
+// power, and does so repeatedly. Everything acknowledged must still be there, and fronts that hold no configuration must not
+// be given an older one.
 func TestDiskLostWhileAllGoDark(t *testing.T) {
-	first := number("SIMULATION_FIRST", 1)
-	for i := range number("SIMULATION_SEEDS", 1) {
+	first := envInt("SIMULATION_FIRST", 1)
+	for i := range envInt("SIMULATION_SEEDS", 1) {
 		for _, moment := range []simulation.Moment{simulation.OrderTaken, simulation.DrainTaken} {
 			for _, controllers := range []int{3, 5} {
-				r := play(t, simulation.Options{Seed: uint64(first + i), Span: 40 * time.Second, Controllers: controllers, Fronts: 3, Searchers: 6,
-					Faults: []simulation.Fault{simulation.WipeBlack}, Armed: true, At: moment, Step: 6 * time.Second})
+				r := simulate(t, simulation.Options{Seed: uint64(first + i), Span: 40 * time.Second, Controllers: controllers,
+					Fronts: 3, Searchers: 6, Faults: []simulation.Fault{simulation.WipeBlack}, Armed: true, At: moment, Step: 6 * time.Second})
 				if r.Faults == 0 {
 					t.Errorf("seed %d: nothing was lost", first+i)
 				}
