--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -60,7 +60,7 @@
 	ip := func(k int) string { return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%150, 200+n, 10+k) }
 	s := &shore{t: t, set: &settings.Settings{Node: "front", IP: ip(9), Zone: "here", Zones: map[string]string{"here": "r", "there": "r", "far": "q"},
 		PortFirst: 10_000 + (os.Getpid()*7+n*131)%20_000, BeatPeriod: 400 * time.Millisecond, Grace: 2 * time.Second, RetryWindow: 10 * time.Second}}
-	s.addr = func(k int) string { return net.JoinHostPort(ip(k), controlplane.NewsPort(s.set)) }
+	s.addr = func(k int) string { return net.JoinHostPort(ip(k), controlplane.DistributionPort(s.set)) }
 	s.set.Seeds = []string{ip(0) + ":1"}
 	for try := 0; ; try++ {
 		ln, err := net.Listen("tcp", proxy.AgentPort(s.set))
--- a/agent/choice.go
+++ b/agent/choice.go
@@ -25,7 +25,7 @@
 func seedNews(s *settings.Settings) (addrs []string) {
 	for _, seed := range s.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
-			addrs = append(addrs, net.JoinHostPort(host, controlplane.NewsPort(s)))
+			addrs = append(addrs, net.JoinHostPort(host, controlplane.DistributionPort(s)))
 		}
 	}
 	return addrs
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -35,8 +35,8 @@
 	portCalls        = 3 // calls forwarded to the primary
 )
 
-// NewsPort returns the port on which controllers serve pulls. It is the same on each core machine.
-func NewsPort(s *settings.Settings) string {
+// DistributionPort returns the port on which controllers serve pulls. It is the same on each core machine.
+func DistributionPort(s *settings.Settings) string {
 	return strconv.Itoa(s.PortFirst + portDistribution)
 }
 
@@ -64,7 +64,7 @@
 	configSlots      chan struct{}                     // one slot for each pending configuration
 	running          sync.WaitGroup                    // goroutines that use the store
 	lastSubmitted    atomic.Pointer[manifest.Manifest] // the configuration that an operator last sent to this controller
-	injected         PlantedFaults
+	injected         InjectedFaults
 	metrics          metrics
 	restoredVersion  atomic.Uint64 // the version restored from disk at the start
 }
@@ -93,7 +93,7 @@
 type Platform struct {
 	Network keepalive.Network
 	Files   vfs.FS
-	Plant   PlantedFaults // for tests only
+	Inject  InjectedFaults // for tests only
 }
 
 // New opens the store and returns the controller of this machine. While the store can't be opened, because the disk is full
@@ -102,7 +102,7 @@
 	on := Platform{Network: keepalive.TCP{Relay: s.Relay, From: s.Node}, Files: vfs.Default}
 	began := time.Now()
 	for {
-		c, err := NewOn(on, s, incarnation, l)
+		c, err := NewWithPlatform(on, s, incarnation, l)
 		if err == nil || time.Since(began) > openTimeout {
 			return c, err
 		}
@@ -117,13 +117,13 @@
 	openRetryInterval = 500 * time.Millisecond
 )
 
-// NewOn opens the store and returns a controller that runs on the given platform.
-func NewOn(on Platform, s *settings.Settings, incarnation string, l *log.Logger) (*Controller, error) {
+// NewWithPlatform opens the store and returns a controller that runs on the given platform.
+func NewWithPlatform(on Platform, s *settings.Settings, incarnation string, l *log.Logger) (*Controller, error) {
 	now := time.Now()
 	c := &Controller{settings: s, log: l, incarnation: incarnation, agents: map[string]*pullingAgent{}, peers: map[string]peer{},
 		pullLoops: map[string]pullLoop{}, lastResponse: map[string]time.Time{}, persisted: map[string]registry.Vector{},
 		persistedChanged: make(chan struct{}), configSlots: make(chan struct{}, maxPendingConfigs),
-		network: on.Network, injected: on.Plant,
+		network: on.Network, injected: on.Inject,
 		metrics: metrics{callLog: logbound.Limiter{PerSecond: refusedCallLines},
 			foreignLog: logbound.Limiter{PerSecond: foreignMessageLines}, calls: map[callOutcome]uint64{}}}
 	c.arbiter = failuredetector.NewArbiter(failuredetector.ArbiterConfig{Period: s.BeatPeriod})
@@ -150,7 +150,7 @@
 	}
 	c.driver = &driver{node: consensus.New(config, saved, 0), store: store, log: l, start: now,
 		inbox: make(chan consensus.Message, inboxSize), shutdown: make(chan struct{}), handedOver: make(chan struct{}),
-		ackUnsynced: on.Plant.AckUnsynced, metrics: &c.metrics,
+		ackUnsynced: on.Inject.AckUnsynced, metrics: &c.metrics,
 		calls: make(chan localCall, 64), writes: make(chan consensus.Write, 4), saved: make(chan uint64, 4),
 		diskJobs:    make(chan func() error, 1),
 		onCommitted: c.applyConfiguration, onEpochChange: c.applyMembers}
@@ -355,7 +355,7 @@
 
 // distributionAddr returns the address on which the controller at ip serves pulls.
 func (c *Controller) distributionAddr(ip string) string {
-	return net.JoinHostPort(ip, NewsPort(c.settings))
+	return net.JoinHostPort(ip, DistributionPort(c.settings))
 }
 
 // livenessTimeout is how long a process counts as present after it was last heard from.
--- a/controlplane/simulation/check.go
+++ b/controlplane/simulation/check.go
@@ -12,7 +12,7 @@
 const checkInterval = 100 * time.Millisecond
 
 // checkPeriodically checks what the proxies hold until the clients end.
-func (sim *World) checkPeriodically() {
+func (sim *Simulation) checkPeriodically() {
 	for sim.pause(checkInterval) {
 		sim.mu.Lock()
 		sim.checkPendingChanges()
@@ -24,10 +24,10 @@
 }
 
 // settledSince is the time from which the controllers count as settled.
-func (sim *World) settledSince() time.Time { return sim.disturbedAt.Add(contactBound) }
+func (sim *Simulation) settledSince() time.Time { return sim.disturbedAt.Add(contactBound) }
 
 // checkPendingChanges checks that no change waits for longer than the bound while the controllers are settled.
-func (sim *World) checkPendingChanges() {
+func (sim *Simulation) checkPendingChanges() {
 	now := time.Now()
 	for change := range sim.operator.pending {
 		from := change.sent
@@ -40,7 +40,7 @@
 	}
 }
 
-func (sim *World) checkFront(f *front) {
+func (sim *Simulation) checkFront(f *front) {
 	now := time.Now()
 	for _, r := range []*replicaProcess{&f.agent, &f.proxy} {
 		if r.stop == nil {
@@ -77,7 +77,7 @@
 
 // checkFirstVersion checks that the first configuration of a process is never older than what was acknowledged a bound
 // before, whether in contact or not.
-func (sim *World) checkFirstVersion(f *front, r *replicaProcess, version uint64) {
+func (sim *Simulation) checkFirstVersion(f *front, r *replicaProcess, version uint64) {
 	const lag = applyBound + 500*time.Millisecond
 	if due := sim.operator.newest(time.Now().Add(-lag)); version < due && r == &f.agent {
 		sim.fail("front %d starts with version %d, but %d was acknowledged more than %v before", f.index, version, due, lag)
@@ -86,7 +86,7 @@
 
 // checkSearcherList checks that a searcher whose drain was acknowledged is no longer listed as ready a bound later, and that
 // live searchers are listed.
-func (sim *World) checkSearcherList(f *front, now time.Time) {
+func (sim *Simulation) checkSearcherList(f *front, now time.Time) {
 	var listed map[string]registry.State
 	f.proxy.replica.WithRegistry(func(r *registry.Registry) bool {
 		listed = map[string]registry.State{}
@@ -109,7 +109,7 @@
 
 // checkFinalState ends all faults and checks that everything acknowledged is still there and that a new change is accepted
 // and reaches all fronts.
-func (sim *World) checkFinalState() {
+func (sim *Simulation) checkFinalState() {
 	sim.healAll()
 	time.Sleep(12 * time.Second)
 	c := newCaller(sim.net.Start("10.9.0.99"))
@@ -137,7 +137,7 @@
 	}
 }
 
-func (sim *World) checkConfigRead(addr string, status int, body []byte, due uint64) {
+func (sim *Simulation) checkConfigRead(addr string, status int, body []byte, due uint64) {
 	var version uint64
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/controlplane/simulation/clients.go
+++ b/controlplane/simulation/clients.go
@@ -85,7 +85,7 @@
 }
 
 // runOperator submits changes until the run ends, several of them concurrently.
-func (sim *World) runOperator(id int) {
+func (sim *Simulation) runOperator(id int) {
 	c := newCaller(sim.net.Start(fmt.Sprintf("10.9.0.%d", id+1)))
 	slots := make(chan struct{}, 4)
 	for n := 0; sim.pause(sim.randomDuration(100*time.Millisecond, 2500*time.Millisecond)); n++ {
@@ -103,7 +103,7 @@
 }
 
 // newChange mostly draws a higher version, and sometimes the latest version of the other operator with another body.
-func (sim *World) newChange(id, n int) *configChange {
+func (sim *Simulation) newChange(id, n int) *configChange {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	p := &sim.operator
@@ -122,7 +122,7 @@
 }
 
 // submit sends a change until it gets a definite answer; answers may be lost. Some changes are sent again later.
-func (sim *World) submit(c *caller, change *configChange) {
+func (sim *Simulation) submit(c *caller, change *configChange) {
 	sim.sendUntilAnswered(c, change)
 	sim.mu.Lock()
 	delete(sim.operator.pending, change)
@@ -132,7 +132,7 @@
 	}
 }
 
-func (sim *World) sendUntilAnswered(c *caller, change *configChange) {
+func (sim *Simulation) sendUntilAnswered(c *caller, change *configChange) {
 	pause := 50 * time.Millisecond
 	for {
 		list := sim.controlAddrs()
@@ -149,7 +149,7 @@
 }
 
 // checkResponse checks the answer to a change, and reports whether it is definite.
-func (sim *World) checkResponse(change *configChange, status int) bool {
+func (sim *Simulation) checkResponse(change *configChange, status int) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	p := &sim.operator
@@ -166,7 +166,7 @@
 			p.accepted[change.version] = change.body
 			p.history = append(p.history, acknowledgement{change.version, time.Now()})
 			sim.record("version %d is acknowledged", change.version)
-			sim.triggerFault(OrderTaken)
+			sim.triggerFault(ChangeAcknowledged)
 		}
 		return true
 	case http.StatusConflict:
--- a/controlplane/simulation/faults.go
+++ b/controlplane/simulation/faults.go
@@ -11,33 +11,33 @@
 // The kinds of faults. One that takes a core machine away waits until the machine of the fault before counts as back. Those
 // that affect all machines keep the disks.
 const (
-	Kill      Fault = "kill"            // kills a controller's process
-	Power     Fault = "power"           // takes a core machine's power
-	PowerAll  Fault = "power-all"       // takes the power of all core machines
-	KillAll   Fault = "kill-all"        // kills all controllers
-	BlackOut  Fault = "black-out"       // takes the power of all machines, fronts included
-	Wipe      Fault = "wipe"            // restarts a core machine with an empty disk
-	WipeDark  Fault = "wipe-dark"       // the same, while all other core machines lose power
-	WipeBlack Fault = "wipe-black"      // the same, and all fronts lose power as well
-	Replace   Fault = "replace"         // removes a core machine for good, and an empty one joins at another address
-	Planned   Fault = "replace-planned" // adds the new machine first and then asks the old one to shut down
-	Leave     Fault = "leave"           // asks a controller to shut down, and starts it again
-	Cut       Fault = "cut"             // partitions a core machine from the other core machines
-	CutOneWay Fault = "cut-one-way"     // the same in one direction
-	CutAll    Fault = "cut-all"         // partitions a core machine from everything
-	DiskFull  Fault = "disk-full"
-	DiskStall Fault = "disk-stall"
-	Fronts    Fault = "fronts" // restarts fronts: agent, proxy or both
+	Kill                Fault = "kill"            // kills a controller's process
+	Power               Fault = "power"           // takes a core machine's power
+	PowerAll            Fault = "power-all"       // takes the power of all core machines
+	KillAll             Fault = "kill-all"        // kills all controllers
+	BlackOut            Fault = "black-out"       // takes the power of all machines, fronts included
+	Wipe                Fault = "wipe"            // restarts a core machine with an empty disk
+	WipeDuringPowerLoss Fault = "wipe-dark"       // the same, while all other core machines lose power
+	WipeDuringBlackOut  Fault = "wipe-black"      // the same, and all fronts lose power as well
+	Replace             Fault = "replace"         // removes a core machine for good, and an empty one joins at another address
+	ReplacePlanned      Fault = "replace-planned" // adds the new machine first and then asks the old one to shut down
+	Leave               Fault = "leave"           // asks a controller to shut down, and starts it again
+	Partition           Fault = "cut"             // partitions a core machine from the other core machines
+	PartitionOneWay     Fault = "cut-one-way"     // the same in one direction
+	Isolate             Fault = "cut-all"         // partitions a core machine from everything
+	DiskFull            Fault = "disk-full"
+	DiskStall           Fault = "disk-stall"
+	RestartFronts       Fault = "fronts" // restarts fronts: agent, proxy or both
 )
 
 // Faults lists all kinds of faults.
 func Faults() []Fault {
-	return []Fault{Kill, Power, PowerAll, KillAll, BlackOut, Wipe, WipeDark, WipeBlack, Replace, Planned, Leave, Cut, CutOneWay, CutAll, DiskFull,
-		DiskStall, Fronts}
+	return []Fault{Kill, Power, PowerAll, KillAll, BlackOut, Wipe, WipeDuringPowerLoss, WipeDuringBlackOut, Replace, ReplacePlanned, Leave,
+		Partition, PartitionOneWay, Isolate, DiskFull, DiskStall, RestartFronts}
 }
 
 // injectFaults draws and injects one fault after the other.
-func (sim *World) injectFaults(duration time.Duration) {
+func (sim *Simulation) injectFaults(duration time.Duration) {
 	kinds := sim.options.Faults
 	if kinds == nil {
 		kinds = Faults()
@@ -50,10 +50,10 @@
 		time.Sleep(sim.randomDuration(step/10, 2*step))
 		kind := kinds[sim.pick(len(kinds))]
 		sim.mu.Lock()
-		if sim.options.Armed {
-			sim.pendingFault, sim.pendingTrigger = kind, sim.options.At
+		if sim.options.AtAcknowledgement {
+			sim.pendingFault, sim.pendingTrigger = kind, sim.options.Trigger
 		} else if sim.rng.Float64() < 0.4 {
-			sim.pendingFault, sim.pendingTrigger = kind, []Moment{OrderTaken, DrainTaken}[sim.rng.IntN(2)]
+			sim.pendingFault, sim.pendingTrigger = kind, []Trigger{ChangeAcknowledged, DrainAcknowledged}[sim.rng.IntN(2)]
 		} else {
 			sim.inject(kind)
 		}
@@ -61,17 +61,17 @@
 	}
 }
 
-// Moment is the kind of acknowledgement that a pending fault waits for.
-type Moment uint8
+// Trigger is the kind of acknowledgement that a pending fault waits for.
+type Trigger uint8
 
 // The kinds of acknowledgement.
 const (
-	OrderTaken Moment = iota
-	DrainTaken
+	ChangeAcknowledged Trigger = iota
+	DrainAcknowledged
 )
 
 // triggerFault injects the pending fault if it waits for this kind of acknowledgement. The lock is held.
-func (sim *World) triggerFault(at Moment) {
+func (sim *Simulation) triggerFault(at Trigger) {
 	if kind := sim.pendingFault; kind != "" && sim.pendingTrigger == at {
 		sim.pendingFault = ""
 		sim.inject(kind)
@@ -79,12 +79,12 @@
 }
 
 // randomDurationLocked is randomDuration for a caller that holds the lock.
-func (sim *World) randomDurationLocked(shortest, longest time.Duration) time.Duration {
+func (sim *Simulation) randomDurationLocked(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(sim.rng.Int64N(int64(longest-shortest)+1))
 }
 
 // randomMachine returns a running core machine, or nil if there is none. The lock is held.
-func (sim *World) randomMachine() *machine {
+func (sim *Simulation) randomMachine() *machine {
 	var running []*machine
 	for _, m := range sim.activeMachines() {
 		if m.process != nil {
@@ -99,7 +99,7 @@
 
 // reserveLoss reserves the one loss within the tolerance for a duration. It returns false if another loss holds it. The lock
 // is held.
-func (sim *World) reserveLoss(d time.Duration) bool {
+func (sim *Simulation) reserveLoss(d time.Duration) bool {
 	if time.Now().Before(sim.lossUntil) {
 		return false
 	}
@@ -108,7 +108,7 @@
 }
 
 // inject injects one fault. The lock is held.
-func (sim *World) inject(kind Fault) {
+func (sim *Simulation) inject(kind Fault) {
 	m := sim.randomMachine()
 	if m == nil {
 		return
@@ -122,13 +122,13 @@
 	case PowerAll, KillAll, BlackOut:
 		sim.injectAll(kind)
 		return
-	case Fronts:
+	case RestartFronts:
 		sim.restartRandomFronts()
 		return
 	}
 	outage := long
 	switch kind {
-	case Kill, Power, Wipe, WipeDark, WipeBlack, Replace, Planned:
+	case Kill, Power, Wipe, WipeDuringPowerLoss, WipeDuringBlackOut, Replace, ReplacePlanned:
 		outage = short
 	case Leave:
 		outage = short + 3*time.Second
@@ -145,7 +145,7 @@
 	case Wipe:
 		sim.wipe(m)
 		sim.restartLater(m, short)
-	case WipeDark, WipeBlack:
+	case WipeDuringPowerLoss, WipeDuringBlackOut:
 		for _, other := range sim.activeMachines() {
 			if other != m {
 				sim.kill(other, true)
@@ -154,16 +154,16 @@
 		}
 		sim.wipe(m)
 		sim.restartLater(m, short)
-		if kind == WipeBlack {
+		if kind == WipeDuringBlackOut {
 			sim.restartAllFronts()
 		}
 	case Replace:
 		sim.replace(m, short, false)
-	case Planned:
+	case ReplacePlanned:
 		sim.replace(m, short, true)
 	case Leave:
 		sim.leave(m, func() { sim.restartLater(m, short) })
-	case Cut, CutOneWay, CutAll:
+	case Partition, PartitionOneWay, Isolate:
 		sim.partition(m, kind, long)
 	case DiskFull:
 		m.process.disk.fullTo.Store(int64(time.Since(sim.start) + long))
@@ -175,7 +175,7 @@
 }
 
 // markDisturbed marks the controllers as disturbed now and again after the duration. The lock is held.
-func (sim *World) markDisturbed(d time.Duration) {
+func (sim *Simulation) markDisturbed(d time.Duration) {
 	sim.disturbedAt = time.Now()
 	sim.processes.Go(func() {
 		time.Sleep(d)
@@ -185,7 +185,7 @@
 	})
 }
 
-func (sim *World) injectAll(kind Fault) {
+func (sim *Simulation) injectAll(kind Fault) {
 	sim.result.Faults++
 	sim.record("%s", kind)
 	for _, m := range sim.activeMachines() {
@@ -203,13 +203,13 @@
 }
 
 // restartAllFronts makes all fronts lose power. The lock is held.
-func (sim *World) restartAllFronts() {
+func (sim *Simulation) restartAllFronts() {
 	for _, f := range sim.fronts {
 		sim.restartFront(f, true, true)
 	}
 }
 
-func (sim *World) restartRandomFronts() {
+func (sim *Simulation) restartRandomFronts() {
 	sim.record("fronts restart")
 	for _, f := range sim.fronts {
 		switch sim.rng.IntN(4) {
@@ -224,7 +224,7 @@
 }
 
 // restartFront ends processes of a front and starts them again soon. The lock is held.
-func (sim *World) restartFront(f *front, withAgent, withProxy bool) {
+func (sim *Simulation) restartFront(f *front, withAgent, withProxy bool) {
 	f.disturbedAt = time.Now()
 	after := sim.randomDurationLocked(100*time.Millisecond, 800*time.Millisecond)
 	if withAgent {
@@ -244,7 +244,7 @@
 	})
 }
 
-func (sim *World) replace(m *machine, after time.Duration, planned bool) {
+func (sim *Simulation) replace(m *machine, after time.Duration, planned bool) {
 	retire := func() {
 		sim.kill(m, true)
 		m.removed = true
@@ -270,7 +270,7 @@
 }
 
 // leave asks a controller to shut down. Once it has ended, or at the end of its grace period, then runs with the lock held.
-func (sim *World) leave(m *machine, then func()) {
+func (sim *Simulation) leave(m *machine, then func()) {
 	p := m.process
 	sim.disturbedAt = time.Now()
 	p.stop()
@@ -290,14 +290,14 @@
 }
 
 // partition cuts a machine's links for a duration. The lock is held.
-func (sim *World) partition(m *machine, kind Fault, d time.Duration) {
+func (sim *Simulation) partition(m *machine, kind Fault, d time.Duration) {
 	var peers []string
 	for _, other := range sim.machines {
 		if other != m {
 			peers = append(peers, other.ip)
 		}
 	}
-	if kind == CutAll {
+	if kind == Isolate {
 		for _, f := range sim.fronts {
 			peers = append(peers, frontIP(f.index))
 		}
@@ -307,7 +307,7 @@
 		peers = append(peers, "10.9.0.1", "10.9.0.2", "10.9.0.99")
 	}
 	out, in := true, true
-	if kind == CutOneWay {
+	if kind == PartitionOneWay {
 		out = sim.rng.Float64() < 0.5
 		in = !out
 	}
@@ -329,7 +329,7 @@
 }
 
 // healAll ends all faults.
-func (sim *World) healAll() {
+func (sim *Simulation) healAll() {
 	sim.net.Heal()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/controlplane/simulation/front.go
+++ b/controlplane/simulation/front.go
@@ -43,7 +43,7 @@
 func frontIP(i int) string { return fmt.Sprintf("10.1.0.%d", i+1) }
 func proxyIP(i int) string { return fmt.Sprintf("10.2.0.%d", i+1) }
 
-func (sim *World) addFront(i int) {
+func (sim *Simulation) addFront(i int) {
 	f := &front{index: i}
 	sim.mu.Lock()
 	sim.fronts = append(sim.fronts, f)
@@ -52,7 +52,7 @@
 	sim.startProxy(f)
 }
 
-func (sim *World) startReplica(f *front, r *replicaProcess, ip, name string) context.Context {
+func (sim *Simulation) startReplica(f *front, r *replicaProcess, ip, name string) context.Context {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	r.kill()
@@ -65,7 +65,7 @@
 	return ctx
 }
 
-func (sim *World) startAgent(f *front) {
+func (sim *Simulation) startAgent(f *front) {
 	ip := frontIP(f.index)
 	ctx := sim.startReplica(f, &f.agent, ip, "agent")
 	s := sim.settings(fmt.Sprint("front-", f.index), ip, f.index)
@@ -79,7 +79,7 @@
 	var seeds []string
 	for _, seed := range s.Seeds {
 		host, _, _ := net.SplitHostPort(seed)
-		seeds = append(seeds, net.JoinHostPort(host, controlplane.NewsPort(s)))
+		seeds = append(seeds, net.JoinHostPort(host, controlplane.DistributionPort(s)))
 	}
 	choice := agent.Choice{Set: s, Board: r.replica, Seeds: seeds}
 	calls := uint64(0)
@@ -96,7 +96,7 @@
 
 func agentAddr(i int) string { return fmt.Sprintf("%s:%d", frontIP(i), portFirst+2) }
 
-func (sim *World) startProxy(f *front) {
+func (sim *Simulation) startProxy(f *front) {
 	ctx := sim.startReplica(f, &f.proxy, proxyIP(f.index), "proxy")
 	r := f.proxy
 	p := distribution.Puller{Replica: r.replica, Node: fmt.Sprint("front-", f.index),
@@ -106,7 +106,7 @@
 	sim.tickReplica(ctx, r.replica)
 }
 
-func (sim *World) tickReplica(ctx context.Context, b *distribution.Replica) {
+func (sim *Simulation) tickReplica(ctx context.Context, b *distribution.Replica) {
 	sim.processes.Go(func() {
 		periodic.Each(ctx, heartbeatPeriod/2, func() {
 			b.WithRegistry(func(r *registry.Registry) bool { return r.Tick(time.Now()) })
--- a/controlplane/simulation/machine.go
+++ b/controlplane/simulation/machine.go
@@ -28,7 +28,7 @@
 	syncTime        time.Duration
 }
 
-func (sim *World) newDisk(files *vfs.MemFS) *disk {
+func (sim *Simulation) newDisk(files *vfs.MemFS) *disk {
 	return &disk{files: files, start: sim.start, syncTime: cmp.Or(sim.options.SyncTime, syncTime)}
 }
 
@@ -79,7 +79,7 @@
 	disk  *disk
 }
 
-func (sim *World) addMachine(i int, coldStart bool) *machine {
+func (sim *Simulation) addMachine(i int, coldStart bool) *machine {
 	m := &machine{ip: controllerIP(i), node: fmt.Sprint("core-", i), index: i, coldStart: coldStart,
 		disk: sim.newDisk(vfs.NewCrashableMem())}
 	sim.mu.Lock()
@@ -93,7 +93,7 @@
 }
 
 // startMachine starts a process on what the disk holds.
-func (sim *World) startMachine(m *machine) {
+func (sim *Simulation) startMachine(m *machine) {
 	s := sim.settings(m.node, m.ip, m.index)
 	s.Control, s.CountsLoss, s.DataDir = controlAddr(m.ip), true, "data"
 	sim.mu.Lock()
@@ -112,7 +112,7 @@
 	sim.processes.Go(func() {
 		defer close(p.ended)
 		for ctx.Err() == nil {
-			c, err := controlplane.NewOn(controlplane.Platform{Network: p.host, Files: p.disk.fs(), Plant: sim.options.Plant},
+			c, err := controlplane.NewWithPlatform(controlplane.Platform{Network: p.host, Files: p.disk.fs(), Inject: sim.options.Inject},
 				s, name, sim.logs)
 			if err != nil {
 				time.Sleep(500 * time.Millisecond) // the platform restarts it
@@ -141,7 +141,7 @@
 
 // kill ends a process at once. Its disk keeps what was written or, on a power loss, any part of what was not synced. The
 // lock is held.
-func (sim *World) kill(m *machine, power bool) {
+func (sim *Simulation) kill(m *machine, power bool) {
 	p := m.process
 	if p == nil {
 		return
@@ -150,7 +150,7 @@
 	crashConfig := vfs.CrashCloneCfg{UnsyncedDataPercent: 100, RNG: rand.New(rand.NewPCG(sim.rng.Uint64(), 1))}
 	if power {
 		crashConfig.UnsyncedDataPercent = sim.rng.IntN(101)
-		if sim.options.Armed {
+		if sim.options.AtAcknowledgement {
 			crashConfig.UnsyncedDataPercent = 0
 		}
 		p.host.PowerOff()
@@ -165,14 +165,14 @@
 }
 
 // wipe replaces a machine's disk with an empty one. The lock is held.
-func (sim *World) wipe(m *machine) {
+func (sim *Simulation) wipe(m *machine) {
 	sim.kill(m, true)
 	m.coldStart = false
 	m.disk = sim.newDisk(vfs.NewCrashableMem())
 }
 
 // restartLater starts a machine again after a delay.
-func (sim *World) restartLater(m *machine, after time.Duration) {
+func (sim *Simulation) restartLater(m *machine, after time.Duration) {
 	sim.processes.Go(func() {
 		time.Sleep(after)
 		sim.startMachine(m)
@@ -180,7 +180,7 @@
 }
 
 // activeMachines returns the machines that are not removed for good. The lock is held.
-func (sim *World) activeMachines() (list []*machine) {
+func (sim *Simulation) activeMachines() (list []*machine) {
 	for _, m := range sim.machines {
 		if !m.removed {
 			list = append(list, m)
@@ -190,7 +190,7 @@
 }
 
 // controlAddrs returns the control addresses, as in an operator's list.
-func (sim *World) controlAddrs() (addrs []string) {
+func (sim *Simulation) controlAddrs() (addrs []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, m := range sim.activeMachines() {
@@ -199,7 +199,7 @@
 	return addrs
 }
 
-func (sim *World) stopAll() {
+func (sim *Simulation) stopAll() {
 	sim.mu.Lock()
 	var ends []chan struct{}
 	for _, m := range sim.machines {
--- a/controlplane/simulation/scenarios_test.go
+++ b/controlplane/simulation/scenarios_test.go
@@ -16,7 +16,7 @@
 )
 
 // runScenario runs a scenario in a simulation of its own.
-func runScenario(t *testing.T, o Options, scenario func(t *testing.T, sim *World, c *caller)) error {
+func runScenario(t *testing.T, o Options, scenario func(t *testing.T, sim *Simulation, c *caller)) error {
 	t.Helper()
 	var err error
 	synctest.Test(t, func(t *testing.T) {
@@ -32,7 +32,7 @@
 }
 
 // putConfig sends a change until it is acknowledged, and returns how long that took.
-func (sim *World) putConfig(c *caller, version uint64, body []byte) time.Duration {
+func (sim *Simulation) putConfig(c *caller, version uint64, body []byte) time.Duration {
 	change := &configChange{version: version, body: body, sent: time.Now()}
 	for {
 		list := sim.controlAddrs()
@@ -44,7 +44,7 @@
 }
 
 // primary returns the running machine that a controller names as the primary.
-func (sim *World) primary(c *caller) *machine {
+func (sim *Simulation) primary(c *caller) *machine {
 	for {
 		for _, addr := range sim.controlAddrs() {
 			_, answer := c.call(http.MethodGet, addr, "/status", nil)
@@ -63,13 +63,13 @@
 // the configuration restored from disk.
 func TestNoConfigurationBeforeContact(t *testing.T) {
 	for zone := range 3 {
-		scenario := func(t *testing.T, sim *World, c *caller) {
+		scenario := func(t *testing.T, sim *Simulation, c *caller) {
 			time.Sleep(2 * time.Second)
 			sim.putConfig(c, 1, document(1, "one"))
 			time.Sleep(contactBound)
 			m := sim.machines[zone]
 			sim.mu.Lock()
-			sim.partition(m, Cut, 22*time.Second)
+			sim.partition(m, Partition, 22*time.Second)
 			sim.kill(m, false)
 			sim.mu.Unlock()
 			sim.startMachine(m)
@@ -100,7 +100,7 @@
 // The primary's disk is full for 12 s. It must give up its role without ending its process, changes must be accepted within
 // 3 s, and it must be in sync again once there is space. Earlier code ended the process.
 func TestFullDiskStepsAside(t *testing.T) {
-	scenario := func(t *testing.T, sim *World, c *caller) {
+	scenario := func(t *testing.T, sim *Simulation, c *caller) {
 		time.Sleep(2 * time.Second)
 		sim.putConfig(c, 1, document(1, "one"))
 		m := sim.primary(c)
@@ -149,7 +149,7 @@
 func TestThousandsOfChanges(t *testing.T) {
 	changes := uint64(changeCount())
 	maxSize := int64(0)
-	scenario := func(t *testing.T, sim *World, c *caller) {
+	scenario := func(t *testing.T, sim *Simulation, c *caller) {
 		time.Sleep(2 * time.Second)
 		for v := uint64(1); v <= changes; v++ {
 			routes := 10
@@ -200,28 +200,30 @@
 // Checks that each injected fault is detected by what operators, searchers and proxies observe.
 func TestPlantedFaults(t *testing.T) {
 	for name, x := range map[string]struct {
-		injected controlplane.PlantedFaults
+		injected controlplane.InjectedFaults
 		faults   []Fault
 		options  Options
 	}{
-		"serve before contact": {controlplane.PlantedFaults{ServeBeforeContact: true}, []Fault{Cut, Fronts, Kill, Cut, Fronts, Fronts},
+		"serve before contact": {controlplane.InjectedFaults{ServeBeforeContact: true},
+			[]Fault{Partition, RestartFronts, Kill, Partition, RestartFronts, RestartFronts},
 			Options{Controllers: 5, Fronts: 3, Searchers: 1}},
-		"drains in memory": {controlplane.PlantedFaults{DrainsInMemory: true}, []Fault{BlackOut},
-			Options{Controllers: 3, Fronts: 2, Searchers: 12, Armed: true, At: DrainTaken, SyncTime: 60 * time.Millisecond}},
-		"ack unsynced": {controlplane.PlantedFaults{AckUnsynced: true}, []Fault{PowerAll},
-			Options{Controllers: 3, Fronts: 1, Armed: true, SyncTime: 30 * time.Millisecond}},
+		"drains in memory": {controlplane.InjectedFaults{DrainsInMemory: true}, []Fault{BlackOut},
+			Options{Controllers: 3, Fronts: 2, Searchers: 12, AtAcknowledgement: true, Trigger: DrainAcknowledged,
+				SyncTime: 60 * time.Millisecond}},
+		"ack unsynced": {controlplane.InjectedFaults{AckUnsynced: true}, []Fault{PowerAll},
+			Options{Controllers: 3, Fronts: 1, AtAcknowledgement: true, SyncTime: 30 * time.Millisecond}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			simulate := func(seed uint64, injected controlplane.PlantedFaults) (err error) {
+			simulate := func(seed uint64, injected controlplane.InjectedFaults) (err error) {
 				synctest.Test(t, func(*testing.T) {
 					o := x.options
-					o.Seed, o.Span, o.Step, o.Plant, o.Faults = seed, time.Minute, 2*time.Second, injected, x.faults
-					_, _, err = Play(o)
+					o.Seed, o.Duration, o.Step, o.Inject, o.Faults = seed, time.Minute, 2*time.Second, injected, x.faults
+					_, _, err = Simulate(o)
 				})
 				return err
 			}
-			must.NoError(t, simulate(0, controlplane.PlantedFaults{})) // no false positive
+			must.NoError(t, simulate(0, controlplane.InjectedFaults{})) // no false positive
 			for seed := range uint64(12) {
 				if err := simulate(seed, x.injected); err != nil {
 					t.Logf("seed %d: %v", seed, err)
--- a/controlplane/simulation/searcher.go
+++ b/controlplane/simulation/searcher.go
@@ -18,7 +18,7 @@
 }
 
 // runSearcherSlot runs one searcher after the other at one address.
-func (sim *World) runSearcherSlot(i int) {
+func (sim *Simulation) runSearcherSlot(i int) {
 	c := newCaller(sim.net.Start(fmt.Sprintf("10.8.0.%d", i+1)))
 	for n := 0; ; n++ {
 		s := &searcher{id: fmt.Sprintf("s%d-%d", i, n), started: time.Now()}
@@ -32,7 +32,7 @@
 }
 
 // runSearcher runs a searcher until it leaves, in most cases by draining. It returns false when the run is over.
-func (sim *World) runSearcher(c *caller, s *searcher, i int) bool {
+func (sim *Simulation) runSearcher(c *caller, s *searcher, i int) bool {
 	b := &heartbeater{sim: sim, c: c, s: s, slot: i}
 	until := time.Now().Add(sim.randomDuration(8*time.Second, 40*time.Second))
 	for time.Now().Before(until) {
@@ -60,7 +60,7 @@
 	sim.result.Drains++
 	sim.record("drain of %s is acknowledged", s.id)
 	silent := sim.rng.Float64() < 0.5 // sends no heartbeat until it ends
-	sim.triggerFault(DrainTaken)
+	sim.triggerFault(DrainAcknowledged)
 	sim.mu.Unlock()
 	for end := time.Now().Add(drainBound + sim.randomDuration(0, 8*time.Second)); time.Now().Before(end); {
 		if !sim.pause(heartbeatPeriod) {
@@ -79,7 +79,7 @@
 
 // heartbeater sends the heartbeats of one searcher.
 type heartbeater struct {
-	sim    *World
+	sim    *Simulation
 	c      *caller
 	s      *searcher
 	slot   int
--- a/controlplane/simulation/world.go
+++ b/controlplane/simulation/simulation.go
@@ -30,15 +30,15 @@
 type Options struct {
 	Seed                           uint64
 	Controllers, Fronts, Searchers int
-	Span                           time.Duration // during which faults are injected
-	Calm                           bool          // injects no faults
+	Duration                       time.Duration // during which faults are injected
+	NoFaults                       bool          // injects no faults
 	Faults                         []Fault       // kinds to draw from; nil: all
 	Step                           time.Duration // average time between two faults; 0: three seconds
 	Logs                           *log.Logger   // logger of the controllers; nil: none
-	Plant                          controlplane.PlantedFaults
+	Inject                         controlplane.InjectedFaults
 	SyncTime                       time.Duration // duration of a disk sync; 0: five milliseconds
-	Armed                          bool          // injects each fault at an acknowledgement, and loses all that was not synced
-	At                             Moment        // the kind of acknowledgement
+	AtAcknowledgement              bool          // injects each fault at an acknowledgement, and loses all that was not synced
+	Trigger                        Trigger       // the kind of acknowledgement
 }
 
 // Result counts what happened in a run.
@@ -46,8 +46,8 @@
 	Orders, Acknowledged, Refused, Drains, Faults int
 }
 
-// World is one run.
-type World struct {
+// Simulation is one run.
+type Simulation struct {
 	options   Options
 	net       *simnet.Network
 	start     time.Time
@@ -67,29 +67,29 @@
 	result         Result
 	lossUntil      time.Time // no further loss is injected before this time
 	pendingFault   Fault     // injected at the next acknowledgement
-	pendingTrigger Moment    // the kind of acknowledgement
+	pendingTrigger Trigger   // the kind of acknowledgement
 	logs           *log.Logger
 }
 
-// Play executes one run and returns its result and a trace of its events.
-func Play(o Options) (r Result, trace []string, err error) {
+// Simulate executes one run and returns its result and a trace of its events.
+func Simulate(o Options) (r Result, trace []string, err error) {
 	sim := newSimulation(o)
 	for i := range 2 {
 		sim.clients.Go(func() { sim.runOperator(i) })
 	}
 	time.Sleep(contactBound)
-	if !o.Calm {
-		sim.injectFaults(o.Span)
+	if !o.NoFaults {
+		sim.injectFaults(o.Duration)
 	} else {
-		time.Sleep(o.Span)
+		time.Sleep(o.Duration)
 	}
 	sim.checkFinalState()
 	return sim.finish()
 }
 
 // newSimulation starts machines, fronts, searchers and checks.
-func newSimulation(o Options) *World {
-	sim := &World{options: o, net: simnet.New(o.Seed, 500*time.Microsecond, 3*time.Millisecond), start: time.Now(),
+func newSimulation(o Options) *Simulation {
+	sim := &Simulation{options: o, net: simnet.New(o.Seed, 500*time.Microsecond, 3*time.Millisecond), start: time.Now(),
 		done: make(chan struct{}), rng: rand.New(rand.NewPCG(o.Seed, 3)), searchers: map[string]*searcher{}, logs: o.Logs}
 	if sim.logs == nil {
 		sim.logs = &log.Logger{Level: log.PanicLevel}
@@ -111,7 +111,7 @@
 }
 
 // finish ends everything and returns the result.
-func (sim *World) finish() (Result, []string, error) {
+func (sim *Simulation) finish() (Result, []string, error) {
 	close(sim.done)
 	sim.clients.Wait()
 	sim.stopAll()
@@ -121,44 +121,44 @@
 }
 
 // record adds a line to the trace. The lock is held.
-func (sim *World) record(format string, args ...any) {
+func (sim *Simulation) record(format string, args ...any) {
 	sim.trace = append(sim.trace, fmt.Sprintf("%7.3f ", time.Since(sim.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // fail records the first violation. The lock is held.
-func (sim *World) fail(format string, args ...any) {
+func (sim *Simulation) fail(format string, args ...any) {
 	if sim.err == nil {
 		sim.err = fmt.Errorf("%v: "+format, append([]any{time.Since(sim.start)}, args...)...)
 		sim.record("VIOLATION "+format, args...)
 	}
 }
 
-func (sim *World) failed() bool {
+func (sim *Simulation) failed() bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.err != nil
 }
 
-func (sim *World) chance(p float64) bool {
+func (sim *Simulation) chance(p float64) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.rng.Float64() < p
 }
 
-func (sim *World) randomDuration(shortest, longest time.Duration) time.Duration {
+func (sim *Simulation) randomDuration(shortest, longest time.Duration) time.Duration {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return shortest + time.Duration(sim.rng.Int64N(int64(longest-shortest)+1))
 }
 
-func (sim *World) pick(n int) int {
+func (sim *Simulation) pick(n int) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.rng.IntN(n)
 }
 
 // pause waits for a duration. It returns false when the clients must end.
-func (sim *World) pause(d time.Duration) bool {
+func (sim *Simulation) pause(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -171,7 +171,7 @@
 
 func zone(i int) string { return fmt.Sprint("z", i%3) }
 
-func (sim *World) settings(node, ip string, i int) *settings.Settings {
+func (sim *Simulation) settings(node, ip string, i int) *settings.Settings {
 	s := &settings.Settings{Node: node, IP: ip, Zone: zone(i), Region: "r", Zones: map[string]string{"z0": "r", "z1": "r", "z2": "r"},
 		PortFirst: portFirst, PortLast: portFirst + 15, BeatPeriod: heartbeatPeriod, MachineLosses: 1, RetryWindow: 10 * time.Second,
 		Grace: 6 * time.Second, Contact: contactBound, Ack: ackBound, Sync: syncBound, Drain: drainBound, Apply: applyBound}
@@ -183,7 +183,7 @@
 
 // seeds returns the addresses of the first controllers as long as at most one of them is removed, otherwise those of present
 // controllers.
-func (sim *World) seeds() (addrs []string) {
+func (sim *Simulation) seeds() (addrs []string) {
 	removed := 0
 	for i := range min(3, sim.options.Controllers) {
 		addrs = append(addrs, controlAddr(controllerIP(i)))
--- a/controlplane/simulation/simulation_test.go
+++ b/controlplane/simulation/simulation_test.go
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var trace []string
 		var err error
-		r, trace, err = simulation.Play(o)
+		r, trace, err = simulation.Simulate(o)
 		if err != nil {
 			t.Errorf("seed %d: %v\n%s", o.Seed, err, strings.Join(trace, "\n"))
 		}
@@ -42,14 +42,14 @@
 }
 
 func TestCalm(t *testing.T) {
-	r := simulate(t, simulation.Options{Seed: 1, Span: 20 * time.Second, Calm: true})
+	r := simulate(t, simulation.Options{Seed: 1, Duration: 20 * time.Second, NoFaults: true})
 	t.Logf("%+v", r)
 }
 
 func TestTrouble(t *testing.T) {
 	first := envInt("SIMULATION_FIRST", 1)
 	for i := range envInt("SIMULATION_SEEDS", 3) {
-		r := simulate(t, simulation.Options{Seed: uint64(first + i), Span: 60 * time.Second})
+		r := simulate(t, simulation.Options{Seed: uint64(first + i), Duration: 60 * time.Second})
 		t.Logf("seed %d: %+v", first+i, r)
 	}
 }
@@ -60,10 +60,11 @@
 func TestDiskLostWhileAllGoDark(t *testing.T) {
 	first := envInt("SIMULATION_FIRST", 1)
 	for i := range envInt("SIMULATION_SEEDS", 1) {
-		for _, moment := range []simulation.Moment{simulation.OrderTaken, simulation.DrainTaken} {
+		for _, moment := range []simulation.Trigger{simulation.ChangeAcknowledged, simulation.DrainAcknowledged} {
 			for _, controllers := range []int{3, 5} {
-				r := simulate(t, simulation.Options{Seed: uint64(first + i), Span: 40 * time.Second, Controllers: controllers,
-					Fronts: 3, Searchers: 6, Faults: []simulation.Fault{simulation.WipeBlack}, Armed: true, At: moment, Step: 6 * time.Second})
+				r := simulate(t, simulation.Options{Seed: uint64(first + i), Duration: 40 * time.Second, Controllers: controllers,
+					Fronts: 3, Searchers: 6, Faults: []simulation.Fault{simulation.WipeDuringBlackOut}, AtAcknowledgement: true,
+					Trigger: moment, Step: 6 * time.Second})
 				if r.Faults == 0 {
 					t.Errorf("seed %d: nothing was lost", first+i)
 				}
