--- a/controlplane/calls.go
+++ b/controlplane/calls.go
@@ -44,7 +44,8 @@
 		}
 		if last = err; err == nil && a.Primary != "" && x.Hops < maxHops {
 			if host, _, e := net.SplitHostPort(a.Primary); e == nil && host != c.settings.IP {
-				if a, err = c.forward(ctx, net.JoinHostPort(host, strconv.Itoa(c.settings.PortFirst+portCalls)), x); err == nil && a.Result != consensus.Refused {
+				if a, err = c.forward(ctx, net.JoinHostPort(host, strconv.Itoa(c.settings.PortFirst+portCalls)), x); err == nil &&
+					a.Result != consensus.Refused {
 					return a, nil
 				}
 				last = err
--- a/controlplane/endpoints.go
+++ b/controlplane/endpoints.go
@@ -214,7 +214,8 @@
 		return errorReply(http.StatusBadRequest, err.Error())
 	}
 	c.lastSubmitted.Store(m)
-	a, err := c.callPrimary(ctx, Call{Doc: consensus.Document{Version: m.Version, Digest: xxh3.Hash(body), Body: manifest.Pack(body)}})
+	a, err := c.callPrimary(ctx, Call{Doc: consensus.Document{Version: m.Version, Digest: xxh3.Hash(body),
+		Body: manifest.Pack(body)}})
 	switch {
 	case err == nil && a.Result == consensus.OK:
 		return reply{http.StatusOK, []byte("{}")}
--- a/controlplane/metrics.go
+++ b/controlplane/metrics.go
@@ -46,14 +46,14 @@
 
 // recordCall counts an answer, and logs it if it is a refusal or was slow.
 func (c *Controller) recordCall(pattern string, r *http.Request, answer reply, took time.Duration) {
-	s := &c.metrics
-	s.mu.Lock()
-	s.calls[callOutcome{pattern, answer.status}]++
-	s.mu.Unlock()
+	m := &c.metrics
+	m.mu.Lock()
+	m.calls[callOutcome{pattern, answer.status}]++
+	m.mu.Unlock()
 	if answer.status < http.StatusBadRequest && took < slowCall {
 		return
 	}
-	ok, suppressed := s.callLog.Allow(time.Now())
+	ok, suppressed := m.callLog.Allow(time.Now())
 	if !ok {
 		return
 	}
@@ -65,10 +65,10 @@
 }
 
 // recordSync records the duration of a write to disk.
-func (s *metrics) recordSync(took time.Duration) {
-	s.syncs.Add(1)
-	s.syncNanos.Add(int64(took))
-	s.lastSync.Store(int64(took))
+func (m *metrics) recordSync(took time.Duration) {
+	m.syncs.Add(1)
+	m.syncNanos.Add(int64(took))
+	m.lastSync.Store(int64(took))
 }
 
 // emitMetrics emits the metrics of the controller.
--- a/controlplane/mixers.go
+++ b/controlplane/mixers.go
@@ -166,7 +166,8 @@
 	c.mu.Lock()
 	latest := map[string]*pullingAgent{}
 	for _, agent := range c.agents {
-		if previous := latest[agent.node]; time.Since(agent.lastPull) <= livenessTimeout && (previous == nil || agent.lastPull.After(previous.lastPull)) {
+		if previous := latest[agent.node]; time.Since(agent.lastPull) <= livenessTimeout &&
+			(previous == nil || agent.lastPull.After(previous.lastPull)) {
 			latest[agent.node] = agent
 		}
 	}
