--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -26,10 +26,10 @@
 	const shards = 4
 	now := time.Now()
 	board := distribution.NewReplica(registry.New(registry.Config{Name: "h", Start: now}))
-	doc := `{"config-version":1,"routes":[{"name":"a","host":"h","path-prefix":"/all/","mode":"idempotent","horizon-ms":2000,"setpoint-ms":500,"fan-out":["s0","s1","s2","s3"],"retries":2,"top-k":10,"min-coverage":0.5},
+	config := `{"config-version":1,"routes":[{"name":"a","host":"h","path-prefix":"/all/","mode":"idempotent","horizon-ms":2000,"setpoint-ms":500,"fan-out":["s0","s1","s2","s3"],"retries":2,"top-k":10,"min-coverage":0.5},
 	{"name":"o","host":"h","path-prefix":"/one/","mode":"non_idempotent","horizon-ms":2000,"setpoint-ms":500,"plant":"s0","retries":1}],
 	"plants":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}],"limits":{}}`
-	m, err := manifest.Parse([]byte(doc))
+	m, err := manifest.Parse([]byte(config))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/proxy/contain_test.go
+++ b/proxy/containment_test.go
@@ -24,23 +24,23 @@
 func two(t *testing.T, plant func(request.Step, []string)) *Proxy {
 	t.Helper()
 	q := New(&settings.Settings{RetrySlack: 100, RetryRatio: 1, RetryWindow: time.Hour, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
-	q.plant = plant
-	q.life = q.newLife(nil)
+	q.injectFault = plant
+	q.coordinator = q.newCoordinator(nil)
 	route := `{"name":%[1]q,"host":"h.example","path-prefix":"/%[1]s/","mode":"idempotent","horizon-ms":20000,"setpoint-ms":200,"plant":%[1]q,"retries":2}`
-	doc, err := manifest.Parse([]byte(`{"config-version":1,"routes":[` + fmt.Sprintf(route, "sick") + "," + fmt.Sprintf(route, "sound") +
+	config, err := manifest.Parse([]byte(`{"config-version":1,"routes":[` + fmt.Sprintf(route, "sick") + "," + fmt.Sprintf(route, "sound") +
 		`],"plants":[{"name":"sick"},{"name":"sound"}]}`))
 	must.NoError(t, err)
-	q.doc.Store(doc)
-	var hosts []request.Searcher
+	q.config.Store(config)
+	var searchers []request.Searcher
 	for _, service := range []string{"sick", "sound"} {
 		s, err := faulty.Start(faulty.Options{ID: "i-" + service, Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Work: 300 * time.Millisecond} }})
 		must.NoError(t, err)
 		t.Cleanup(s.Close)
-		hosts = append(hosts, request.Searcher{ID: s.ID(), Address: s.Addr(), Service: service, State: policy.Ready})
+		searchers = append(searchers, request.Searcher{ID: s.ID(), Address: s.Addr(), Service: service, State: policy.Ready})
 	}
-	q.do(func() {
-		q.hosts = hosts
-		q.life.SetSearchers(hosts)
+	q.handle(func() {
+		q.searchers = searchers
+		q.coordinator.SetSearchers(searchers)
 	})
 	return q
 }
@@ -84,10 +84,10 @@
 				must.Eq(t, http.StatusOK, sound[i])
 				must.NotEq(t, 0, broken[i])
 			}
-			must.Positive(t, q.sight.restarts.Load())
+			must.Positive(t, q.observability.restarts.Load())
 			sick.Store(false)
 			must.Eq(t, http.StatusOK, ask(q, "sick", "after"))
-			must.Eq(t, 0, q.inHand())
+			must.Eq(t, 0, q.inFlight())
 		})
 	}
 }
--- a/proxy/pause_test.go
+++ b/proxy/deadline_test.go
@@ -23,12 +23,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		q := New(&settings.Settings{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0",
 			&log.Logger{Level: log.PanicLevel})
-		doc, err := manifest.Parse([]byte(`{"config-version":1,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent",` +
+		config, err := manifest.Parse([]byte(`{"config-version":1,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent",` +
 			`"horizon-ms":2000,"setpoint-ms":200,"plant":"s","retries":2}],"plants":[{"name":"s"}]}`))
 		must.NoError(t, err)
-		q.doc.Store(doc)
-		q.step(func() {
-			q.life.SetSearchers([]request.Searcher{{ID: "i-1", Address: "127.0.0.1:1", Service: "s", State: policy.Ready}})
+		q.config.Store(config)
+		q.decide(func() {
+			q.coordinator.SetSearchers([]request.Searcher{{ID: "i-1", Address: "127.0.0.1:1", Service: "s", State: policy.Ready}})
 		}, nil)
 		body, client := io.Pipe()
 		r := httptest.NewRequest(http.MethodPost, "http://h.example/", body)
@@ -41,7 +41,7 @@
 			client.Write([]byte("body"))
 		}()
 		q.ServeHTTP(httptest.NewRecorder(), r)
-		must.Eq(t, 0, q.sight.restarts.Load())
+		must.Eq(t, 0, q.observability.restarts.Load())
 		must.LessEq(t, time.Second+deadlineSlack, time.Since(began))
 	})
 }
--- a/proxy/doc.go
+++ b/proxy/doc.go
@@ -1,5 +1,5 @@
-// Package proxy is the proxy of the system: it takes clients' requests over HTTP/1.1, hands them to request, which
-// decides, and carries out on sockets what comes of it. It learns searchers and the configuration from the agent on
-// its machine. It decides nothing beyond its own bounds, keeps nothing on disk, and serves on with what it last knew
-// when its agent or the whole control plane is away.
+// Package proxy implements the proxy process. It receives clients' requests over HTTP/1.1, passes them to package
+// request, which makes the routing decisions, and carries out the resulting actions on sockets. It learns the searchers
+// and the configuration from the agent on its machine. Apart from its own limits it makes no decisions and it stores
+// nothing on disk. While its agent or the whole control plane is unavailable, it keeps serving with the last known state.
 package proxy
--- a/proxy/invariants_test.go
+++ b/proxy/invariants_test.go
@@ -36,15 +36,15 @@
 // TestVersionsThatFall: an older configuration than the one in force is seen, should the board ever give one.
 func TestVersionsThatFall(t *testing.T) {
 	q := New(&settings.Settings{RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
-	q.board.SetDocument(version(t, "5"))
-	q.doc.Store(version(t, "9"))
-	must.Eq(t, invariant.VersionRises, caught(t, q.merged))
+	q.replica.SetDocument(version(t, "5"))
+	q.config.Store(version(t, "9"))
+	must.Eq(t, invariant.VersionRises, caught(t, q.onMerge))
 }
 
 // TestDeadlinesPastTheClients: a dispatch that would outlast its client is seen.
 func TestDeadlinesPastTheClients(t *testing.T) {
 	q := New(&settings.Settings{RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
-	d := &request.Dispatch{Request: &request.Request{Data: &taken{until: q.start.Add(time.Second)}},
+	d := &request.Dispatch{Request: &request.Request{Data: &clientRequest{deadline: q.start.Add(time.Second)}},
 		Searcher: &request.Searcher{ID: "i-1", Address: "127.0.0.1:1", State: policy.Ready}, Deadline: 2 * time.Second}
 	must.Eq(t, invariant.DeadlineWithinClients, caught(t, func() { q.prepare(d) }))
 }
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -21,9 +21,9 @@
 	t.Parallel()
 	q := New(&settings.Settings{RetryWindow: time.Hour, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
 	document := func(text string) {
-		doc, err := manifest.Parse([]byte(text))
+		config, err := manifest.Parse([]byte(text))
 		must.NoError(t, err)
-		q.board.SetDocument(doc)
+		q.replica.SetDocument(config)
 	}
 	service := func(number, limit string) string {
 		return `{"config-version":` + number + `,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent","horizon-ms":2000,` +
@@ -34,14 +34,14 @@
 	must.NoError(t, err)
 	defer s.Close()
 	host := request.Searcher{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready}
-	q.do(func() {
-		q.hosts = []request.Searcher{host}
-		q.life.SetSearchers(q.hosts)
+	q.handle(func() {
+		q.searchers = []request.Searcher{host}
+		q.coordinator.SetSearchers(q.searchers)
 	})
 	document(service("1", "100"))
-	q.merged()
+	q.onMerge()
 	var pool *upstream.Pool
-	q.do(func() { pool = q.pool(&host) })
+	q.handle(func() { pool = q.pool(&host) })
 	answers := make(chan upstream.Response)
 	out := 0
 	// opens asks until one request more than may be finds no connection, and tells how many there are.
@@ -60,11 +60,11 @@
 		}
 	}
 	must.Eq(t, connShare(100, 0), opens())
-	q.board.SetMixerCount(5)
-	q.merged()
+	q.replica.SetMixerCount(5)
+	q.onMerge()
 	must.Eq(t, connShare(100, 5), opens())
 	document(service("2", "150"))
-	q.merged()
+	q.onMerge()
 	must.Eq(t, connShare(150, 5), opens())
 	close(hold)
 	for range out {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -28,193 +28,197 @@
 	"peathollow/retrybudget"
 )
 
-// headMost bounds a client's head whatever the configuration says, which comes after the start and may change.
-const headMost = 256 << 10
+// maxHeaderBytes bounds the header of a client's request before any configuration is known. The configured limit arrives after the
+// start, may change later, and is checked for each request.
+const maxHeaderBytes = 256 << 10
 
-// Proxy is one proxy.
+// Proxy serves clients' requests. Its HTTP handler is ServeHTTP.
 type Proxy struct {
-	set   *settings.Settings
-	log   *log.Logger
-	name  string
-	start time.Time
-	board *distribution.Replica
-	doc   atomic.Pointer[manifest.Manifest]
+	settings    *settings.Settings
+	log         *log.Logger
+	incarnation string
+	start       time.Time
+	replica     *distribution.Replica
+	config      atomic.Pointer[manifest.Manifest]
 
-	mu      sync.Mutex
-	life    *request.Coordinator
-	clock   *time.Timer
-	armed   time.Duration
-	pools   map[string]*upstream.Pool // by a searcher's id
-	gen     uint64
-	listed  bool
-	mixers  int
-	hosts   []request.Searcher
-	leaving atomic.Bool
-	sight   *sight
-	probes  upstream.ProbeCounts
-	callers *connlimit.Limit
-	plant   func(request.Step, []string) // a fault that a test plants in what decides
+	mu            sync.Mutex
+	coordinator   *request.Coordinator
+	timer         *time.Timer
+	timerDue      time.Duration
+	pools         map[string]*upstream.Pool // keyed by searcher ID
+	generation    uint64
+	listComplete  bool
+	mixerCount    int
+	searchers     []request.Searcher
+	shuttingDown  atomic.Bool
+	observability *observability
+	probes        upstream.ProbeCounts
+	clientConns   *connlimit.Limit
+	injectFault   func(request.Step, []string) // set by tests to inject faults into the coordinator
 }
 
-// New makes a proxy from what it is told.
-func New(s *settings.Settings, life string, l *log.Logger) *Proxy {
+// New returns a proxy with the given settings. The incarnation names this run of the process.
+func New(s *settings.Settings, incarnation string, l *log.Logger) *Proxy {
 	now := time.Now()
-	p := &Proxy{set: s, name: life, log: l, start: now, pools: map[string]*upstream.Pool{},
-		sight: newSight(), callers: connlimit.New(s.CallersMost()), board: distribution.NewReplica(registry.New(registry.Config{Name: life, Relay: true, Period: s.BeatPeriod, Start: now}))}
-	p.life = p.newLife(nil)
-	p.clock = time.AfterFunc(time.Hour, p.due)
-	p.clock.Stop()
+	p := &Proxy{settings: s, incarnation: incarnation, log: l, start: now, pools: map[string]*upstream.Pool{},
+		observability: newObservability(), clientConns: connlimit.New(s.CallersMost()),
+		replica: distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Relay: true, Period: s.BeatPeriod, Start: now}))}
+	p.coordinator = p.newCoordinator(nil)
+	p.timer = time.AfterFunc(time.Hour, p.onTimer)
+	p.timer.Stop()
 	return p
 }
 
-// newLife starts what decides, with what must not be forgotten of a life before if there was one.
-func (p *Proxy) newLife(before *request.Coordinator) *request.Coordinator {
-	return request.New(request.Config{Seed: uint64(time.Now().UnixNano()),
-		Previous: before, InjectFault: p.plant, Budget: retrybudget.Config{Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, Window: p.set.RetryWindow}}, p.now())
+// newCoordinator returns a coordinator that keeps the state that must survive a restart, if there was a previous one.
+func (p *Proxy) newCoordinator(previous *request.Coordinator) *request.Coordinator {
+	return request.New(request.Config{Seed: uint64(time.Now().UnixNano()), Previous: previous, InjectFault: p.injectFault,
+		Budget: retrybudget.Config{Ratio: p.settings.RetryRatio, Slack: p.settings.RetrySlack, Window: p.settings.RetryWindow}}, p.now())
 }
 
-// AgentPort is where an agent feeds the proxy beside it, over loopback.
+// AgentPort returns the loopback address at which the proxy pulls updates from the agent on its machine.
 func AgentPort(s *settings.Settings) string {
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(s.PortFirst+2))
 }
 
-// Run serves until ctx ends, then finishes what is in hand within the time of grace.
+// Run serves until ctx ends, then finishes the requests in flight within the grace period.
 func (p *Proxy) Run(ctx context.Context) error {
-	front, err := net.Listen("tcp", p.set.Front)
+	front, err := net.Listen("tcp", p.settings.Front)
 	if err != nil {
-		return errors.Wrap(err, "listen, front")
+		return errors.Wrap(err, "listen on the front address")
 	}
-	ready, err := net.Listen("tcp", p.set.Readiness)
+	readiness, err := net.Listen("tcp", p.settings.Readiness)
 	if err != nil {
-		return errors.Wrap(err, "listen, readiness")
+		return errors.Wrap(err, "listen on the readiness address")
 	}
-	all, stop := context.WithCancel(context.WithoutCancel(ctx))
+	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	puller := distribution.Puller{Replica: p.board, Node: p.set.Node, Incarnation: p.name, Kind: "proxy", OnMerge: p.merged,
-		Choose: func(int) string { return AgentPort(p.set) }, Network: keepalive.TCP{Relay: p.set.Relay, From: p.set.Node}}
-	go puller.Run(all)
-	go p.pulse(all)
-	go figures.ServeFor(all, p.log, p.set.IP, p.set.Metrics, p.figures)
-	rs := &http.Server{Handler: http.HandlerFunc(p.ready), ReadTimeout: 2 * time.Second, WriteTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
-	go rs.Serve(ready)
-	fs := &http.Server{Handler: p, ReadHeaderTimeout: headSign, IdleTimeout: restSign, MaxHeaderBytes: headMost,
-		DisableGeneralOptionsHandler: true, ConnContext: withConnection}
+	puller := distribution.Puller{Replica: p.replica, Node: p.settings.Node, Incarnation: p.incarnation, Kind: "proxy", OnMerge: p.onMerge,
+		Choose: func(int) string { return AgentPort(p.settings) }, Network: keepalive.TCP{Relay: p.settings.Relay, From: p.settings.Node}}
+	go puller.Run(background)
+	go p.advancePeriodically(background)
+	go figures.ServeFor(background, p.log, p.settings.IP, p.settings.Metrics, p.emitMetrics)
+	readinessServer := &http.Server{Handler: http.HandlerFunc(p.serveReady),
+		ReadTimeout: 2 * time.Second, WriteTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
+	go readinessServer.Serve(readiness)
+	frontServer := &http.Server{Handler: p, ReadHeaderTimeout: headerTimeoutPlaceholder, IdleTimeout: idleTimeoutPlaceholder,
+		MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true, ConnContext: withConnection}
 	ended := make(chan error, 1)
-	p.callers.Bind(fs)
-	go func() { ended <- fs.Serve(limitedListener{p.callers.Listen(front), p.limits}) }()
-	p.log.Info().Str("event", "serving").Str("front", p.set.Front).Msg("")
-	tally := time.NewTicker(10 * time.Second)
-	defer tally.Stop()
+	p.clientConns.Bind(frontServer)
+	go func() { ended <- frontServer.Serve(timeoutListener{p.clientConns.Listen(front), p.timeouts}) }()
+	p.log.Info().Str("event", "serving").Str("front", p.settings.Front).Msg("")
+	ticker := time.NewTicker(10 * time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case err := <-ended:
-			return errors.Wrap(err, "serve, front")
-		case <-tally.C:
-			p.tally()
+			return errors.Wrap(err, "serve on the front address")
+		case <-ticker.C:
+			p.logCounters()
 		case <-ctx.Done():
-			p.leave(fs)
+			p.shutDown(frontServer)
 			return nil
 		}
 	}
 }
 
-// leave goes on serving until the platform has stopped sending new connections, then until nothing is in hand.
-func (p *Proxy) leave(fs *http.Server) {
-	p.leaving.Store(true)
+// shutDown keeps serving until the platform has stopped sending new connections, then until no request is in flight.
+func (p *Proxy) shutDown(frontServer *http.Server) {
+	p.shuttingDown.Store(true)
 	began := time.Now()
-	p.log.Info().Str("event", "leaving").Int("in-hand", p.inHand()).Msg("")
-	time.Sleep(p.set.ProxyListensFor())
-	ctx, stop := context.WithTimeout(context.Background(), max(time.Millisecond, p.set.ProxyEndsAfter()-time.Since(began)))
+	p.log.Info().Str("event", "leaving").Int("in-hand", p.inFlight()).Msg("")
+	time.Sleep(p.settings.ProxyListensFor())
+	ctx, stop := context.WithTimeout(context.Background(), max(time.Millisecond, p.settings.ProxyEndsAfter()-time.Since(began)))
 	defer stop()
-	fs.Shutdown(ctx) // what is left after it is ended with the process
-	p.tally()
-	p.log.Info().Str("event", "left").Int("in-hand", p.inHand()).Msg("")
+	frontServer.Shutdown(ctx) // any request still in flight after this ends with the process
+	p.logCounters()
+	p.log.Info().Str("event", "left").Int("in-hand", p.inFlight()).Msg("")
 }
 
-func (p *Proxy) inHand() int {
+func (p *Proxy) inFlight() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life.InFlight()
+	return p.coordinator.InFlight()
 }
 
-func (p *Proxy) ready(w http.ResponseWriter, r *http.Request) {
+func (p *Proxy) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/ready" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if p.leaving.Load() || p.doc.Load() == nil || !p.hasList() {
+	if p.shuttingDown.Load() || p.config.Load() == nil || !p.hasCompleteList() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (p *Proxy) hasList() bool {
+func (p *Proxy) hasCompleteList() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.listed
+	return p.listComplete
 }
 
-// merged takes over what the agent told.
-func (p *Proxy) merged() {
-	doc := p.board.Document()
-	was := p.doc.Load()
-	if doc != nil && was != nil && doc.Version < was.Version {
-		invariant.Violated(invariant.VersionRises, "version %d after %d", doc.Version, was.Version)
+// onMerge applies the state received from the agent.
+func (p *Proxy) onMerge() {
+	config := p.replica.Document()
+	previous := p.config.Load()
+	if config != nil && previous != nil && config.Version < previous.Version {
+		invariant.Violated(invariant.VersionRises, "version %d after %d", config.Version, previous.Version)
 	}
-	if doc != nil && (was == nil || doc.Version > was.Version) {
-		p.doc.Store(doc)
-		p.sight.configured(p.now())
-		p.log.Info().Str("event", "configuration").Uint64("version", doc.Version).Int("routes", len(doc.Routes)).Msg("")
+	if config != nil && (previous == nil || config.Version > previous.Version) {
+		p.config.Store(config)
+		p.observability.configurationChanged(p.now())
+		p.log.Info().Str("event", "configuration").Uint64("version", config.Version).Int("routes", len(config.Routes)).Msg("")
 	}
-	var gen uint64
+	var generation uint64
 	var entries []registry.Entry
-	whole := false
-	p.board.WithRegistry(func(r *registry.Registry) bool {
-		gen, whole = r.Generation(), r.Complete()
-		if gen != p.gen {
+	complete := false
+	p.replica.WithRegistry(func(r *registry.Registry) bool {
+		generation, complete = r.Generation(), r.Complete()
+		if generation != p.generation {
 			for e := range r.All() {
 				entries = append(entries, e)
 			}
 		}
 		return false
 	})
-	n := p.board.MixerCount()
-	p.sight.told(p.now())
-	spent := p.board.SlackSpent()
-	p.do(func() {
-		follow := n != p.mixers || doc != was
-		p.mixers = n
-		p.life.SetMixerCount(n)
-		p.life.Budget().SetSlackSpent(spent)
-		if gen != p.gen {
-			p.gen = gen
-			p.list(entries)
+	mixers := p.replica.MixerCount()
+	p.observability.agentAnswered(p.now())
+	slackSpent := p.replica.SlackSpent()
+	p.handle(func() {
+		reconfigure := mixers != p.mixerCount || config != previous
+		p.mixerCount = mixers
+		p.coordinator.SetMixerCount(mixers)
+		p.coordinator.Budget().SetSlackSpent(slackSpent)
+		if generation != p.generation {
+			p.generation = generation
+			p.setSearchers(entries)
 		}
-		if follow {
-			p.followPools()
+		if reconfigure {
+			p.reconfigurePools()
 		}
-		p.listed = p.listed || whole
+		p.listComplete = p.listComplete || complete
 	})
 }
 
-// list hands over the searchers. Silent ones count as ready: a stale entry costs a try, a missing one the service.
-func (p *Proxy) list(entries []registry.Entry) {
-	hosts := make([]request.Searcher, 0, len(entries))
+// setSearchers passes the list of searchers to the coordinator and retires the pools of removed ones. Silent searchers count as
+// ready: a stale entry costs one attempt, a missing entry makes the service unavailable.
+func (p *Proxy) setSearchers(entries []registry.Entry) {
+	searchers := make([]request.Searcher, 0, len(entries))
 	ids := make(map[string]bool, len(entries))
 	for i := range entries {
 		e := &entries[i]
 		if distribution.Reserved(e.Plant) {
 			continue // a mixer, not a searcher
 		}
-		st := policy.Ready
+		state := policy.Ready
 		if e.State != registry.Ready {
-			st = policy.Draining
+			state = policy.Draining
 		}
-		hosts = append(hosts, request.Searcher{ID: e.ID, Address: e.Address, Service: e.Plant, State: st, Calls: e.Calls, Silent: e.Silent,
-			Distance: p.set.Far(e.Zone)})
+		searchers = append(searchers, request.Searcher{ID: e.ID, Address: e.Address, Service: e.Plant, State: state,
+			Calls: e.Calls, Silent: e.Silent, Distance: p.settings.Far(e.Zone)})
 		ids[e.ID] = true
 	}
-	p.hosts = hosts
-	p.life.SetSearchers(hosts)
+	p.searchers = searchers
+	p.coordinator.SetSearchers(searchers)
 	for id, pool := range p.pools {
 		if !ids[id] {
 			delete(p.pools, id)
@@ -225,99 +229,102 @@
 
 func (p *Proxy) now() time.Duration { return time.Since(p.start) }
 
-// pulse moves the clock of what decides, so that it notices when the process did not run.
-func (p *Proxy) pulse(ctx context.Context) {
-	periodic.Each(ctx, request.MaxAdvanceInterval, func() { p.do(func() {}) })
+// advancePeriodically advances the coordinator's clock, so that the coordinator detects intervals in which the process did not run.
+func (p *Proxy) advancePeriodically(ctx context.Context) {
+	periodic.Each(ctx, request.MaxAdvanceInterval, func() { p.handle(func() {}) })
 }
 
-// due is the clock's call.
-func (p *Proxy) due() {
+// onTimer is called when the coordinator's next timer is due.
+func (p *Proxy) onTimer() {
 	p.mu.Lock()
-	p.armed = 0
+	p.timerDue = 0
 	p.mu.Unlock()
-	p.do(func() {})
+	p.handle(func() {})
 }
 
-// do hands the request an event and carries out what comes of it.
-func (p *Proxy) do(event func()) {
+// handle applies an event to the coordinator and carries out the resulting actions.
+func (p *Proxy) handle(event func()) {
 	var buf [8]request.Action
-	acts, exhausted := p.step(event, buf[:0])
-	p.explainExhausted(exhausted)
-	for _, a := range acts {
+	actions, refusals := p.decide(event, buf[:0])
+	p.logBudgetRefusals(refusals)
+	for _, action := range actions {
 		switch {
-		case a.Dispatch.Data == nil: // a fault came before it was made ready, and has ended its request
-		case a.Cancel:
-			a.Dispatch.Data.(*sending).call.Cancel()
+		case action.Dispatch.Data == nil: // a fault occurred before it was prepared, and has ended its request
+		case action.Cancel:
+			action.Dispatch.Data.(*outgoing).exchange.Cancel()
 		default:
-			go p.send(a.Dispatch)
+			go p.send(action.Dispatch)
 		}
 	}
 }
 
-// step hands over an event under the lock. It gives what is to be done, and the services whose retry budget was found exhausted.
-func (p *Proxy) step(event func(), into []request.Action) (acts []request.Action, exhausted []retrybudget.Refusal) {
+// decide applies an event under the lock. It returns the actions to carry out and the services that were
+// refused a retry because their budget was exhausted.
+func (p *Proxy) decide(event func(), into []request.Action) (actions []request.Action, refusals []retrybudget.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Each by itself: a fault in what is due must not lose the event.
-	acts = append(into, p.guard(func() { p.life.Advance(p.now()) })...)
-	acts = append(acts, p.guard(event)...)
-	calledOff := len(acts)
-	faults := p.guard(func() {
-		acts = p.life.TakeActions(acts)
-		for _, a := range acts[calledOff:] {
-			if !a.Cancel {
-				p.prepare(a.Dispatch)
+	// Guarded separately, so that a fault in a due timer does not lose the event.
+	actions = append(into, p.runGuarded(func() { p.coordinator.Advance(p.now()) })...)
+	actions = append(actions, p.runGuarded(event)...)
+	before := len(actions)
+	cancelled := p.runGuarded(func() {
+		actions = p.coordinator.TakeActions(actions)
+		for _, action := range actions[before:] {
+			if !action.Cancel {
+				p.prepare(action.Dispatch)
 			}
 		}
 	})
-	p.arm()
-	return append(acts, faults...), p.life.Budget().TakeRefusals()
+	p.armTimer()
+	return append(actions, cancelled...), p.coordinator.Budget().TakeRefusals()
 }
 
-// guard has something decided, and gives what a fault in it wants called off.
-func (p *Proxy) guard(decide func()) (calledOff []request.Action) {
+// runGuarded runs a function of the coordinator and returns the cancellations that result if it panics.
+func (p *Proxy) runGuarded(run func()) (cancelled []request.Action) {
 	defer func() {
 		if e := recover(); e != nil {
-			calledOff = p.restart(e)
+			cancelled = p.recoverFrom(e)
 		}
 	}()
-	decide()
+	run()
 	return nil
 }
 
-// restart keeps a fault in what decides from ending the process. One in the module of one set of services ends what is in hand
-// for that set; any other ends all that is in hand, and a new life starts with the list as known and what is left of the retry
-// budget. What ends does so as if it may have run, and is called off. The lock is held.
-func (p *Proxy) restart(why any) []request.Action {
-	p.sight.restarts.Add(1)
-	acts, contained := p.life.Contain()
-	p.log.Error().Str("event", "panic").Any("why", why).Bool("contained", contained).Bytes("stack", debug.Stack()).Msg("")
+// recoverFrom keeps a panic in the coordinator from ending the process. A fault in the policy engine of one set of services ends the
+// requests in flight for that set. Any other fault ends all requests in flight, and a new coordinator starts with the known list of
+// searchers and the remaining retry budget. These requests end as if they may have run, and their dispatches are cancelled.
+// The caller must hold the lock.
+func (p *Proxy) recoverFrom(panicValue any) []request.Action {
+	p.observability.restarts.Add(1)
+	actions, contained := p.coordinator.Contain()
+	p.log.Error().Str("event", "panic").Any("why", panicValue).Bool("contained", contained).Bytes("stack", debug.Stack()).Msg("")
 	if contained {
-		return acts
+		return actions
 	}
-	old := p.life
-	p.life, p.armed = p.newLife(old), 0
-	p.life.SetMixerCount(p.mixers)
-	p.life.SetSearchers(p.hosts)
-	return old.Abandon()
+	failed := p.coordinator
+	p.coordinator, p.timerDue = p.newCoordinator(failed), 0
+	p.coordinator.SetMixerCount(p.mixerCount)
+	p.coordinator.SetSearchers(p.searchers)
+	return failed.Abandon()
 }
 
-func (p *Proxy) arm() {
-	next, ok := p.life.NextTimer()
-	if !ok || p.armed != 0 && p.armed <= next {
+func (p *Proxy) armTimer() {
+	next, ok := p.coordinator.NextTimer()
+	if !ok || p.timerDue != 0 && p.timerDue <= next {
 		return
 	}
-	p.armed = max(next, 1)
-	p.clock.Reset(max(0, next-p.now()))
+	p.timerDue = max(next, 1)
+	p.timer.Reset(max(0, next-p.now()))
 }
 
-func (p *Proxy) tally() {
+func (p *Proxy) logCounters() {
 	p.mu.Lock()
-	c, n := p.life.Counts, p.life.InFlight()
-	p.life.CheckBalance()
+	counts, inFlight := p.coordinator.Counts, p.coordinator.InFlight()
+	p.coordinator.CheckBalance()
 	p.mu.Unlock()
-	p.log.Info().Str("event", "tally").Int("taken", c.Taken).Int("relayed", c.Relayed).Int("gathered", c.Gathered).
-		Int("partial", c.Partial).Int("refused", c.Refused).Int("failed", c.Failed).Int("left", c.ClientsLeft).
-		Int("sent", c.Sent).Int("further", c.Retries).Int("in-hand", n).Ints("outcomes", c.Outcomes[:]).Ints("far", c.ByDistance[:]).
-		Uint64("probes-first", p.probes.First.Load()).Uint64("probes-old", p.probes.Old.Load()).Int64("probes-took-ms", p.probes.TotalNanoseconds.Load()/int64(time.Millisecond)).Msg("")
+	p.log.Info().Str("event", "tally").Int("taken", counts.Taken).Int("relayed", counts.Relayed).Int("gathered", counts.Gathered).
+		Int("partial", counts.Partial).Int("refused", counts.Refused).Int("failed", counts.Failed).Int("left", counts.ClientsLeft).
+		Int("sent", counts.Sent).Int("further", counts.Retries).Int("in-hand", inFlight).Ints("outcomes", counts.Outcomes[:]).
+		Ints("far", counts.ByDistance[:]).Uint64("probes-first", p.probes.First.Load()).Uint64("probes-old", p.probes.Old.Load()).
+		Int64("probes-took-ms", p.probes.TotalNanoseconds.Load()/int64(time.Millisecond)).Msg("")
 }
--- a/proxy/restart_test.go
+++ b/proxy/restart_test.go
@@ -23,22 +23,22 @@
 	t.Helper()
 	const slack = 8 // of which one life of the only mixer may spend half
 	q := New(&settings.Settings{RetrySlack: slack, RetryWindow: time.Hour, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
-	doc, err := manifest.Parse([]byte(`{"config-version":1,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent",` +
+	config, err := manifest.Parse([]byte(`{"config-version":1,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent",` +
 		`"horizon-ms":2000,"setpoint-ms":200,"plant":"s","retries":2}],"plants":[{"name":"s"}]}`))
 	must.NoError(t, err)
-	q.doc.Store(doc)
+	q.config.Store(config)
 	ledger := &faulty.Ledger{}
-	var hosts []request.Searcher
+	var searchers []request.Searcher
 	for range 2 {
 		s, err := faulty.Start(faulty.Options{Ledger: ledger, Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Way: faulty.Refuse} }})
 		must.NoError(t, err)
 		t.Cleanup(s.Close)
-		hosts = append(hosts, request.Searcher{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready})
+		searchers = append(searchers, request.Searcher{ID: s.ID(), Address: s.Addr(), Service: "s", State: policy.Ready})
 	}
-	q.do(func() {
-		q.mixers, q.hosts = 1, hosts
-		q.life.SetMixerCount(1)
-		q.life.SetSearchers(hosts)
+	q.handle(func() {
+		q.mixerCount, q.searchers = 1, searchers
+		q.coordinator.SetMixerCount(1)
+		q.coordinator.SetSearchers(searchers)
 	})
 	return q, ledger
 }
@@ -71,7 +71,7 @@
 	spent := further(q, ledger, "before-", requests)
 	must.Positive(t, spent)
 	for i := range 3 {
-		q.do(func() { panic("planted") })
+		q.handle(func() { panic("planted") })
 		spent += further(q, ledger, fmt.Sprintf("after-%d-", i), requests)
 	}
 	must.LessEq(t, allowed, spent)
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -12,147 +12,149 @@
 	"peathollow/request"
 )
 
-// sending is a dispatch under way.
-type sending struct {
-	call upstream.Exchange
-	pool *upstream.Pool
+// outgoing is the state of a dispatch that is being sent. It is stored in request.Dispatch.Data.
+type outgoing struct {
+	exchange upstream.Exchange
+	pool     *upstream.Pool
 }
 
-// taken is a client's request as it was read.
-type taken struct {
+// clientRequest is a client's request after its body has been read.
+type clientRequest struct {
 	upstream.Request
-	until time.Time // the client's deadline
+	deadline time.Time
 }
 
-// deadlineSlack is by how much a dispatch may end after its client's deadline: the request is told of the time left a
-// moment after it was read.
+// deadlineSlack is how much later than its client's deadline a dispatch may end: the coordinator learns of the remaining time
+// slightly after the request was read.
 const deadlineSlack = 200 * time.Millisecond
 
-// prepare makes a dispatch ready to be sent; the lock is held.
-func (p *Proxy) prepare(d *request.Dispatch) {
-	t := d.Request.Data.(*taken)
-	s := &sending{pool: p.pool(d.Searcher)}
-	s.call.Request = t.Request
-	s.call.Target = d.Searcher.ID
-	if d.AddressTrusted {
-		s.call.AddressConfirmedUntil = time.Now().Add(vouchedFor)
+// prepare makes a dispatch ready for sending. The caller must hold the lock.
+func (p *Proxy) prepare(dispatch *request.Dispatch) {
+	client := dispatch.Request.Data.(*clientRequest)
+	sending := &outgoing{pool: p.pool(dispatch.Searcher)}
+	sending.exchange.Request = client.Request
+	sending.exchange.Target = dispatch.Searcher.ID
+	if dispatch.AddressTrusted {
+		sending.exchange.AddressConfirmedUntil = time.Now().Add(addressTrustTTL)
 	}
-	s.call.Deadline = p.start.Add(d.Deadline)
-	s.call.AdvertisedDeadline = t.until
-	if over := s.call.Deadline.Sub(t.until); over > deadlineSlack {
-		invariant.Violated(invariant.DeadlineWithinClients, "searcher %s: %v past the client's", d.Searcher.ID, over)
+	sending.exchange.Deadline = p.start.Add(dispatch.Deadline)
+	sending.exchange.AdvertisedDeadline = client.deadline
+	if excess := sending.exchange.Deadline.Sub(client.deadline); excess > deadlineSlack {
+		invariant.Violated(invariant.DeadlineWithinClients, "searcher %s: %v past the client's", dispatch.Searcher.ID, excess)
 	}
-	d.Data = s
+	dispatch.Data = sending
 }
 
-func (p *Proxy) pool(h *request.Searcher) *upstream.Pool {
-	pool := p.pools[h.ID]
+func (p *Proxy) pool(searcher *request.Searcher) *upstream.Pool {
+	pool := p.pools[searcher.ID]
 	if pool == nil {
-		o := upstream.Options{ConfirmationTTL: p.set.ReuseDelay * vouchShare / 4, Probes: &p.probes}
-		o.MaxConns, o.ProbePath = p.poolBounds(h.Service)
-		pool = upstream.NewPool(h.Address, o)
-		p.pools[h.ID] = pool
+		options := upstream.Options{ConfirmationTTL: p.settings.ReuseDelay * confirmationQuarters / 4, Probes: &p.probes}
+		options.MaxConns, options.ProbePath = p.poolBounds(searcher.Service)
+		pool = upstream.NewPool(searcher.Address, options)
+		p.pools[searcher.ID] = pool
 	}
 	return pool
 }
 
-// poolBounds gives how many connections this proxy may open to a searcher of a service, 0 if that is not told, and where one is probed.
-func (p *Proxy) poolBounds(service string) (connMost int, probePath string) {
-	doc := p.doc.Load()
-	if doc == nil || doc.Services[service] == nil {
+// poolBounds returns how many connections this proxy may open to a searcher of a service, or 0 if no limit is known, and the path
+// at which the searcher is probed.
+func (p *Proxy) poolBounds(service string) (maxConns int, probePath string) {
+	config := p.config.Load()
+	if config == nil || config.Services[service] == nil {
 		return 0, ""
 	}
-	plant := doc.Services[service]
-	if plant.ConnLimit > 0 {
-		connMost = connShare(plant.ConnLimit, p.mixers)
+	serviceConfig := config.Services[service]
+	if serviceConfig.ConnLimit > 0 {
+		maxConns = connShare(serviceConfig.ConnLimit, p.mixerCount)
 	}
-	return connMost, plant.ProbePath
+	return maxConns, serviceConfig.ProbePath
 }
 
-// followPools has the pools go by the configuration and the count of mixers of the moment: both may have been others, or not known yet,
-// when a pool was made. The lock is held.
-func (p *Proxy) followPools() {
-	for i := range p.hosts {
-		if pool := p.pools[p.hosts[i].ID]; pool != nil {
-			pool.Reconfigure(p.poolBounds(p.hosts[i].Service))
+// reconfigurePools applies the current configuration and mixer count to the pools: both may have been different, or not yet known,
+// when a pool was created. The caller must hold the lock.
+func (p *Proxy) reconfigurePools() {
+	for i := range p.searchers {
+		if pool := p.pools[p.searchers[i].ID]; pool != nil {
+			pool.Reconfigure(p.poolBounds(p.searchers[i].Service))
 		}
 	}
 }
 
-// vouchedFor is how long after a dispatch was decided on the list still vouches for the address: a process that is stopped in between
-// knows of nothing that came meanwhile.
-const vouchedFor = time.Second
+// addressTrustTTL is how long after the decision to dispatch the address in the list is still trusted: a process that is paused in
+// between misses updates to the list.
+const addressTrustTTL = time.Second
 
-// vouchShare is for how many quarters of the time that an address rests an answer vouches for its searcher: clocks differ in their pace.
-const vouchShare = 3
+// confirmationQuarters is the share, in quarters, of the delay before an address is reused during which a response confirms the
+// searcher at that address. It is below 4 because clocks run at different rates.
+const confirmationQuarters = 3
 
 const (
-	connLeast     = 4
-	connKept      = 0.9 // the rest is for those that have just started
-	mixersUnknown = 16
+	minConns           = 4   // for each mixer, whatever its share
+	sharedConnFraction = 0.9 // the rest is for mixers that have just started
+	assumedMixers      = 16  // while the number of mixers is unknown
 )
 
-// connShare is how many connections of those that a searcher accepts from all mixers one may open.
+// connShare returns how many connections to a searcher one mixer may open, given how many the searcher accepts from all mixers.
 func connShare(limit, mixers int) int {
 	if mixers <= 0 {
-		mixers = mixersUnknown
+		mixers = assumedMixers
 	}
-	return max(connLeast, int(connKept*float64(limit)/float64(mixers)))
+	return max(minConns, int(sharedConnFraction*float64(limit)/float64(mixers)))
 }
 
-// send carries a dispatch to its end.
-func (p *Proxy) send(d *request.Dispatch) {
-	s := d.Data.(*sending)
-	a := s.pool.Do(&s.call)
-	out := outcome(&a, d)
-	if a.Outcome != upstream.Answered {
-		p.log.Debug().Str("event", "sent").Str("searcher", s.call.Target).Str("outcome", a.Outcome.String()).Int("status", a.Status).
-			Err(a.Err).Msg("")
+// send sends a dispatch and reports its result to the coordinator.
+func (p *Proxy) send(dispatch *request.Dispatch) {
+	sending := dispatch.Data.(*outgoing)
+	response := sending.pool.Do(&sending.exchange)
+	outcome := policyOutcome(&response, dispatch)
+	if response.Outcome != upstream.Answered {
+		p.log.Debug().Str("event", "sent").Str("searcher", sending.exchange.Target).Str("outcome", response.Outcome.String()).
+			Int("status", response.Status).Err(response.Err).Msg("")
 	}
-	if a.Misdirected() {
-		p.explainMisdirected(d.Searcher, &a)
+	if response.Misdirected() {
+		p.logMisdirected(dispatch.Searcher, &response)
 	}
-	p.do(func() {
-		if a.Misdirected() {
-			p.life.ReportMisdirected(d.Searcher, a.Wrote)
+	p.handle(func() {
+		if response.Misdirected() {
+			p.coordinator.ReportMisdirected(dispatch.Searcher, response.Wrote)
 		}
-		if a.Unreachable {
-			p.life.ReportUnreachable(d.Searcher)
+		if response.Unreachable {
+			p.coordinator.ReportUnreachable(dispatch.Searcher)
 		}
-		p.life.Returned(d, out, reading(&a), reply(&a))
+		p.coordinator.Returned(dispatch, outcome, readStatus(&response), clientReply(&response))
 	})
 }
 
-// reading says whether a searcher has read a dispatch.
-func reading(a *upstream.Response) request.ReadStatus {
+// readStatus reports whether a searcher has read a dispatch.
+func readStatus(response *upstream.Response) request.ReadStatus {
 	switch {
-	case !a.Wrote:
+	case !response.Wrote:
 		return request.NotRead
-	case a.Outcome == upstream.Answered || a.Outcome == upstream.NotExecuted:
+	case response.Outcome == upstream.Answered || response.Outcome == upstream.NotExecuted:
 		return request.WasRead
 	}
 	return request.MaybeRead
 }
 
-// outcome says in the module's words what became of a dispatch.
-func outcome(a *upstream.Response, d *request.Dispatch) policy.Outcome {
-	switch a.Outcome {
+// policyOutcome maps the result of a dispatch to an outcome of the dispatch policy.
+func policyOutcome(response *upstream.Response, dispatch *request.Dispatch) policy.Outcome {
+	switch response.Outcome {
 	case upstream.Answered:
-		if promises(a.Status) {
+		if promisesNotExecuted(response.Status) {
 			return policy.Failed
 		}
-		if a.Status >= 200 && a.Status < 300 || a.Status < 500 && len(d.Request.Route.FanOut) == 0 {
+		if response.Status >= 200 && response.Status < 300 || response.Status < 500 && len(dispatch.Request.Route.FanOut) == 0 {
 			return policy.Succeeded
 		}
 		return policy.Failed
 	case upstream.NotExecuted:
-		if a.Misdirected() {
+		if response.Misdirected() {
 			return policy.Unreachable
 		}
 		return policy.Overloaded
 	case upstream.ConnectFailed, upstream.InvalidRequest:
-		if errors.Is(a.Err, upstream.ErrFull) {
-			return policy.Overloaded // our own share of its connections is in use: it is there, and busy
+		if errors.Is(response.Err, upstream.ErrFull) {
+			return policy.Overloaded // our own share of its connections is in use: it is reachable, and busy
 		}
 		return policy.Unreachable
 	case upstream.ConnectionLost:
@@ -160,7 +162,7 @@
 	case upstream.TimedOut:
 		return policy.TimedOut
 	case upstream.Cancelled:
-		if !a.Wrote {
+		if !response.Wrote {
 			return policy.Expired
 		}
 		return policy.Cancelled
@@ -168,9 +170,9 @@
 	return policy.Failed
 }
 
-// promises tells of the statuses that tell a client that its request has not run and never will. A searcher that gives one
-// without proof has run it, and the client must not be told otherwise.
-func promises(status int) bool {
+// promisesNotExecuted reports whether a status promises the client that its request has not run and never will. A searcher that
+// sends one without proof has run the request, so the status must not reach the client.
+func promisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -178,14 +180,14 @@
 	return false
 }
 
-// reply keeps what may reach a client.
-func reply(a *upstream.Response) *request.Reply {
-	if a.Outcome != upstream.Answered || promises(a.Status) {
+// clientReply returns the response that may be sent to the client, or nil if there is none.
+func clientReply(response *upstream.Response) *request.Reply {
+	if response.Outcome != upstream.Answered || promisesNotExecuted(response.Status) {
 		return nil
 	}
-	r := &request.Reply{Status: a.Status, Seal: a.Seal, Body: a.Body}
-	for _, h := range a.Headers {
-		r.Headers = append(r.Headers, request.Header(h))
+	reply := &request.Reply{Status: response.Status, Seal: response.Seal, Body: response.Body}
+	for _, h := range response.Headers {
+		reply.Headers = append(reply.Headers, request.Header(h))
 	}
-	return r
+	return reply
 }
--- /dev/null
+++ b/proxy/timeouts.go
@@ -0,0 +1,86 @@
+package proxy
+
+import (
+	"net"
+	"time"
+)
+
+// The configuration sets the timeouts for reading a client's header and for idle connections, and may change while connections are
+// open. net/http reads its own timeouts without a lock, so it is given two fixed placeholders, one for the header timeout and one for
+// the idle timeout. Each connection replaces a placeholder by the current timeout when net/http sets a deadline.
+const (
+	idleTimeoutPlaceholder   = 2 * time.Hour
+	headerTimeoutPlaceholder = time.Hour
+
+	defaultIdleTimeout   = 15 * time.Second
+	defaultHeaderTimeout = 3 * time.Second
+
+	// Clients keep to the timeouts that they know. A change may not have reached them yet, or may have come while a connection was
+	// idle, so the configured values are the least that clients are given.
+	idleTimeoutFactor  = 2
+	headerTimeoutSlack = time.Second
+	maxTimeout         = 10 * time.Minute
+)
+
+// timeouts returns the header and idle timeouts that the proxy currently enforces.
+func (p *Proxy) timeouts() (header, idle time.Duration) {
+	header, idle = defaultHeaderTimeout, defaultIdleTimeout
+	if config := p.config.Load(); config != nil {
+		if config.Limits.HeaderTimeout > 0 {
+			header = config.Limits.HeaderTimeout
+		}
+		if config.Limits.IdleTimeout > 0 {
+			idle = config.Limits.IdleTimeout
+		}
+	}
+	return min(header+headerTimeoutSlack, maxTimeout), min(idle*idleTimeoutFactor, maxTimeout)
+}
+
+// timeoutListener accepts connections that apply the current timeouts.
+type timeoutListener struct {
+	net.Listener
+	timeouts func() (header, idle time.Duration)
+}
+
+func (l timeoutListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &timeoutConn{Conn: c, timeouts: l.timeouts}, nil
+}
+
+type timeoutConn struct {
+	net.Conn
+	timeouts           func() (header, idle time.Duration)
+	writeDeadlineSetAt time.Time // when the write deadline was last set; used only by the goroutine that writes
+}
+
+// writeDeadlineInterval is how often the write deadline is renewed. A client is given at least the idle timeout less this interval.
+const writeDeadlineInterval = time.Second
+
+// Write renews the write deadline, so that a client that reads nothing of its answer for the idle timeout is dropped.
+func (c *timeoutConn) Write(b []byte) (int, error) {
+	if now := time.Now(); now.Sub(c.writeDeadlineSetAt) > writeDeadlineInterval {
+		_, idle := c.timeouts()
+		if err := c.Conn.SetWriteDeadline(now.Add(idle)); err != nil {
+			return 0, err
+		}
+		c.writeDeadlineSetAt = now
+	}
+	return c.Conn.Write(b)
+}
+
+// SetReadDeadline replaces a placeholder deadline by one that uses the current timeout.
+func (c *timeoutConn) SetReadDeadline(t time.Time) error {
+	if !t.IsZero() {
+		header, idle := c.timeouts()
+		switch remaining := time.Until(t); {
+		case remaining > (idleTimeoutPlaceholder+headerTimeoutPlaceholder)/2:
+			t = time.Now().Add(idle)
+		case remaining > headerTimeoutPlaceholder/2:
+			t = time.Now().Add(header)
+		}
+	}
+	return c.Conn.SetReadDeadline(t)
+}
--- a/proxy/limits_test.go
+++ b/proxy/timeouts_test.go
@@ -22,8 +22,8 @@
 		head.Store(int64(3 * time.Second))
 		rest.Store(int64(10 * time.Second))
 		ln := make(pipes.Listener)
-		s := &http.Server{ReadHeaderTimeout: headSign, IdleTimeout: restSign, Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
-		go s.Serve(limitedListener{ln, func() (time.Duration, time.Duration) {
+		s := &http.Server{ReadHeaderTimeout: headerTimeoutPlaceholder, IdleTimeout: idleTimeoutPlaceholder, Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
+		go s.Serve(timeoutListener{ln, func() (time.Duration, time.Duration) {
 			return time.Duration(head.Load()), time.Duration(rest.Load())
 		}})
 		defer s.Close()
@@ -63,10 +63,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		const rest, size = 10 * time.Second, 100 << 10
 		ln := make(pipes.Listener)
-		s := &http.Server{ReadHeaderTimeout: headSign, IdleTimeout: restSign, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		s := &http.Server{ReadHeaderTimeout: headerTimeoutPlaceholder, IdleTimeout: idleTimeoutPlaceholder, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Write(make([]byte, size))
 		})}
-		go s.Serve(limitedListener{ln, func() (time.Duration, time.Duration) { return time.Second, rest }})
+		go s.Serve(timeoutListener{ln, func() (time.Duration, time.Duration) { return time.Second, rest }})
 		defer s.Close()
 		ln.ReadsNothing(t, size, rest)
 	})
