--- a/proxy/changes_test.go
+++ b/proxy/changes_test.go
@@ -16,63 +16,63 @@
 	"peathollow/registry"
 )
 
-// TestDrain: once the list says that a searcher is leaving, nothing more goes there; what it has in hand is answered.
+// TestDrain: once the list marks a searcher as draining, it gets no new dispatches, and its dispatches in flight are answered.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
-	hold, at := make(chan struct{}), make(chan bool, 99)
-	leaving := r.Searcher("s", faulty.Options{Script: func(faulty.Call) faulty.Reply { at <- true; return faulty.Reply{Hold: hold} }})
+	hold, arrived := make(chan struct{}), make(chan bool, 99)
+	draining := r.Searcher("s", faulty.Options{Script: func(faulty.Call) faulty.Reply { arrived <- true; return faulty.Reply{Hold: hold} }})
 	r.Put(rig.Route{Prefix: "/", Plant: "s", Mode: "non_idempotent"}, rig.Route{Name: "g", Prefix: "/g/", FanOut: []string{"s"}, TopK: 3})
-	for _, path := range []string{"/", "/g/"} { // two sets of services: both must know
+	for _, path := range []string{"/", "/g/"} { // two sets of services: both must learn of it
 		c := r.Dial()
 		defer c.Close()
 		c.Send(rig.Request{Path: path})
-		<-at
+		<-arrived
 		defer func() { must.Eq(t, 200, c.Read().Status) }()
 	}
 	defer close(hold)
 	r.Searcher("s", faulty.Options{})
-	r.Tell("s", leaving.ID(), leaving.Addr(), registry.Draining)
+	r.Tell("s", draining.ID(), draining.Addr(), registry.Draining)
 	r.Sync()
 	for range 20 {
 		must.Eq(t, 200, r.Do(rig.Request{Path: "/"}).Status)
 		must.Eq(t, 200, r.Do(rig.Request{Path: "/g/"}).Status)
 	}
 	for _, e := range r.Ledger.Entries()[2:] {
-		must.NotEq(t, leaving.ID(), e.Searcher)
+		must.NotEq(t, draining.ID(), e.Searcher)
 	}
 	r.Judge()
 }
 
-// TestListChangesUnderADispatch: what the list says of a searcher changes while a dispatch is out there, which then ends
-// by its time. Under the race detector it shows whether the end is told without the lock.
-func TestListChangesUnderADispatch(t *testing.T) {
+// TestListChangesDuringDispatch: the list entry of a searcher changes while a dispatch to it is in flight, which then times out.
+// Under the race detector the test shows whether the end of the dispatch is reported without the lock.
+func TestListChangesDuringDispatch(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
-	hold, at := make(chan struct{}), make(chan bool, 9)
-	s := r.Searcher("s", faulty.Options{Script: func(faulty.Call) faulty.Reply { at <- true; return faulty.Reply{Hold: hold} }})
+	hold, arrived := make(chan struct{}), make(chan bool, 9)
+	s := r.Searcher("s", faulty.Options{Script: func(faulty.Call) faulty.Reply { arrived <- true; return faulty.Reply{Hold: hold} }})
 	defer close(hold)
 	r.Put(rig.Route{Prefix: "/", Plant: "s", Mode: "non_idempotent"})
 	c := r.Dial()
 	defer c.Close()
 	c.Send(rig.Request{Path: "/", DeadlineMs: 700})
-	<-at
+	<-arrived
 	r.Tell("s", s.ID(), s.Addr(), registry.Draining)
 	r.Sync()
 	must.Eq(t, 504, c.Read().Status)
 	r.Judge()
 }
 
-// TestConfig: a version is in force for all requests that come after it, the version never goes back, and what is in
-// hand ends as its own version has it.
+// TestConfig: a configuration version applies to all requests that arrive after it, the version never goes back, and requests in
+// flight end under the version that they started with.
 func TestConfig(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
-	must.False(t, r.IsReady()) // clients would get nothing here yet
-	hold, at := make(chan struct{}), make(chan bool, 9)
+	must.False(t, r.IsReady()) // clients could not be served yet
+	hold, arrived := make(chan struct{}), make(chan bool, 9)
 	r.Searcher("old", faulty.Options{Script: func(c faulty.Call) faulty.Reply {
 		if c.Path == "/moves/held" {
-			at <- true
+			arrived <- true
 			return faulty.Reply{Hold: hold}
 		}
 		return faulty.Reply{}
@@ -84,7 +84,7 @@
 	c := r.Dial()
 	defer c.Close()
 	c.Send(rig.Request{Path: "/moves/held"})
-	<-at
+	<-arrived
 	must.Eq(t, 200, r.Do(rig.Request{Path: "/goes/"}).Status)
 	must.Eq(t, 404, r.Do(rig.Request{Path: "/comes/"}).Status)
 	r.Put(rig.Route{Name: "moves", Prefix: "/moves/", Plant: "new"}, rig.Route{Name: "comes", Prefix: "/comes/", Plant: "new"})
@@ -96,7 +96,7 @@
 		must.Eq(t, 404, gone.Status)
 		if i == 1 {
 			r.Stale(before...)
-			r.Searcher("new", faulty.Options{}) // news, so that Sync sees the proxy take it over
+			r.Searcher("new", faulty.Options{}) // a list update, so that Sync waits for the proxy to apply it
 			r.Sync()
 		}
 	}
@@ -106,15 +106,15 @@
 	must.StrHasPrefix(t, "seal.i-old", a.Header.Get("Answer-Seal"))
 }
 
-// TestLost: from SIGTERM on the platform is told, the door stays open, clients are asked to go elsewhere after their
-// answer, and whatever was taken is finished.
-func TestLost(t *testing.T) {
+// TestShutdownAnswersEverything: from SIGTERM on the proxy reports that it is not ready, still accepts connections, asks clients
+// to close their connection after the answer, and finishes all accepted requests.
+func TestShutdownAnswersEverything(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, 6*time.Second)
-	hold, at := make(chan struct{}), make(chan bool, 9)
+	hold, arrived := make(chan struct{}), make(chan bool, 9)
 	r.Searcher("s", faulty.Options{Script: func(c faulty.Call) faulty.Reply {
 		if c.Path == "/held" {
-			at <- true
+			arrived <- true
 			return faulty.Reply{Hold: hold}
 		}
 		return faulty.Reply{}
@@ -125,7 +125,7 @@
 	defer early.Close()
 	defer kept.Close()
 	early.Send(rig.Request{Path: "/held"})
-	<-at
+	<-arrived
 	kept.Send(rig.Request{Path: "/"})
 	must.False(t, kept.Read().Close)
 	r.Terminate()
@@ -140,7 +140,7 @@
 	late := r.Dial()
 	defer late.Close()
 	late.Send(rig.Request{Path: "/held"})
-	<-at
+	<-arrived
 	close(hold)
 	must.Eq(t, 200, early.Read().Status)
 	must.Eq(t, 200, late.Read().Status)
@@ -150,53 +150,56 @@
 	r.Judge()
 }
 
-// TestRoll: while searchers and versions are replaced under load, what an orderly change allows to be served is served.
-func TestRoll(t *testing.T) {
+// TestRollingReplacement: searchers and configuration versions are replaced under load. No request fails when the change is
+// orderly.
+func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
-	half := 1.0
-	route := func(v int) []rig.Route {
-		return []rig.Route{{Prefix: "/", Plant: fmt.Sprint("s", v%2), Mode: "non_idempotent"},
-			{Name: "g", Prefix: "/g/", FanOut: []string{fmt.Sprint("s", v%2), "t"}, TopK: 4, Coverage: &half, Retries: 2}}
+	coverage := 1.0
+	routes := func(version int) []rig.Route {
+		return []rig.Route{{Prefix: "/", Plant: fmt.Sprint("s", version%2), Mode: "non_idempotent"},
+			{Name: "g", Prefix: "/g/", FanOut: []string{fmt.Sprint("s", version%2), "t"}, TopK: 4, Coverage: &coverage, Retries: 2}}
 	}
 	for _, s := range []string{"s0", "s1", "t"} {
 		r.Searcher(s, faulty.Options{})
 	}
-	r.Put(route(0)...)
+	r.Put(routes(0)...)
 	var stop atomic.Bool
 	var clients sync.WaitGroup
-	bad := make(chan rig.Answer, 1000)
+	failed := make(chan rig.Answer, 1000)
 	for range 4 {
 		clients.Go(func() {
 			for i := 0; !stop.Load() && i < 400; i++ {
 				if a := r.Do(rig.Request{Path: []string{"/", "/g/"}[i%2]}); a.Err != nil || a.Status != 200 {
-					bad <- a
+					failed <- a
 				}
 			}
 		})
 	}
-	for v := range 8 {
-		was := r.Searcher("t", faulty.Options{})
-		r.Put(route(v)...)
-		r.Tell("t", was.ID(), was.Addr(), registry.Draining)
+	for version := range 8 {
+		replaced := r.Searcher("t", faulty.Options{})
+		r.Put(routes(version)...)
+		r.Tell("t", replaced.ID(), replaced.Addr(), registry.Draining)
 		r.Sync()
 	}
 	stop.Store(true)
 	clients.Wait()
-	if len(bad) > 0 {
-		a := <-bad
-		t.Errorf("%d not served, first: %s %s: %d %v", len(bad)+1, a.Of.ID, a.Of.Path, a.Status, a.Err)
+	if len(failed) > 0 {
+		a := <-failed
+		t.Errorf("%d requests failed, first: %s %s: %d %v", len(failed)+1, a.Of.ID, a.Of.Path, a.Status, a.Err)
 	}
 	r.Judge()
 }
 
-// TestRequestsReachNobodyElse: a request for a searcher whose address has gone to another service's is not sent there, so that it is no
-// arrival beyond what that service's requests allow; the code before found out by sending it, one request or more from each proxy.
+// TestRequestsReachNobodyElse: a request is not sent to a searcher whose address now belongs to a searcher of another
+// service, so the other service gets no more arrivals than its own requests allow. An earlier version detected the change only by
+// sending a request, at least one from each proxy.
 func TestRequestsReachNobodyElse(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	first := r.Searcher("s", faulty.Options{})
-	r.Put(rig.Route{Prefix: "/", Plant: "s", Mode: "idempotent", Retries: 2}, rig.Route{Name: "g", Prefix: "/g/", FanOut: []string{"s", "other"}, TopK: 3})
+	r.Put(rig.Route{Prefix: "/", Plant: "s", Mode: "idempotent", Retries: 2},
+		rig.Route{Name: "g", Prefix: "/g/", FanOut: []string{"s", "other"}, TopK: 3})
 	must.Eq(t, 200, r.Do(rig.Request{Path: "/"}).Status)
 	first.Close()
 	other := r.Searcher("other", faulty.Options{Addr: first.Addr()})
@@ -207,7 +210,7 @@
 	for _, e := range r.Ledger.Entries() {
 		must.True(t, e.ID == "" || e.Searcher != other.ID(), must.Sprintf("%+v", e))
 	}
-	gathered := r.Do(rig.Request{Path: "/g/", DeadlineMs: 500}) // its own part is all that reaches the other service
+	gathered := r.Do(rig.Request{Path: "/g/", DeadlineMs: 500}) // only its own part may reach the other service
 	must.LessEq(t, 1, r.Ledger.Arrived(gathered.Of.ID))
 	r.Searcher("s", faulty.Options{})
 	r.Sync()
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -16,12 +16,12 @@
 	"peathollow/registry"
 )
 
-// TestUnchanged: what a searcher gets is what the client sent, but for what concerns one connection.
+// TestUnchanged: a searcher receives what the client sent, except for fields that concern a single connection.
 func TestUnchanged(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
-	heads := make(chan string, 9)
-	r.Searcher("s", faulty.Options{Script: func(c faulty.Call) faulty.Reply { heads <- c.Head; return faulty.Reply{} }})
+	headers := make(chan string, 9)
+	r.Searcher("s", faulty.Options{Script: func(c faulty.Call) faulty.Reply { headers <- c.Head; return faulty.Reply{} }})
 	r.Put(rig.Route{Prefix: "/", Plant: "s"})
 	for _, q := range []rig.Request{
 		{Path: "/a/%2e%2E//b/../c;p=1?x=%20&&y"}, {Method: "DELETE", Path: "//"}, {Method: "M-SEARCH", Path: "/" + strings.Repeat("x", 9000)},
@@ -33,17 +33,17 @@
 		a := r.Do(q)
 		must.Eq(t, 200, a.Status, must.Sprint(q))
 		must.Eq(t, a.Of.ID, a.Header.Get("Attempt-Id"))
-		head := <-heads
-		must.Eq(t, strings.Count(strings.Join(q.Header, ""), "X-One"), strings.Count(head, "X-One"))
-		must.Eq(t, strings.Contains(strings.Join(q.Header, ""), "X-End"), strings.Contains(head, "X-End: theirs"))
+		header := <-headers
+		must.Eq(t, strings.Count(strings.Join(q.Header, ""), "X-One"), strings.Count(header, "X-One"))
+		must.Eq(t, strings.Contains(strings.Join(q.Header, ""), "X-End"), strings.Contains(header, "X-End: theirs"))
 		for _, hop := range []string{"Keep-Alive", "TE:", "Upgrade", "X-Hop", "Transfer-Encoding", "Connection: keep-alive"} {
-			must.StrNotContains(t, head, hop)
+			must.StrNotContains(t, header, hop)
 		}
 	}
 	r.Judge()
 }
 
-// TestSmuggled: no byte of one request becomes another.
+// TestSmuggled: no bytes of one request are interpreted as another request (request smuggling).
 func TestSmuggled(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
@@ -64,13 +64,14 @@
 		c.Send(rig.Request{Method: "POST", Path: "/" + strings.ReplaceAll(name, " ", "-"), Body: inner, Header: lines})
 		c.Send(rig.Request{Path: "/after"})
 		c.Read()
-		c.Read() // what was read of it as a request would be answered by now
+		c.Read() // anything in the body that was parsed as a request would be answered by now
 		c.Close()
 		must.Eq(t, 0, r.Ledger.Arrived("evil"), must.Sprint(name))
 	}
 }
 
-// TestDenied: a request that the configuration allows is never turned away for its own sake, and one it doesn't is.
+// TestDenied: a request within the configured limits and routes is never rejected, and any other is rejected with the right
+// status.
 func TestDenied(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
@@ -89,7 +90,7 @@
 		{rig.Request{Method: "POST", Path: "/a/", Body: strings.Repeat("x", 1000), Chunked: true}, 200},
 		{rig.Request{Method: "POST", Path: "/a/", Body: strings.Repeat("x", 1001)}, 413},
 		{rig.Request{Method: "POST", Path: "/a/", Body: strings.Repeat("x", 1001), Chunked: true}, 413},
-		{rig.Request{Path: "/a/", Header: head(15_000)}, 200}, {rig.Request{Path: "/a/", Header: head(80_000)}, 431},
+		{rig.Request{Path: "/a/", Header: headerLines(15_000)}, 200}, {rig.Request{Path: "/a/", Header: headerLines(80_000)}, 431},
 		{rig.Request{Path: "/a/", DeadlineMs: 1 << 52}, 200},
 	} {
 		a := r.Do(c.q)
@@ -97,72 +98,72 @@
 		must.Eq(t, c.status == 200, r.Ledger.Arrived(a.Of.ID) == 1)
 	}
 	for _, e := range r.Ledger.Entries() {
-		must.Eq(t, strings.HasPrefix(e.Path, "/a/b/"), strings.HasPrefix(e.Searcher, "i-t"), must.Sprint(e)) // the longest prefix
+		must.Eq(t, strings.HasPrefix(e.Path, "/a/b/"), strings.HasPrefix(e.Searcher, "i-t"), must.Sprint(e)) // the longest prefix wins
 	}
 	r.Judge()
 }
 
-func head(n int) (lines []string) {
+func headerLines(n int) (lines []string) {
 	for i := range n / 1000 {
 		lines = append(lines, fmt.Sprintf("X-%d: %s", i, strings.Repeat("h", 990)))
 	}
 	return lines
 }
 
-// TestHeaderLimit: the configuration says how long a head may be, not the program.
+// TestHeaderLimit: the maximum size of a request header comes from the configuration and is not fixed in the program.
 func TestHeaderLimit(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	r.Limits.Header = 64 << 10
 	r.Searcher("s", faulty.Options{})
 	r.Put(rig.Route{Prefix: "/", Plant: "s"})
-	must.Eq(t, 200, r.Do(rig.Request{Path: "/", Header: head(60_000)}).Status)
+	must.Eq(t, 200, r.Do(rig.Request{Path: "/", Header: headerLines(60_000)}).Status)
 	r.Judge()
 }
 
-// TestNobody: without a searcher the answer is a promise that says when to come back, as clients read it; nothing waits
-// that no searcher can serve.
-func TestNobody(t *testing.T) {
+// TestNoSearchers: without a searcher the answer is a refusal with a Retry-After that clients can parse, and the request does not
+// wait for a searcher.
+func TestNoSearchers(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	r.Put(rig.Route{Prefix: "/", Plant: "s", Mode: "non_idempotent"})
 	for range 3 {
 		a := r.Do(rig.Request{Path: "/"})
 		must.Eq(t, 503, a.Status)
-		in, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
+		retryAfter, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 		must.NoError(t, err)
-		must.Between(t, 0.001, in, 2)
+		must.Between(t, 0.001, retryAfter, 2)
 	}
 }
 
-// TestLeaving: when a client goes, its request is called off, so that the searcher may drop it.
-func TestLeaving(t *testing.T) {
+// TestClientDisconnect: when a client disconnects, its request is cancelled, so that the searcher may drop it.
+func TestClientDisconnect(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
-	at, dropped := make(chan string), make(chan bool, 9)
+	arrived, dropped := make(chan string), make(chan bool, 9)
 	r.Searcher("s", faulty.Options{Script: func(c faulty.Call) faulty.Reply {
-		at <- c.AttemptID
+		arrived <- c.AttemptID
 		return faulty.Reply{Hold: make(chan struct{}), OnDrop: func() { dropped <- true }}
 	}})
-	// Nothing but the client's leaving ends them while the test waits.
+	// Nothing but the disconnect ends the requests while the test waits.
 	r.Put(rig.Route{Prefix: "/", Plant: "s", Mode: "non_idempotent", HorizonMs: 600_000, SetpointMs: 300_000},
 		rig.Route{Name: "g", Prefix: "/g/", FanOut: []string{"s"}, HorizonMs: 600_000, SetpointMs: 300_000})
 	for _, path := range []string{"/", "/g/"} {
 		c := r.Dial()
 		q := c.Send(rig.Request{Path: path, DeadlineMs: 600_000})
-		must.Eq(t, q.ID, <-at)
+		must.Eq(t, q.ID, <-arrived)
 		c.Close()
 		select {
 		case <-dropped:
 		case <-time.After(rig.Patience):
-			t.Fatal("a request goes on whose client has left")
+			t.Fatal("the request was not cancelled after its client disconnected")
 		}
 	}
 	r.Judge()
 }
 
-// TestKept: a connection serves many requests, in order, also when the client doesn't wait for answers.
-func TestKept(t *testing.T) {
+// TestKeepAlive: a connection serves many requests, in order, also when the client pipelines them.
+func TestKeepAlive(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	r.Searcher("s", faulty.Options{Script: func(c faulty.Call) faulty.Reply {
@@ -185,9 +186,9 @@
 	r.Judge()
 }
 
-// TestReuse: once another searcher has a place, requests that named the first are not run there, and its 421 reaches no
-// client. TestRoute's other half: services run only what a version sends them.
-func TestReuse(t *testing.T) {
+// TestAddressReuse: once another searcher uses an address, requests for the former one are not run there, and its 421 reaches no
+// client. Services run only the requests that a configuration version routes to them.
+func TestAddressReuse(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	first := r.Searcher("s", faulty.Options{})
@@ -202,7 +203,7 @@
 	second := r.Searcher("s", faulty.Options{})
 	r.Sync()
 	must.Eq(t, 200, r.Do(rig.Request{Path: "/"}).Status)
-	// A list that still names the dead one costs no further requests a try: it will never be back.
+	// A list that still names the former searcher costs later requests no attempt, since that searcher never comes back.
 	n := len(r.Ledger.Entries())
 	r.Tell("s", second.ID(), second.Addr(), registry.Ready)
 	r.Sync()
@@ -213,8 +214,8 @@
 	r.Judge()
 }
 
-// TestBodyThatDoesNotCome: a client that sends half of its body is told that its time is over, and that nothing has run, once it
-// is; the code before waited for as long as the connection stood.
+// TestBodyThatDoesNotCome: a client that sends half of its body gets a 408 when its deadline has passed, and nothing has run. An
+// earlier version waited for as long as the connection was open.
 func TestBodyThatDoesNotCome(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
--- a/proxy/deadline_test.go
+++ b/proxy/deadline_test.go
@@ -17,8 +17,9 @@
 	"peathollow/request"
 )
 
-// What passes between a request's head and its being taken, as when its body comes slowly or the process is frozen, is no
-// time that the client still has. The code before counted the time left from when it went on (soak seed 214).
+// TestPauseMovesNoDeadline: time that passes between a request's header and its start, because its body arrives slowly or the
+// process is paused, counts towards the client's deadline. An earlier version measured the remaining time from the start of the request
+// (soak seed 214).
 func TestPauseMovesNoDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(&settings.Settings{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0",
--- a/proxy/disconnect.go
+++ b/proxy/disconnect.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// While a request is being answered, net/http detects that its client has disconnected by reading from the connection. If the client
-// has already sent its next request, that read returns those bytes and net/http reads no further, so the end of the connection goes
-// unnoticed behind them. Therefore the proxy polls the connection of a long-running request itself.
+// While a request is being answered, net/http detects that its client has disconnected by reading from the connection. If the
+// client has already sent its next request, that read returns those bytes and net/http reads no further, so the end of the
+// connection goes unnoticed behind them. Therefore the proxy polls the connection of a long-running request itself.
 
 // disconnectPollInterval is how often the connection of a request in flight is polled.
 const disconnectPollInterval = 250 * time.Millisecond
--- a/proxy/disconnect_test.go
+++ b/proxy/disconnect_test.go
@@ -11,35 +11,35 @@
 	"peathollow/internal/standin/rig"
 )
 
-// held is a proxy before a searcher that works on each request until its connection closes; at is told of each request that it gets,
-// dropped of each that it drops.
-func held(t *testing.T) (r *rig.Rig, at, dropped chan string) {
+// startHolding starts a proxy with a searcher that holds each request until its connection closes. The path of each request is
+// sent to arrived when the searcher receives it, and to dropped when it drops it.
+func startHolding(t *testing.T) (r *rig.Rig, arrived, dropped chan string) {
 	t.Helper()
 	r = rig.Start(t, brief)
-	at, dropped = make(chan string, 9), make(chan string, 9)
+	arrived, dropped = make(chan string, 9), make(chan string, 9)
 	r.Searcher("s", faulty.Options{Script: func(c faulty.Call) faulty.Reply {
-		at <- c.Path
+		arrived <- c.Path
 		return faulty.Reply{Hold: make(chan struct{}), OnDrop: func() { dropped <- c.Path }}
 	}})
 	r.Put(rig.Route{Prefix: "/", Plant: "s"})
-	return r, at, dropped
+	return r, arrived, dropped
 }
 
-// soon takes what is told well before the deadline of any request.
-func soon(t *testing.T, what <-chan string) string {
+// receive returns the next value, which must come well before the deadline of any request.
+func receive(t *testing.T, paths <-chan string) string {
 	t.Helper()
 	select {
-	case path := <-what:
+	case path := <-paths:
 		return path
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing for long")
+		t.Fatal("nothing was received within 5 s")
 		return ""
 	}
 }
 
-// TestPipeliningClientLeaves: a client that has sent its next request before the first is answered, and then leaves, is noticed like any
-// other: the work for it is called off, and its next request goes nowhere. The code before worked on for it until its time was over:
-// what waits unread hid the end of the connection.
+// TestPipeliningClientLeaves: a client that sends its next request before the first is answered, and then disconnects, is
+// detected like any other: its first request is cancelled, and its second is not dispatched. An earlier version kept working
+// until the deadline, because the unread second request hid the end of the connection.
 func TestPipeliningClientLeaves(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(c *net.TCPConn){
@@ -48,30 +48,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, at, dropped := held(t)
+			r, arrived, dropped := startHolding(t)
 			c := r.Dial()
 			c.Send(rig.Request{Path: "/first", DeadlineMs: 15_000})
-			must.Eq(t, "/first", soon(t, at))
+			must.Eq(t, "/first", receive(t, arrived))
 			c.Send(rig.Request{Path: "/second", DeadlineMs: 15_000})
 			leave(c.Conn.(*net.TCPConn))
 			c.Close()
-			must.Eq(t, "/first", soon(t, dropped))
-			must.Eq(t, 0, len(at))
+			must.Eq(t, "/first", receive(t, dropped))
+			must.Eq(t, 0, len(arrived))
 		})
 	}
 }
 
-// TestHalfClosedClientGetsNoSuccess: a client that ends its side of the connection behind its request has left, and gets nothing that it
-// could take for its answer; the code before ended the request with an empty 200 of its own.
+// TestHalfClosedClientGetsNoSuccess: a client that closes its side of the connection after its request counts as disconnected,
+// and receives nothing that it could take for an answer. An earlier version ended the request with an empty 200.
 func TestHalfClosedClientGetsNoSuccess(t *testing.T) {
 	t.Parallel()
-	r, at, dropped := held(t)
+	r, arrived, dropped := startHolding(t)
 	c := r.Dial()
 	defer c.Close()
 	c.Send(rig.Request{Path: "/first", DeadlineMs: 15_000})
-	must.Eq(t, "/first", soon(t, at))
+	must.Eq(t, "/first", receive(t, arrived))
 	must.NoError(t, c.Conn.(*net.TCPConn).CloseWrite())
-	must.Eq(t, "/first", soon(t, dropped))
+	must.Eq(t, "/first", receive(t, dropped))
 	a := c.Read()
 	must.Error(t, a.Err)
 	must.Eq(t, 0, a.Status)
--- a/proxy/observability.go
+++ b/proxy/observability.go
@@ -14,7 +14,8 @@
 const (
 	// failureLinesPerSecond limits the log lines for failed requests; the rest are only counted.
 	failureLinesPerSecond = 20
-	// reasonLinesPerSecond is an additional limit for each reason, so that many failures of one reason do not hide another reason.
+	// reasonLinesPerSecond is an additional limit for each reason, so that many failures of one reason do not hide another
+	// reason.
 	reasonLinesPerSecond = 2
 )
 
--- a/proxy/observability_test.go
+++ b/proxy/observability_test.go
@@ -17,13 +17,13 @@
 
 func init() { invariant.SetFatal(true) }
 
-// figure reads one figure of a proxy.
-func figure(t *testing.T, r *rig.Rig, name string) float64 {
+// metric returns the value of one metric of a proxy.
+func metric(t *testing.T, r *rig.Rig, name string) float64 {
 	t.Helper()
-	answer, err := http.Get(r.Figures)
+	response, err := http.Get(r.Figures)
 	must.NoError(t, err)
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	must.NoError(t, err)
 	found := regexp.MustCompile("(?m)^" + regexp.QuoteMeta("peathollow_"+name) + " (\\S+)$").FindSubmatch(text)
 	must.NotNil(t, found, must.Sprintf("%s in\n%s", name, text))
@@ -32,18 +32,18 @@
 	return value
 }
 
-// TestFailureIsExplained: a request that got no searcher's answer leaves a line that names it, what was tried and why, and
-// is counted by its reason.
+// TestFailureIsExplained: a request that got no answer from a searcher leaves a log line with its ID, the attempts and the
+// reason, and is counted by its reason.
 func TestFailureIsExplained(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
-	broken := r.Searcher("s", faulty.Options{Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Way: faulty.CloseRun} }})
+	failing := r.Searcher("s", faulty.Options{Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Way: faulty.CloseRun} }})
 	r.Put(rig.Route{Name: "once", Prefix: "/once/", Plant: "s", Mode: "non_idempotent"}, rig.Route{Name: "empty", Prefix: "/empty/", Plant: "nobody"})
 	for _, c := range []struct {
 		path, reason, tries string
 		status              int
 	}{
-		{"/once/1", "it may have run and cannot be sent again", broken.ID() + ":cut-off:", http.StatusBadGateway},
+		{"/once/1", "it may have run and cannot be sent again", failing.ID() + ":cut-off:", http.StatusBadGateway},
 		{"/empty/1", "no searcher of a service it needs is listed", "none", http.StatusServiceUnavailable},
 		{"/nowhere", "no route for its host and path", "", http.StatusNotFound},
 	} {
@@ -51,34 +51,34 @@
 		must.Eq(t, c.status, a.Status, must.Sprint(c.path))
 		must.Len(t, 1, r.Log.With("request-failed", a.Of.ID, c.reason, c.tries, strconv.Itoa(c.status)), must.Sprint(r.Log.With("request-failed")))
 	}
-	must.Eq(t, 1, figure(t, r, `requests_unanswered_total{reason="it may have run and cannot be sent again"}`))
-	must.Eq(t, 1, figure(t, r, `dispatch_outcomes_total{outcome="cut-off"}`))
-	must.Eq(t, 1, figure(t, r, "requests_turned_away_total"))
-	must.Eq(t, 3, figure(t, r, "configuration_version"))
+	must.Eq(t, 1, metric(t, r, `requests_unanswered_total{reason="it may have run and cannot be sent again"}`))
+	must.Eq(t, 1, metric(t, r, `dispatch_outcomes_total{outcome="cut-off"}`))
+	must.Eq(t, 1, metric(t, r, "requests_turned_away_total"))
+	must.Eq(t, 3, metric(t, r, "configuration_version"))
 }
 
-// TestFailureLinesAreBounded: a storm of failures leaves some lines and a count of the others.
+// TestFailureLinesAreBounded: many failures leave a limited number of log lines, and the others are counted.
 func TestFailureLinesAreBounded(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	r.Put(rig.Route{Prefix: "/", Plant: "nobody"})
-	const storm = 200
-	for range storm {
+	const requests = 200
+	for range requests {
 		r.Do(rig.Request{Path: "/"})
 	}
 	lines := r.Log.With("request-failed")
 	must.Positive(t, len(lines))
-	must.Less(t, storm/2, len(lines))
-	a := r.Do(rig.Request{Path: "/", Host: "other.example"}) // for another reason
+	must.Less(t, requests/2, len(lines))
+	a := r.Do(rig.Request{Path: "/", Host: "other.example"}) // fails for another reason
 	must.Len(t, 1, r.Log.With("request-failed", a.Of.ID))
-	must.Eq(t, storm, figure(t, r, `requests_unanswered_total{reason="no searcher of a service it needs is listed"}`))
+	must.Eq(t, requests, metric(t, r, `requests_unanswered_total{reason="no searcher of a service it needs is listed"}`))
 }
 
-// TestBudgetIsTold: who looks at a proxy alone can tell how the retry budget of each service stands, what was refused for want of it,
-// also where the answer went out without the part, and which searchers' addresses are another's.
-func TestBudgetIsTold(t *testing.T) {
+// TestBudgetIsReported: the metrics and log of a single proxy show the state of the retry budget of each service, the retries it
+// refused, even where a partial answer was sent without the part, and the searchers whose address belongs to another one.
+func TestBudgetIsReported(t *testing.T) {
 	t.Parallel()
-	r := rig.Start(t, brief, func(s *settings.Settings) { s.RetryRatio, s.RetrySlack = 0, 2 }) // one further dispatch in each life
+	r := rig.Start(t, brief, func(s *settings.Settings) { s.RetryRatio, s.RetrySlack = 0, 2 }) // one retry for each incarnation
 	for range 2 {
 		r.Searcher("bad", faulty.Options{Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Status: http.StatusInternalServerError} }})
 	}
@@ -91,21 +91,21 @@
 	for range requests {
 		must.Eq(t, http.StatusOK, r.Do(rig.Request{Path: "/all/"}).Status)
 	}
-	must.Eq(t, requests, figure(t, r, `retry_budget_requests_total{service="bad"}`))
-	must.Eq(t, 1, figure(t, r, `retry_budget_charged_total{service="bad"}`))
-	must.Eq(t, 1, figure(t, r, `retry_budget_ended_total{service="bad"}`))
-	must.Eq(t, 1, figure(t, r, `retry_budget_counting{service="bad"}`))
-	must.Eq(t, 1, figure(t, r, `retry_budget_room{service="bad"}`))
-	must.Eq(t, requests-1, figure(t, r, `retry_budget_starved_total{service="bad"}`))
-	must.Eq(t, 0, figure(t, r, `retry_budget_starved_total{service="good"}`))
-	must.Eq(t, 1, figure(t, r, "retry_budget_mixers"))
-	must.Eq(t, 0, figure(t, r, "retry_budget_slack_spent"))
+	must.Eq(t, requests, metric(t, r, `retry_budget_requests_total{service="bad"}`))
+	must.Eq(t, 1, metric(t, r, `retry_budget_charged_total{service="bad"}`))
+	must.Eq(t, 1, metric(t, r, `retry_budget_ended_total{service="bad"}`))
+	must.Eq(t, 1, metric(t, r, `retry_budget_counting{service="bad"}`))
+	must.Eq(t, 1, metric(t, r, `retry_budget_room{service="bad"}`))
+	must.Eq(t, requests-1, metric(t, r, `retry_budget_starved_total{service="bad"}`))
+	must.Eq(t, 0, metric(t, r, `retry_budget_starved_total{service="good"}`))
+	must.Eq(t, 1, metric(t, r, "retry_budget_mixers"))
+	must.Eq(t, 0, metric(t, r, "retry_budget_slack_spent"))
 	must.Len(t, 1, r.Log.With("retry-budget-exhausted", `"service":"bad"`, `"counting":1`), must.Sprint(r.Log.With("retry-budget")))
 
 	first.Close()
 	r.Searcher("other", faulty.Options{Addr: first.Addr()})
 	r.Sync()
 	r.Do(rig.Request{Path: "/moved/", DeadlineMs: 500})
-	must.Eq(t, 1, figure(t, r, `retry_budget_misdirected_total{service="moved"}`))
+	must.Eq(t, 1, metric(t, r, `retry_budget_misdirected_total{service="moved"}`))
 	must.Len(t, 1, r.Log.With("misdirected", first.ID()), must.Sprint(r.Log.With("misdirected")))
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -28,8 +28,8 @@
 	"peathollow/retrybudget"
 )
 
-// maxHeaderBytes bounds the header of a client's request before any configuration is known. The configured limit arrives after the
-// start, may change later, and is checked for each request.
+// maxHeaderBytes bounds the header of a client's request before any configuration is known. The configured limit arrives after
+// the start, may change later, and is checked for each request.
 const maxHeaderBytes = 256 << 10
 
 // Proxy serves clients' requests. Its HTTP handler is ServeHTTP.
@@ -229,7 +229,8 @@
 
 func (p *Proxy) now() time.Duration { return time.Since(p.start) }
 
-// advancePeriodically advances the coordinator's clock, so that the coordinator detects intervals in which the process did not run.
+// advancePeriodically advances the coordinator's clock, so that the coordinator detects intervals in which the process did not
+// run.
 func (p *Proxy) advancePeriodically(ctx context.Context) {
 	periodic.Each(ctx, request.MaxAdvanceInterval, func() { p.handle(func() {}) })
 }
@@ -290,10 +291,10 @@
 	return nil
 }
 
-// recoverFrom keeps a panic in the coordinator from ending the process. A fault in the policy engine of one set of services ends the
-// requests in flight for that set. Any other fault ends all requests in flight, and a new coordinator starts with the known list of
-// searchers and the remaining retry budget. These requests end as if they may have run, and their dispatches are cancelled.
-// The caller must hold the lock.
+// recoverFrom keeps a panic in the coordinator from ending the process. A fault in the policy engine of one set of services ends
+// the requests in flight for that set. Any other fault ends all requests in flight, and a new coordinator starts with the known
+// list of searchers and the remaining retry budget. These requests end as if they may have run, and their dispatches are
+// cancelled. The caller must hold the lock.
 func (p *Proxy) recoverFrom(panicValue any) []request.Action {
 	p.observability.restarts.Add(1)
 	actions, contained := p.coordinator.Contain()
--- a/proxy/responses_test.go
+++ b/proxy/responses_test.go
@@ -16,22 +16,23 @@
 	"peathollow/internal/standin/rig"
 )
 
-// brief is the time of grace where nothing is left to do in it.
+// brief is the grace period where no requests are left to finish.
 const brief = 300 * time.Millisecond
 
-// ways are all in which a searcher's answer can go wrong but for a wrong 421, which costs the searcher its place.
-var ways = map[string]faulty.Way{"good": faulty.Good, "refuse": faulty.Refuse, "refuse without id": faulty.RefuseNoID,
+// faults lists all ways in which a searcher's response can be faulty, except for a wrong 421, which makes the proxy drop the
+// searcher.
+var faults = map[string]faulty.Way{"good": faulty.Good, "refuse": faulty.Refuse, "refuse without id": faulty.RefuseNoID,
 	"reset unrun": faulty.ResetUnrun, "reset": faulty.ResetRun, "close": faulty.CloseRun, "cut head": faulty.CutHead,
 	"cut body": faulty.CutBody, "spoil": faulty.Spoil, "wrong id": faulty.WrongID, "no id": faulty.NoID, "no seal": faulty.NoSeal,
 	"trickle": faulty.Trickle, "chunked": faulty.Chunked, "bad chunks": faulty.BadChunks, "both lengths": faulty.BothLengths,
 	"no length": faulty.NoLength, "until close": faulty.UntilClose, "surplus": faulty.Surplus, "extra now": faulty.ExtraNow,
 	"extra late": faulty.ExtraLate, "close after": faulty.CloseAfter, "close unsaid": faulty.CloseUnsaid}
 
-// whole are those of them that hand over an answer that is to reach the client.
-var whole = []string{"good", "trickle", "chunked", "surplus", "extra now", "extra late", "close after", "close unsaid"}
+// usable lists those of them with a response that must reach the client.
+var usable = []string{"good", "trickle", "chunked", "surplus", "extra now", "extra late", "close after", "close unsaid"}
 
-// atFirst has a searcher faulty at the first arrival of each request, wherever that is.
-func atFirst(w faulty.Reply) func(faulty.Call) faulty.Reply {
+// onFirstArrival returns a script that makes the first arrival of each request faulty, at whichever searcher it arrives.
+func onFirstArrival(reply faulty.Reply) func(faulty.Call) faulty.Reply {
 	var mu sync.Mutex
 	seen := map[string]bool{}
 	return func(c faulty.Call) faulty.Reply {
@@ -41,25 +42,25 @@
 			return faulty.Reply{}
 		}
 		seen[c.AttemptID] = true
-		return w
+		return reply
 	}
 }
 
-// TestWays: MIXED, TWICE and REFUSED hold whatever a searcher does; what may be repeated is served all the same, and
-// what may run once is sent again only after proof that it has not run.
-func TestWays(t *testing.T) {
+// TestFaultyResponses: the rules MIXED, TWICE and REFUSED hold for each kind of response. Idempotent requests succeed on a retry,
+// and non-idempotent ones are sent again only after proof that they have not run.
+func TestFaultyResponses(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	var routes []rig.Route
 	replies := map[string]faulty.Reply{"encoded": {Header: []string{"Content-Encoding: gzip"}}, "failure": {Status: 500},
 		"late": {Status: 504}}
-	for name, w := range ways {
+	for name, w := range faults {
 		replies[name] = faulty.Reply{Way: w}
 	}
 	for name, reply := range replies {
 		path := strings.ReplaceAll(name, " ", "-")
 		for _, mode := range []string{"idempotent", "non_idempotent"} {
-			service, script := path+"-"+mode, atFirst(reply)
+			service, script := path+"-"+mode, onFirstArrival(reply)
 			routes = append(routes, rig.Route{Name: service, Prefix: "/" + mode + "/" + path + "/", Mode: mode, Plant: service, Retries: 3})
 			for range 2 {
 				r.Searcher(service, faulty.Options{Script: script})
@@ -69,9 +70,9 @@
 	r.Put(routes...)
 	for name := range replies {
 		path := strings.ReplaceAll(name, " ", "-")
-		times := 3 // the later ones go over connections that were used
+		times := 3 // the later ones use existing connections
 		if strings.HasPrefix(name, "refuse") {
-			times = 1 // for a moment then both searchers count as full
+			times = 1 // after it both searchers count as full for a moment
 		}
 		for i := range times {
 			body := strconv.Itoa(i)
@@ -81,9 +82,9 @@
 			n := r.Ledger.Arrived(a.Of.ID)
 			switch {
 			case i > 0 && (name == "extra late" || name == "close unsaid"):
-				// The surplus answer stands where its own was due; and a close may cross a request on its way.
+				// The surplus response may be read in place of the own one, and a close may cross a request on its way.
 				must.LessEq(t, 1, n, must.Sprint(name, i))
-			case slices.Contains(whole, name):
+			case slices.Contains(usable, name):
 				must.Eq(t, 200, a.Status, must.Sprint(name, i))
 				must.Eq(t, 1, n, must.Sprint(name, i))
 			case strings.HasPrefix(name, "refuse"):
@@ -98,8 +99,8 @@
 	r.Judge()
 }
 
-// TestRefused: a searcher that has run a request and answers like one that has not is not believed, as clients would be
-// told to send it again.
+// TestRefused: a searcher that runs a request but answers as if it had not is not trusted, since clients would be told to send
+// the request again.
 func TestRefused(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
@@ -117,30 +118,30 @@
 	r.Judge()
 }
 
-// TestHang: a searcher that says nothing costs a request its time and no more: one that may run once ends without a
-// promise, at its deadline.
+// TestHang: a searcher that never responds costs a request no more than its time. A non-idempotent one fails at its deadline, and
+// the answer does not promise that it has not run.
 func TestHang(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	r.Searcher("s", faulty.Options{Script: func(faulty.Call) faulty.Reply { return faulty.Reply{Way: faulty.Hang} }})
 	r.Searcher("s", faulty.Options{})
 	r.Put(rig.Route{Prefix: "/", Mode: "non_idempotent", Plant: "s", Retries: 2})
-	slow := 0
+	failed := 0
 	for range 6 {
 		a := r.Do(rig.Request{Method: "POST", Path: "/", Body: "x", DeadlineMs: 400})
 		must.NoError(t, a.Err)
 		if a.Status != 200 {
 			must.SliceContains(t, []int{502, 504}, a.Status)
-			slow++
+			failed++
 		}
 		must.Eq(t, 1, r.Ledger.Ran(a.Of.ID))
 	}
-	must.Positive(t, slow)
+	must.Positive(t, failed)
 	r.Judge()
 }
 
-// TestGathered: the greatest records in falling order, equal ones and short rests as the rules have them; what is no
-// part is missing, and below the floor there is no success.
+// TestGathered: the answer has the highest records in descending order; equal records and incomplete trailing ones are treated as
+// specified. Invalid parts are missing, and an answer below the minimum coverage is no success.
 func TestGathered(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
@@ -152,11 +153,11 @@
 	for s, reply := range bodies {
 		r.Searcher(s, faulty.Options{Script: func(faulty.Call) faulty.Reply { return reply }})
 	}
-	share := func(f float64) *float64 { return &f }
+	coverage := func(value float64) *float64 { return &value }
 	r.Put(rig.Route{Name: "all", Prefix: "/all/", FanOut: []string{"a", "b", "c"}, TopK: 5},
-		rig.Route{Name: "most", Prefix: "/most/", FanOut: []string{"a", "b", "c", "fails", "foreign", "cut"}, TopK: 2, Coverage: share(0.5)},
-		rig.Route{Name: "less", Prefix: "/less/", FanOut: []string{"a", "b", "fails"}, TopK: 2, Coverage: share(0.6667)},
-		rig.Route{Name: "none", Prefix: "/none/", FanOut: []string{"fails", "foreign"}, TopK: 2, Coverage: share(0)})
+		rig.Route{Name: "most", Prefix: "/most/", FanOut: []string{"a", "b", "c", "fails", "foreign", "cut"}, TopK: 2, Coverage: coverage(0.5)},
+		rig.Route{Name: "less", Prefix: "/less/", FanOut: []string{"a", "b", "fails"}, TopK: 2, Coverage: coverage(0.6667)},
+		rig.Route{Name: "none", Prefix: "/none/", FanOut: []string{"fails", "foreign"}, TopK: 2, Coverage: coverage(0)})
 	a := r.Do(rig.Request{Path: "/all/"})
 	must.Eq(t, rec("d")+rec("d")+rec("d")+rec("c")+rec("b"), a.Body)
 	must.Eq(t, "", a.Header.Get("Missing-Parts"))
@@ -168,30 +169,30 @@
 	r.Judge()
 }
 
-// TestStorm: all rules at once, from many clients, while searchers are faulty at random and break connections, the
-// configuration moves on and some clients leave.
+// TestStorm: all rules hold together under many clients, while searchers fail and break connections at random, the configuration
+// changes and some clients disconnect.
 func TestStorm(t *testing.T) {
 	t.Parallel()
 	r := rig.Start(t, brief)
 	all := []faulty.Way{faulty.Hang}
-	for name, w := range ways {
+	for name, w := range faults {
 		if name != "no length" { // its body would never end
 			all = append(all, w)
 		}
 	}
 	var servers []*faulty.Server
 	for i, s := range []string{"a", "b", "c", "d", "a", "b", "c", "d"} {
-		dice := rand.New(rand.NewPCG(uint64(i), 1))
+		rng := rand.New(rand.NewPCG(uint64(i), 1))
 		var mu sync.Mutex
 		servers = append(servers, r.Searcher(s, faulty.Options{Capacity: 2, Queue: 1, Script: func(faulty.Call) faulty.Reply {
 			mu.Lock()
 			defer mu.Unlock()
-			reply := faulty.Reply{Work: time.Duration(dice.IntN(10)) * time.Millisecond}
-			switch n := dice.IntN(12); {
+			reply := faulty.Reply{Work: time.Duration(rng.IntN(10)) * time.Millisecond}
+			switch n := rng.IntN(12); {
 			case n < 4:
-				reply.Way = all[dice.IntN(len(all))]
+				reply.Way = all[rng.IntN(len(all))]
 			case n == 4:
-				reply.Status = []int{500, 504, 404, 302, 204}[dice.IntN(5)]
+				reply.Status = []int{500, 504, 404, 302, 204}[rng.IntN(5)]
 				reply.Body = []byte{}
 			}
 			return reply
@@ -208,15 +209,15 @@
 	var clients sync.WaitGroup
 	for k := range 8 {
 		clients.Go(func() {
-			dice := rand.New(rand.NewPCG(uint64(k), 2))
+			rng := rand.New(rand.NewPCG(uint64(k), 2))
 			for i := range 25 {
-				q := rig.Request{Path: []string{"/g/x", "/o/x", "/i/x"}[dice.IntN(3)], DeadlineMs: 100 + dice.IntN(300)}
+				q := rig.Request{Path: []string{"/g/x", "/o/x", "/i/x"}[rng.IntN(3)], DeadlineMs: 100 + rng.IntN(300)}
 				if q.Path == "/o/x" {
 					q.Method, q.Body, q.Chunked = "POST", fmt.Sprint(k, i), i%2 == 0
 				}
 				c := r.Dial()
 				c.Send(q)
-				if dice.IntN(10) > 0 {
+				if rng.IntN(10) > 0 {
 					c.Read()
 				}
 				c.Close()
--- a/proxy/restart_test.go
+++ b/proxy/restart_test.go
@@ -18,11 +18,12 @@
 	"peathollow/request"
 )
 
-// failing is a proxy before two searchers that turn everything away, with a budget of a few further dispatches.
-func failing(t *testing.T) (*Proxy, *faulty.Ledger) {
+// startRejecting returns a proxy with two searchers that reject every request, and a small retry budget.
+func startRejecting(t *testing.T) (*Proxy, *faulty.Ledger) {
 	t.Helper()
-	const slack = 8 // of which one life of the only mixer may spend half
-	q := New(&settings.Settings{RetrySlack: slack, RetryWindow: time.Hour, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
+	const slack = 8 // one incarnation of the only mixer may spend half of it
+	q := New(&settings.Settings{RetrySlack: slack, RetryWindow: time.Hour, BeatPeriod: time.Second},
+		"proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
 	config, err := manifest.Parse([]byte(`{"config-version":1,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent",` +
 		`"horizon-ms":2000,"setpoint-ms":200,"plant":"s","retries":2}],"plants":[{"name":"s"}]}`))
 	must.NoError(t, err)
@@ -43,8 +44,8 @@
 	return q, ledger
 }
 
-// further sends requests and tells how many dispatches past the first of each came of them.
-func further(q *Proxy, ledger *faulty.Ledger, name string, requests int) (n int) {
+// countRetries sends requests and returns how many retries they caused.
+func countRetries(q *Proxy, ledger *faulty.Ledger, name string, requests int) (retries int) {
 	var all sync.WaitGroup
 	for i := range requests {
 		id := fmt.Sprint(name, i)
@@ -56,23 +57,23 @@
 	}
 	all.Wait()
 	for i := range requests {
-		n += max(0, ledger.Arrived(fmt.Sprint(name, i))-1)
+		retries += max(0, ledger.Arrived(fmt.Sprint(name, i))-1)
 	}
-	return n
+	return retries
 }
 
-// TestFaultKeepsTheBudget: a fault in what decides starts its state anew, and not the retry budget: what was spent still
-// counts. The code before gave a new budget with each fault, so that a request that brings one about, sent again and again,
-// freed any number of further dispatches.
+// TestFaultKeepsTheBudget: a fault in the coordinator resets its state but not the retry budget: retries made before it still
+// count. An earlier version started a new budget after each fault, so that a request that causes a fault, sent repeatedly,
+// allowed any number of retries.
 func TestFaultKeepsTheBudget(t *testing.T) {
 	t.Parallel()
-	q, ledger := failing(t)
+	q, ledger := startRejecting(t)
 	const requests, allowed = 12, 4
-	spent := further(q, ledger, "before-", requests)
+	spent := countRetries(q, ledger, "before-", requests)
 	must.Positive(t, spent)
 	for i := range 3 {
-		q.handle(func() { panic("planted") })
-		spent += further(q, ledger, fmt.Sprintf("after-%d-", i), requests)
+		q.handle(func() { panic("injected fault") })
+		spent += countRetries(q, ledger, fmt.Sprintf("after-%d-", i), requests)
 	}
 	must.LessEq(t, allowed, spent)
 }
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -70,8 +70,8 @@
 	return maxConns, serviceConfig.ProbePath
 }
 
-// reconfigurePools applies the current configuration and mixer count to the pools: both may have been different, or not yet known,
-// when a pool was created. The caller must hold the lock.
+// reconfigurePools applies the current configuration and mixer count to the pools: both may have been different, or not yet
+// known, when a pool was created. The caller must hold the lock.
 func (p *Proxy) reconfigurePools() {
 	for i := range p.searchers {
 		if pool := p.pools[p.searchers[i].ID]; pool != nil {
@@ -80,8 +80,8 @@
 	}
 }
 
-// addressTrustTTL is how long after the decision to dispatch the address in the list is still trusted: a process that is paused in
-// between misses updates to the list.
+// addressTrustTTL is how long after the decision to dispatch the address in the list is still trusted: a process that is paused
+// in between misses updates to the list.
 const addressTrustTTL = time.Second
 
 // confirmationQuarters is the share, in quarters, of the delay before an address is reused during which a response confirms the
--- a/proxy/shutdown_test.go
+++ b/proxy/shutdown_test.go
@@ -10,25 +10,26 @@
 	"peathollow/internal/standin/rig"
 )
 
-// TestLeavingFinishesInAShortGrace: whatever the grace is, what ends in its first five sixths is answered. The code before kept
-// back 800 ms of any grace (soak seed 5003: 4 tries lost 1.2 s after SIGTERM, in a grace of 2 s).
+// TestLeavingFinishesInAShortGrace: whatever the grace period is, requests that end in its first five sixths are answered. An
+// earlier version reserved 800 ms of any grace period (soak seed 5003: 4 attempts lost 1.2 s after SIGTERM, with a grace period
+// of 2 s).
 func TestLeavingFinishesInAShortGrace(t *testing.T) {
 	t.Parallel()
 	const grace = 2 * time.Second
 	r := rig.Start(t, grace)
-	at := make(chan bool, 1)
+	arrived := make(chan bool, 1)
 	r.Searcher("s", faulty.Options{Script: func(c faulty.Call) faulty.Reply {
-		at <- true
+		arrived <- true
 		return faulty.Reply{Work: grace * 3 / 4}
 	}})
 	r.Put(rig.Route{Prefix: "/", Plant: "s", Mode: "non_idempotent"})
 	c := r.Dial()
 	defer c.Close()
 	c.Send(rig.Request{Path: "/"})
-	<-at
+	<-arrived
 	r.Terminate()
 	must.NoError(t, r.Ended())
-	must.False(t, r.Ledger.Entries()[0].Ended.IsZero(), must.Sprint("the proxy ended with a request in hand"))
+	must.False(t, r.Ledger.Entries()[0].Ended.IsZero(), must.Sprint("the proxy ended with a request in flight"))
 	must.Eq(t, 200, c.Read().Status)
 	r.Judge()
 }
--- a/proxy/timeouts.go
+++ b/proxy/timeouts.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The configuration sets the timeouts for reading a client's header and for idle connections, and may change while connections are
-// open. net/http reads its own timeouts without a lock, so it is given two fixed placeholders, one for the header timeout and one for
-// the idle timeout. Each connection replaces a placeholder by the current timeout when net/http sets a deadline.
+// The configuration sets the timeouts for reading a client's header and for idle connections, and may change while connections
+// are open. net/http reads its own timeouts without a lock, so it is given two fixed placeholders, one for the header timeout and
+// one for the idle timeout. Each connection replaces a placeholder by the current timeout when net/http sets a deadline.
 const (
 	idleTimeoutPlaceholder   = 2 * time.Hour
 	headerTimeoutPlaceholder = time.Hour
@@ -15,8 +15,8 @@
 	defaultIdleTimeout   = 15 * time.Second
 	defaultHeaderTimeout = 3 * time.Second
 
-	// Clients keep to the timeouts that they know. A change may not have reached them yet, or may have come while a connection was
-	// idle, so the configured values are the least that clients are given.
+	// Clients keep to the timeouts that they know. A change may not have reached them yet, or may have come while a connection
+	// was idle, so the configured values are the least that clients are given.
 	idleTimeoutFactor  = 2
 	headerTimeoutSlack = time.Second
 	maxTimeout         = 10 * time.Minute
@@ -56,7 +56,8 @@
 	writeDeadlineSetAt time.Time // when the write deadline was last set; used only by the goroutine that writes
 }
 
-// writeDeadlineInterval is how often the write deadline is renewed. A client is given at least the idle timeout less this interval.
+// writeDeadlineInterval is how often the write deadline is renewed. A client is given at least the idle timeout less this
+// interval.
 const writeDeadlineInterval = time.Second
 
 // Write renews the write deadline, so that a client that reads nothing of its answer for the idle timeout is dropped.
