--- a/proxy/deadline_test.go
+++ b/proxy/deadline_test.go
@@ -18,8 +18,8 @@
 )
 
 // TestPauseMovesNoDeadline: time that passes between a request's header and its start, because its body arrives slowly or the
-// process is paused, counts towards the client's deadline. An earlier version measured the remaining time from the start of the request
-// (soak seed 214).
+// process is paused, counts towards the client's deadline. An earlier version measured the remaining time from the start of the
+// request (soak seed 214).
 func TestPauseMovesNoDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(&settings.Settings{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0",
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -28,8 +28,8 @@
 	"peathollow/retrybudget"
 )
 
-// maxHeaderBytes bounds the header of a client's request before any configuration is known. The configured limit arrives after
-// the start, may change later, and is checked for each request.
+// maxHeaderBytes bounds the header of a client's request regardless of the configuration, which arrives after the start and may
+// change. The configured limit is checked for each request.
 const maxHeaderBytes = 256 << 10
 
 // Proxy serves clients' requests. Its HTTP handler is ServeHTTP.
