--- a/agent/agent.go
+++ b/agent/agent.go
@@ -41,7 +41,7 @@
 // Run serves until ctx ends, and for most of the time of grace after it: the proxy leaves at the same time, and what it
 // still sends must follow the news.
 func (a *Agent) Run(ctx context.Context) error {
-	ln, err := net.Listen("tcp", proxy.AgentPort(a.set))
+	ln, err := net.Listen("tcp", proxy.AgentAddress(a.set))
 	if err != nil {
 		return errors.Wrap(err, "listen, loopback")
 	}
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -63,7 +63,7 @@
 	s.addr = func(k int) string { return net.JoinHostPort(ip(k), controlplane.NewsPort(s.set)) }
 	s.set.Seeds = []string{ip(0) + ":1"}
 	for try := 0; ; try++ {
-		ln, err := net.Listen("tcp", proxy.AgentPort(s.set))
+		ln, err := net.Listen("tcp", proxy.AgentAddress(s.set))
 		if err == nil {
 			ln.Close()
 			break
@@ -110,7 +110,7 @@
 // proxySide does so for one life of the proxy.
 func (s *shore) proxySide(life string) *distribution.Replica {
 	b := distribution.NewReplica(registry.New(registry.Config{Name: fmt.Sprint("proxy-", time.Now().UnixNano()), Relay: true, Period: time.Second, Start: time.Now()}))
-	p := distribution.Puller{Replica: b, Incarnation: life, Kind: "proxy", Choose: func(int) string { return proxy.AgentPort(s.set) }}
+	p := distribution.Puller{Replica: b, Incarnation: life, Kind: "proxy", Choose: func(int) string { return proxy.AgentAddress(s.set) }}
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { p.Run(ctx) })
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -75,8 +75,8 @@
 		Budget: retrybudget.Config{Ratio: p.settings.RetryRatio, Slack: p.settings.RetrySlack, Window: p.settings.RetryWindow}}, p.now())
 }
 
-// AgentPort returns the loopback address at which the proxy pulls updates from the agent on its machine.
-func AgentPort(s *settings.Settings) string {
+// AgentAddress returns the loopback address at which the proxy pulls updates from the agent on its machine.
+func AgentAddress(s *settings.Settings) string {
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(s.PortFirst+2))
 }
 
@@ -93,7 +93,7 @@
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	puller := distribution.Puller{Replica: p.replica, Node: p.settings.Node, Incarnation: p.incarnation, Kind: "proxy", OnMerge: p.onMerge,
-		Choose: func(int) string { return AgentPort(p.settings) }, Network: keepalive.TCP{Relay: p.settings.Relay, From: p.settings.Node}}
+		Choose: func(int) string { return AgentAddress(p.settings) }, Network: keepalive.TCP{Relay: p.settings.Relay, From: p.settings.Node}}
 	go puller.Run(background)
 	go p.advancePeriodically(background)
 	go figures.ServeFor(background, p.log, p.settings.IP, p.settings.Metrics, p.emitMetrics)
