--- a/proxy/pause_test.go
+++ b/proxy/deadline_test.go
@@ -17,18 +17,19 @@
 	"peathollow/request"
 )
 
-// What passes between a request's head and its being taken, as when its body comes slowly or the process is frozen, is no
-// time that the client still has. The code before counted the time left from when it went on (soak seed 214).
+// TestPauseMovesNoDeadline: time that passes between a request's header and its start, because its body arrives slowly or the
+// process is paused, counts towards the client's deadline. An earlier version measured the remaining time from the start of the
+// request (soak seed 214).
 func TestPauseMovesNoDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(&settings.Settings{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0",
 			&log.Logger{Level: log.PanicLevel})
-		doc, err := manifest.Parse([]byte(`{"config-version":1,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent",` +
+		config, err := manifest.Parse([]byte(`{"config-version":1,"routes":[{"name":"r","host":"h.example","path-prefix":"/","mode":"idempotent",` +
 			`"horizon-ms":2000,"setpoint-ms":200,"plant":"s","retries":2}],"plants":[{"name":"s"}]}`))
 		must.NoError(t, err)
-		q.doc.Store(doc)
-		q.step(func() {
-			q.life.SetSearchers([]request.Searcher{{ID: "i-1", Address: "127.0.0.1:1", Service: "s", State: policy.Ready}})
+		q.config.Store(config)
+		q.decide(func() {
+			q.coordinator.SetSearchers([]request.Searcher{{ID: "i-1", Address: "127.0.0.1:1", Service: "s", State: policy.Ready}})
 		}, nil)
 		body, client := io.Pipe()
 		r := httptest.NewRequest(http.MethodPost, "http://h.example/", body)
@@ -41,7 +42,7 @@
 			client.Write([]byte("body"))
 		}()
 		q.ServeHTTP(httptest.NewRecorder(), r)
-		must.Eq(t, 0, q.sight.restarts.Load())
+		must.Eq(t, 0, q.observability.restarts.Load())
 		must.LessEq(t, time.Second+deadlineSlack, time.Since(began))
 	})
 }
