--- a/cmd/peathollow/soak.go
+++ b/cmd/peathollow/soak.go
@@ -27,9 +27,9 @@
 			"by a schedule that the seed draws. Exits with 0 when nothing was violated; else the last line names the first violation, the seed and the folder.",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &o.Seed, Usage: "draws the schedule"},
-			&cli.DurationFlag{Name: "for", Value: time.Minute, Destination: &o.For, Usage: "trouble for so long; some calm seconds follow"},
+			&cli.DurationFlag{Name: "for", Value: time.Minute, Destination: &o.Duration, Usage: "trouble for so long; some calm seconds follow"},
 			&cli.IntFlag{Name: "rate", Value: soakRate, Destination: &o.Rate, Usage: "requests a second"},
-			&cli.IntFlag{Name: "at-once", Value: 3, Destination: &o.AtOnce, Usage: "troubles at a time"},
+			&cli.IntFlag{Name: "at-once", Value: 3, Destination: &o.MaxConcurrent, Usage: "troubles at a time"},
 			&cli.IntFlag{Name: "fronts", Destination: &o.Fronts, Usage: "how many, each of two processes; a few that the seed draws if 0"},
 			&cli.IntFlag{Name: "controllers", Destination: &o.Controllers, Usage: "how many; a few that the seed draws if 0"},
 			&cli.IntFlag{Name: "shards", Destination: &o.Shards, Usage: "services of a gathered answer; 3 if 0"},
@@ -40,7 +40,7 @@
 			&cli.BoolFlag{Name: "json", Destination: &asJSON, Usage: "print JSON"},
 		}}, 0, func(ctx context.Context, c *cli.Command) error {
 		var err error
-		if o.Trouble, err = soak.ParseKinds(kinds); err != nil {
+		if o.Kinds, err = soak.ParseKinds(kinds); err != nil {
 			return coded{err, exitUsage}
 		}
 		if o.Program, err = checkRun(&o); err != nil {
@@ -49,7 +49,7 @@
 		ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		if follow {
-			o.Out = func(line string) { fmt.Fprintln(c.Root().ErrWriter, line) }
+			o.Progress = func(line string) { fmt.Fprintln(c.Root().ErrWriter, line) }
 		}
 		result, err := soak.Run(ctx, o)
 		if err != nil {
--- a/lab/soak/attempt_checks.go
+++ b/lab/soak/attempt_checks.go
@@ -100,7 +100,7 @@
 // no excuse, other faults of the front are.
 func (c *attemptChecker) checkLost(a *attempt) {
 	end := a.sent.Add(a.took)
-	if !c.run.lostByFront(a) || a.timedOut || !c.undisturbed(a, end, Planned...) {
+	if !c.run.lostByFront(a) || a.timedOut || !c.undisturbed(a, end, PlannedKinds...) {
 		return
 	}
 	entries := c.entries[a.id]
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -31,8 +31,8 @@
 }
 
 // inject injects one fault and returns once it is over and the affected processes run again.
-func (r *run) inject(f Trouble) {
-	record := &injectedFault{kind: f.Kind, process: r.pickProcess(f.One).Name, affects: r.affectedMachines(f)}
+func (r *run) inject(f Fault) {
+	record := &injectedFault{kind: f.Kind, process: r.pickProcess(f.Target).Name, affects: r.affectedMachines(f)}
 	r.mu.Lock()
 	record.from = time.Now()
 	r.injected = append(r.injected, record)
@@ -46,15 +46,16 @@
 }
 
 // affectedMachines returns a predicate for the machines that a fault affects. Faults of searchers, operators and clients affect none.
-func (r *run) affectedMachines(f Trouble) func(machine string) bool {
+func (r *run) affectedMachines(f Fault) func(machine string) bool {
 	switch f.Kind {
-	case SearcherCrash, SearcherMute, SearcherDrain, SearcherDelete, SearcherReplace, SearcherRude, SearcherReset, SearcherSlow, SearcherFailing,
-		SearcherFreeze, FreezeMany, ReplaceMany, Burst, Race, Storm, Reshard, Abuse, LoseAnswers:
+	case SearcherCrash, SearcherUnresponsive, SearcherDrain, SearcherDelete, SearcherReassign, SearcherMisbehaving,
+		SearcherReset, SearcherSlow, SearcherFailing, SearcherFreeze, FreezeMany, ReassignMany, LoadBurst, ConfigRace,
+		ConfigStorm, Reshard, MalformedRequests, DropResponses:
 		return func(string) bool { return false }
 	case KillProcess, KillRepeatedly, Freeze, Terminate, TerminateTwice, TerminateEarly, Reload, ReloadEarly, ReloadTorn:
-		return r.onlyMachine(r.pickProcess(f.One).Machine)
-	case KillMachine, FreezeMachine, Isolate, Slow, Reset:
-		return r.onlyMachine(r.pickMachine(f.One))
+		return r.onlyMachine(r.pickProcess(f.Target).Machine)
+	case KillMachine, FreezeMachine, Isolate, SlowLinks, ResetConnections:
+		return r.onlyMachine(r.pickMachine(f.Target))
 	}
 	return nil
 }
@@ -101,49 +102,49 @@
 	return processes
 }
 
-func (r *run) perform(f Trouble) {
+func (r *run) perform(f Fault) {
 	switch f.Kind {
 	case KillProcess:
-		r.kill(f.For, nil, r.pickProcess(f.One))
+		r.kill(f.Duration, nil, r.pickProcess(f.Target))
 	case KillMachine:
-		r.kill(f.For, nil, r.processesOf(r.pickMachine(f.One))...)
-	case KillCore:
+		r.kill(f.Duration, nil, r.processesOf(r.pickMachine(f.Target))...)
+	case KillControllers:
 		r.kill(startDelay, nil, r.activeProcesses("controller")...)
 	case KillAll:
 		r.kill(startDelay, nil, r.activeProcesses("")...)
 	case KillRepeatedly:
-		for range 2 + f.Chance%(maxRepeats-1) {
-			r.kill(startDelay, nil, r.pickProcess(f.One))
-			r.sleep(f.For / maxRepeats)
+		for range 2 + f.Variant%(maxRepeats-1) {
+			r.kill(startDelay, nil, r.pickProcess(f.Target))
+			r.sleep(f.Duration / maxRepeats)
 		}
 	case Freeze:
-		r.freeze(f.For, r.pickProcess(f.One))
+		r.freeze(f.Duration, r.pickProcess(f.Target))
 	case FreezeMachine:
-		r.freeze(f.For, r.processesOf(r.pickMachine(f.One))...)
+		r.freeze(f.Duration, r.processesOf(r.pickMachine(f.Target))...)
 	case Terminate:
-		r.terminate(r.pickProcess(f.One), 0)
+		r.terminate(r.pickProcess(f.Target), 0)
 	case TerminateTwice:
-		r.terminate(r.pickProcess(f.One), time.Duration(f.Chance%500)*time.Millisecond+time.Millisecond)
+		r.terminate(r.pickProcess(f.Target), time.Duration(f.Variant%500)*time.Millisecond+time.Millisecond)
 	case TerminateEarly:
-		r.signalEarly(r.pickProcess(f.One), syscall.SIGTERM, f.Chance)
+		r.signalEarly(r.pickProcess(f.Target), syscall.SIGTERM, f.Variant)
 	case Reload:
-		signalReload(r.pickProcess(f.One))
+		signalReload(r.pickProcess(f.Target))
 	case ReloadEarly:
-		r.signalEarly(r.pickProcess(f.One), syscall.SIGHUP, f.Chance)
+		r.signalEarly(r.pickProcess(f.Target), syscall.SIGHUP, f.Variant)
 	case ReloadTorn:
-		r.reloadTorn(r.pickProcess(f.One))
+		r.reloadTorn(r.pickProcess(f.Target))
 	case WipeDisk, WipeAndKillAll:
 		r.wipe(f)
-	case ReplaceCore:
-		r.replaceController(r.pickController(f.One))
-	case Race:
+	case ReplaceController:
+		r.replaceController(r.pickController(f.Target))
+	case ConfigRace:
 		r.operators.race(r.ctx)
-	case Storm:
-		r.configStorm(f.For)
-	case Burst:
-		r.load.burst(r.ctx, f.For)
-	case Abuse:
-		r.abuse(f.For, f.Chance)
+	case ConfigStorm:
+		r.configStorm(f.Duration)
+	case LoadBurst:
+		r.load.burst(r.ctx, f.Duration)
+	case MalformedRequests:
+		r.abuse(f.Duration, f.Variant)
 	default:
 		if !r.injectLinkFault(f) && !r.injectMultiFault(f) {
 			r.injectSearcherFault(f)
@@ -151,30 +152,30 @@
 	}
 }
 
-func (r *run) injectSearcherFault(f Trouble) {
-	s := r.takeSearcher(f.One)
+func (r *run) injectSearcherFault(f Fault) {
+	s := r.takeSearcher(f.Target)
 	if s == nil {
 		return
 	}
 	switch f.Kind {
 	case SearcherCrash:
-		r.crash(s, f.For)
-	case SearcherMute:
-		r.mute(s, f.For)
+		r.crash(s, f.Duration)
+	case SearcherUnresponsive:
+		r.mute(s, f.Duration)
 	case SearcherDrain:
 		r.deregister(s, true)
 	case SearcherDelete:
 		r.deregister(s, false)
-	case SearcherReplace:
-		r.reassignAddress(s, f.Chance)
-	case SearcherRude:
-		r.misbehave(s, f.For, f.Chance)
+	case SearcherReassign:
+		r.reassignAddress(s, f.Variant)
+	case SearcherMisbehaving:
+		r.misbehave(s, f.Duration, f.Variant)
 	case SearcherSlow:
-		r.slowDown(s, f.For)
+		r.slowDown(s, f.Duration)
 	case SearcherFailing:
-		r.failRequests(s, f.For)
+		r.failRequests(s, f.Duration)
 	case SearcherFreeze:
-		r.freezeSearcher(s, f.For)
+		r.freezeSearcher(s, f.Duration)
 	case SearcherReset:
 		s.markUnreliable()
 		s.Break()
@@ -289,8 +290,8 @@
 }
 
 // wipe kills a controller, alone or with all other processes, and deletes its disk.
-func (r *run) wipe(f Trouble) {
-	p := r.pickController(f.One)
+func (r *run) wipe(f Fault) {
+	p := r.pickController(f.Target)
 	processes := []*localsystem.Process{p}
 	if f.Kind == WipeAndKillAll {
 		processes = r.activeProcesses("")
--- a/lab/soak/link_faults.go
+++ b/lab/soak/link_faults.go
@@ -9,38 +9,38 @@
 const slowLinkDelay = 120 * time.Millisecond
 
 // injectLinkFault injects a fault of the network. It returns false if the fault is of another kind.
-func (r *run) injectLinkFault(f Trouble) bool {
-	machine, other := r.pickMachine(f.One), r.pickMachine(f.Two)
+func (r *run) injectLinkFault(f Fault) bool {
+	machine, other := r.pickMachine(f.Target), r.pickMachine(f.SecondTarget)
 	c := condition{hold: true}
 	switch f.Kind {
-	case Cut:
+	case Partition:
 		c.applies = func(from, to string) bool { return from == machine && to == other || from == other && to == machine }
-	case CutOneWay:
+	case PartitionOneWay:
 		c.applies = func(from, to string) bool { return from == machine && to == other }
 	case Isolate:
 		c.applies = func(from, to string) bool {
 			return from != to && (from == machine || to == machine) && ofSystem(from) && ofSystem(to)
 		}
 	case IsolateOutside:
-		machine = r.pickController(f.One).Machine
+		machine = r.pickController(f.Target).Machine
 		c.applies = func(from, to string) bool {
 			return from == outside && to == machine || from == machine && to == outside
 		}
-	case SplitCore:
-		c.applies = r.splitControllers(f.One)
-	case Slow:
+	case SplitControllers:
+		c.applies = r.splitControllers(f.Target)
+	case SlowLinks:
 		c.hold, c.delay = false, slowLinkDelay
 		c.applies = func(from, to string) bool { return from != to && (from == machine || to == machine) }
-	case LoseAnswers:
+	case DropResponses:
 		c.hold, c.drop = false, true
 		c.applies = func(_, to string) bool { return to == outside }
-	case Reset:
+	case ResetConnections:
 		r.network.reset(func(caller, callee string) bool { return caller == machine || callee == machine })
 		return true
 	default:
 		return false
 	}
-	r.network.apply(c, func() { r.sleep(f.For) })
+	r.network.apply(c, func() { r.sleep(f.Duration) })
 	return true
 }
 
--- a/lab/soak/multi_faults.go
+++ b/lab/soak/multi_faults.go
@@ -23,11 +23,11 @@
 }
 
 // injectMultiFault injects a fault that affects many searchers or fronts. It returns false if the fault is of another kind.
-func (r *run) injectMultiFault(f Trouble) bool {
+func (r *run) injectMultiFault(f Fault) bool {
 	switch f.Kind {
 	case FreezeMany:
 		r.freezeSearchers(f)
-	case ReplaceMany:
+	case ReassignMany:
 		r.reassignAddresses(f)
 	case FreezeFronts:
 		r.freezeFronts(f)
@@ -53,14 +53,14 @@
 }
 
 // freezeSearchers pauses many searchers several times; what was sent to them during a pause is still unread when they resume.
-func (r *run) freezeSearchers(f Trouble) {
-	frozen := r.takeFraction(1+f.Chance%4, f.One)
-	for range 1 + f.Two%maxSeries {
+func (r *run) freezeSearchers(f Fault) {
+	frozen := r.takeFraction(1+f.Variant%4, f.Target)
+	for range 1 + f.SecondTarget%maxSeries {
 		for _, s := range frozen {
 			s.markUnreliable()
 			s.Freeze()
 		}
-		r.sleep(f.For)
+		r.sleep(f.Duration)
 		for _, s := range frozen {
 			s.Thaw()
 		}
@@ -73,10 +73,10 @@
 
 // reassignAddresses makes many searchers crash. After the delay for reuse, searchers of one other service start at their addresses,
 // and later the services get new searchers at new addresses.
-func (r *run) reassignAddresses(f Trouble) {
+func (r *run) reassignAddresses(f Fault) {
 	services := r.schedule.Shape.services()
-	newService := services[f.Two%len(services)]
-	crashed := r.takeFraction(minReplaceRatio+f.Chance%4, f.One)
+	newService := services[f.SecondTarget%len(services)]
+	crashed := r.takeFraction(minReplaceRatio+f.Variant%4, f.Target)
 	for _, s := range crashed {
 		s.stop()
 	}
@@ -84,7 +84,7 @@
 	for _, s := range crashed {
 		r.startReplacement(newService, s.slot)
 	}
-	r.sleep(f.For)
+	r.sleep(f.Duration)
 	for _, s := range crashed {
 		if s.Service() != newService {
 			r.startReplacement(s.Service(), nil)
@@ -93,17 +93,17 @@
 }
 
 // freezeFronts pauses many fronts several times, each with its own timing, so that pauses overlap.
-func (r *run) freezeFronts(f Trouble) {
+func (r *run) freezeFronts(f Fault) {
 	var wg sync.WaitGroup
 	for i := range r.fronts {
-		if (i+f.One)%(1+f.Chance%4) != 0 {
+		if (i+f.Target)%(1+f.Variant%4) != 0 {
 			continue
 		}
 		proxy := r.process(r.proxyName(i))
 		wg.Go(func() {
-			for range 1 + f.Two%maxSeries {
+			for range 1 + f.SecondTarget%maxSeries {
 				r.sleep(rand.N(maxSeriesGap))
-				r.freeze(f.For/2+rand.N(f.For/2+1), proxy)
+				r.freeze(f.Duration/2+rand.N(f.Duration/2+1), proxy)
 			}
 		})
 	}
--- a/lab/soak/options.go
+++ b/lab/soak/options.go
@@ -10,14 +10,14 @@
 type Options struct {
 	Program                             []string      // the program and its first arguments; the arguments of the role follow
 	Seed                                uint64        // seeds the schedule
-	For                                 time.Duration // how long faults are injected; a quiet period of a few seconds follows
+	Duration                            time.Duration // how long faults are injected; a quiet period of a few seconds follows
 	Rate                                int           // client requests per second
-	Trouble                             []Kind        // kinds of faults to inject; all kinds if empty
-	AtOnce                              int           // the most faults active at a time; 3 if 0
+	Kinds                               []Kind        // kinds of faults to inject; all kinds if empty
+	MaxConcurrent                       int           // the most faults active at a time; 3 if 0
 	Fronts, Controllers, Shards, Copies int           // if 0: drawn from the seed (Controllers, Fronts) or a default
 
-	Dir string       // for logs, the ledger and the schedule; a new temporary directory if empty
-	Out func(string) // receives each line of the run's log; may be nil
+	Dir      string       // for logs, the ledger and the schedule; a new temporary directory if empty
+	Progress func(string) // receives each line of the run's log; may be nil
 }
 
 // Bounds of the options.
@@ -36,10 +36,10 @@
 // Check returns an error if an option is out of its bounds.
 func (o *Options) Check() error {
 	switch {
-	case o.For < minDuration || o.For > maxDuration:
-		return errors.Errorf("--for %v: must be %v to %v", o.For, minDuration, maxDuration)
-	case o.AtOnce < 0 || o.AtOnce > maxConcurrency:
-		return errors.Errorf("--at-once %d: must be 1 to %d", o.AtOnce, maxConcurrency)
+	case o.Duration < minDuration || o.Duration > maxDuration:
+		return errors.Errorf("--for %v: must be %v to %v", o.Duration, minDuration, maxDuration)
+	case o.MaxConcurrent < 0 || o.MaxConcurrent > maxConcurrency:
+		return errors.Errorf("--at-once %d: must be 1 to %d", o.MaxConcurrent, maxConcurrency)
 	case o.Rate < 1 || o.Rate > maxRate:
 		return errors.Errorf("--rate %d: must be 1 to %d", o.Rate, maxRate)
 	case o.Fronts < 0 || o.Fronts > maxFronts || o.Fronts == 1:
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -73,7 +73,7 @@
 		}
 		o.Dir = dir
 	}
-	schedule := Draw(o.Seed, o.For, o.Trouble, o.AtOnce)
+	schedule := DrawSchedule(o.Seed, o.Duration, o.Kinds, o.MaxConcurrent)
 	schedule.Shape = o.shape(schedule.Shape)
 	r := &run{options: o, schedule: schedule, ctx: ctx, affected: map[*searcher]bool{}, started: time.Now()}
 	log, err := os.Create(filepath.Join(o.Dir, "soak.log"))
@@ -90,8 +90,8 @@
 
 func (r *run) writeSchedule() error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d, %v, %+v\n", r.options.Seed, r.options.For, r.schedule.Shape)
-	for _, f := range r.schedule.Troubles {
+	fmt.Fprintf(&b, "seed %d, %v, %+v\n", r.options.Seed, r.options.Duration, r.schedule.Shape)
+	for _, f := range r.schedule.Faults {
 		fmt.Fprintln(&b, f)
 	}
 	if err := os.WriteFile(filepath.Join(r.options.Dir, "schedule.txt"), []byte(b.String()), 0o600); err != nil {
@@ -104,7 +104,7 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	result := &Result{Seed: r.options.Seed, Dir: r.options.Dir, Shape: r.schedule.Shape, Troubles: len(r.schedule.Troubles)}
+	result := &Result{Seed: r.options.Seed, Dir: r.options.Dir, Shape: r.schedule.Shape, Troubles: len(r.schedule.Faults)}
 	loadCtx, stop := context.WithCancel(r.ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { r.load.send(loadCtx, r.options.Rate) })
@@ -186,11 +186,11 @@
 // injectFaults injects the faults of the schedule and waits until they are over.
 func (r *run) injectFaults() {
 	var wg sync.WaitGroup
-	for _, f := range r.schedule.Troubles {
+	for _, f := range r.schedule.Faults {
 		r.sleep(time.Until(r.started.Add(f.At)))
 		wg.Go(func() { r.inject(f) })
 	}
-	r.sleep(time.Until(r.started.Add(r.options.For)))
+	r.sleep(time.Until(r.started.Add(r.options.Duration)))
 	done := make(chan struct{})
 	go func() {
 		wg.Wait()
@@ -327,7 +327,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log.WriteString(line)
-	if r.options.Out != nil {
-		r.options.Out(strings.TrimSuffix(line, "\n"))
+	if r.options.Progress != nil {
+		r.options.Progress(strings.TrimSuffix(line, "\n"))
 	}
 }
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -16,58 +16,61 @@
 
 // The kinds of faults.
 const (
-	KillProcess     Kind = "kill"             // SIGKILL, then restart
-	KillMachine     Kind = "kill-machine"     // kills all processes of one machine
-	KillCore        Kind = "kill-core"        // kills all controllers at the same moment
-	KillAll         Kind = "kill-all"         // kills all processes
-	KillRepeatedly  Kind = "kill-repeatedly"  // kills a process several times, soon after each start
-	Freeze          Kind = "freeze"           // SIGSTOP, later SIGCONT
-	FreezeMachine   Kind = "freeze-machine"   // stops all processes of one machine
-	Terminate       Kind = "terminate"        // SIGTERM, restart after the process has exited
-	TerminateTwice  Kind = "terminate-twice"  // SIGTERM, then a second one during shutdown
-	TerminateEarly  Kind = "terminate-early"  // SIGTERM during startup
-	Reload          Kind = "reload"           // SIGHUP
-	ReloadEarly     Kind = "reload-early"     // SIGHUP during startup
-	ReloadTorn      Kind = "reload-torn"      // SIGHUP while the settings file is half written, then while it is missing
-	Cut             Kind = "cut"              // partitions two machines in both directions
-	CutOneWay       Kind = "cut-one-way"      // blocks traffic from one machine to another
-	Isolate         Kind = "isolate"          // separates a machine from all other machines of the system
-	IsolateOutside  Kind = "isolate-outside"  // separates a controller from searchers and operators
-	SplitCore       Kind = "split-core"       // splits the controllers into two groups; all other machines reach both
-	Slow            Kind = "slow"             // delays all traffic of a machine
-	Reset           Kind = "reset"            // resets all connections of a machine
-	LoseAnswers     Kind = "lose-answers"     // drops the responses of controllers to searchers and operators
-	WipeDisk        Kind = "wipe-disk"        // kills a controller and deletes its disk
-	WipeAndKillAll  Kind = "wipe-and-kill"    // the same while all other processes are killed
-	ReplaceCore     Kind = "replace-core"     // removes a controller for good; an empty one starts at another address
-	SearcherCrash   Kind = "searcher-crash"   // a searcher crashes; another one replaces it
-	SearcherMute    Kind = "searcher-mute"    // a searcher accepts requests and never answers, then crashes
-	SearcherDrain   Kind = "searcher-drain"   // a searcher drains and deregisters
-	SearcherDelete  Kind = "searcher-delete"  // a searcher deregisters without draining first
-	SearcherReplace Kind = "searcher-replace" // a searcher crashes; its address is reassigned to another service
-	SearcherRude    Kind = "searcher-rude"    // a searcher violates the HTTP protocol
-	SearcherReset   Kind = "searcher-reset"   // a searcher's connections are reset
-	SearcherSlow    Kind = "searcher-slow"    // a searcher takes many times as long for each request
-	SearcherFailing Kind = "searcher-failing" // a searcher fails some of its requests
-	SearcherFreeze  Kind = "searcher-freeze"  // a searcher pauses, neither reading nor writing, and resumes where it stopped
-	FreezeMany      Kind = "freeze-many"      // many searchers pause and resume, several times
-	ReplaceMany     Kind = "replace-many"     // many searchers crash; their addresses are reassigned to one other service
-	FreezeFronts    Kind = "freeze-fronts"    // many fronts pause and resume, several times
-	Reshard         Kind = "reshard"          // the configuration switches to the other set of shards
-	Burst           Kind = "burst"            // clients send more requests than usual
-	Race            Kind = "race"             // two operators send different configurations under one version
-	Storm           Kind = "storm"            // configurations in quick succession
-	Abuse           Kind = "abuse"            // clients send malformed requests
+	KillProcess          Kind = "kill"             // SIGKILL, then restart
+	KillMachine          Kind = "kill-machine"     // kills all processes of one machine
+	KillControllers      Kind = "kill-core"        // kills all controllers at the same moment
+	KillAll              Kind = "kill-all"         // kills all processes
+	KillRepeatedly       Kind = "kill-repeatedly"  // kills a process several times, soon after each start
+	Freeze               Kind = "freeze"           // SIGSTOP, later SIGCONT
+	FreezeMachine        Kind = "freeze-machine"   // stops all processes of one machine
+	Terminate            Kind = "terminate"        // SIGTERM, restart after the process has exited
+	TerminateTwice       Kind = "terminate-twice"  // SIGTERM, then a second one during shutdown
+	TerminateEarly       Kind = "terminate-early"  // SIGTERM during startup
+	Reload               Kind = "reload"           // SIGHUP
+	ReloadEarly          Kind = "reload-early"     // SIGHUP during startup
+	ReloadTorn           Kind = "reload-torn"      // SIGHUP while the settings file is half written, then while it is missing
+	Partition            Kind = "cut"              // partitions two machines in both directions
+	PartitionOneWay      Kind = "cut-one-way"      // blocks traffic from one machine to another
+	Isolate              Kind = "isolate"          // separates a machine from all other machines of the system
+	IsolateOutside       Kind = "isolate-outside"  // separates a controller from searchers and operators
+	SplitControllers     Kind = "split-core"       // splits the controllers into two groups; all other machines reach both
+	SlowLinks            Kind = "slow"             // delays all traffic of a machine
+	ResetConnections     Kind = "reset"            // resets all connections of a machine
+	DropResponses        Kind = "lose-answers"     // drops the responses of controllers to searchers and operators
+	WipeDisk             Kind = "wipe-disk"        // kills a controller and deletes its disk
+	WipeAndKillAll       Kind = "wipe-and-kill"    // the same while all other processes are killed
+	ReplaceController    Kind = "replace-core"     // removes a controller for good; an empty one starts at another address
+	SearcherCrash        Kind = "searcher-crash"   // a searcher crashes; another one replaces it
+	SearcherUnresponsive Kind = "searcher-mute"    // a searcher accepts requests and never answers, then crashes
+	SearcherDrain        Kind = "searcher-drain"   // a searcher drains and deregisters
+	SearcherDelete       Kind = "searcher-delete"  // a searcher deregisters without draining first
+	SearcherReassign     Kind = "searcher-replace" // a searcher crashes; its address is reassigned to another service
+	SearcherMisbehaving  Kind = "searcher-rude"    // a searcher violates the HTTP protocol
+	SearcherReset        Kind = "searcher-reset"   // a searcher's connections are reset
+	SearcherSlow         Kind = "searcher-slow"    // a searcher takes many times as long for each request
+	SearcherFailing      Kind = "searcher-failing" // a searcher fails some of its requests
+	SearcherFreeze       Kind = "searcher-freeze"  // a searcher pauses, neither reading nor writing, and resumes where it stopped
+	FreezeMany           Kind = "freeze-many"      // many searchers pause and resume, several times
+	ReassignMany         Kind = "replace-many"     // many searchers crash; their addresses are reassigned to one other service
+	FreezeFronts         Kind = "freeze-fronts"    // many fronts pause and resume, several times
+	Reshard              Kind = "reshard"          // the configuration switches to the other set of shards
+	LoadBurst            Kind = "burst"            // clients send more requests than usual
+	ConfigRace           Kind = "race"             // two operators send different configurations under one version
+	ConfigStorm          Kind = "storm"            // configurations in quick succession
+	MalformedRequests    Kind = "abuse"            // clients send malformed requests
 )
 
 // Kinds lists all kinds of faults.
-var Kinds = []Kind{KillProcess, KillMachine, KillCore, KillAll, KillRepeatedly, Freeze, FreezeMachine, Terminate, TerminateTwice, TerminateEarly,
-	Reload, ReloadEarly, ReloadTorn, Cut, CutOneWay, Isolate, IsolateOutside, SplitCore, Slow, Reset, LoseAnswers, WipeDisk, WipeAndKillAll, ReplaceCore,
-	SearcherCrash, SearcherMute, SearcherDrain, SearcherDelete, SearcherReplace, SearcherRude, SearcherReset, SearcherSlow, SearcherFailing, Burst,
-	Race, Storm, Abuse, SearcherFreeze, FreezeMany, ReplaceMany, FreezeFronts, Reshard}
+var Kinds = []Kind{KillProcess, KillMachine, KillControllers, KillAll, KillRepeatedly, Freeze, FreezeMachine, Terminate,
+	TerminateTwice, TerminateEarly, Reload, ReloadEarly, ReloadTorn, Partition, PartitionOneWay, Isolate, IsolateOutside,
+	SplitControllers, SlowLinks, ResetConnections, DropResponses, WipeDisk, WipeAndKillAll, ReplaceController, SearcherCrash,
+	SearcherUnresponsive, SearcherDrain, SearcherDelete, SearcherReassign, SearcherMisbehaving, SearcherReset, SearcherSlow,
+	SearcherFailing, LoadBurst, ConfigRace, ConfigStorm, MalformedRequests, SearcherFreeze, FreezeMany, ReassignMany,
+	FreezeFronts, Reshard}
 
 // PlannedKinds lists the kinds that are planned maintenance: they must not make any client request fail.
-var Planned = []Kind{Terminate, TerminateTwice, Reload, ReloadTorn, SearcherDrain, SearcherDelete, Race, Storm, Reshard}
+var PlannedKinds = []Kind{Terminate, TerminateTwice, Reload, ReloadTorn, SearcherDrain, SearcherDelete, ConfigRace,
+	ConfigStorm, Reshard}
 
 // ParseKinds parses a comma-separated list of kinds; "planned" stands for PlannedKinds.
 func ParseKinds(text string) (kinds []Kind, err error) {
@@ -75,7 +78,7 @@
 		switch word = strings.TrimSpace(word); {
 		case word == "":
 		case word == "planned":
-			kinds = append(kinds, Planned...)
+			kinds = append(kinds, PlannedKinds...)
 		case slices.Contains(Kinds, Kind(word)):
 			kinds = append(kinds, Kind(word))
 		default:
@@ -118,27 +121,27 @@
 }
 
 // Fault is one entry of a schedule.
-type Trouble struct {
-	At   time.Duration
-	For  time.Duration
-	Kind Kind
+type Fault struct {
+	At       time.Duration
+	Duration time.Duration
+	Kind     Kind
 	// Target, SecondTarget and Variant select what the fault affects and how; each kind interprets them in its own way.
-	One, Two, Chance int
+	Target, SecondTarget, Variant int
 }
 
-func (f Trouble) String() string {
-	return fmt.Sprintf("%8.3f s  %-17s for %5.3f s (%d, %d, %d)", f.At.Seconds(), f.Kind, f.For.Seconds(), f.One, f.Two, f.Chance)
+func (f Fault) String() string {
+	return fmt.Sprintf("%8.3f s  %-17s for %5.3f s (%d, %d, %d)", f.At.Seconds(), f.Kind, f.Duration.Seconds(), f.Target, f.SecondTarget, f.Variant)
 }
 
 // Schedule lists all faults of a run, by start time.
 type Schedule struct {
-	Shape    Shape
-	Troubles []Trouble
+	Shape  Shape
+	Faults []Fault
 }
 
 // planned reports whether the schedule holds planned maintenance only, in which case no request may fail.
 func (s Schedule) planned() bool {
-	return !slices.ContainsFunc(s.Troubles, func(f Trouble) bool { return !slices.Contains(Planned, f.Kind) })
+	return !slices.ContainsFunc(s.Faults, func(f Fault) bool { return !slices.Contains(PlannedKinds, f.Kind) })
 }
 
 const (
@@ -157,7 +160,7 @@
 )
 
 // DrawSchedule draws a schedule from a seed. The result depends only on its arguments.
-func Draw(seed uint64, length time.Duration, kinds []Kind, concurrency int) Schedule {
+func DrawSchedule(seed uint64, length time.Duration, kinds []Kind, concurrency int) Schedule {
 	if concurrency == 0 {
 		concurrency = defaultConcurrency
 	}
@@ -176,27 +179,27 @@
 	lastWipe, spares := -minWipeInterval, s.Shape.Spares
 	gap := float64(meanGap) * defaultConcurrency / float64(concurrency)
 	for at := firstFaultAt; at < length; at += time.Duration(random.ExpFloat64() * gap) {
-		f := Trouble{At: at, Kind: kinds[random.IntN(len(kinds))], One: random.IntN(choiceRange), Two: random.IntN(choiceRange),
-			Chance: random.IntN(choiceRange)}
-		f.For = minFaultDuration + time.Duration(random.Float64()*random.Float64()*float64(maxFaultDuration-minFaultDuration))
+		f := Fault{At: at, Kind: kinds[random.IntN(len(kinds))], Target: random.IntN(choiceRange), SecondTarget: random.IntN(choiceRange),
+			Variant: random.IntN(choiceRange)}
+		f.Duration = minFaultDuration + time.Duration(random.Float64()*random.Float64()*float64(maxFaultDuration-minFaultDuration))
 		if random.IntN(longFaultRatio) == 0 {
-			f.For = max(maxFaultDuration, min(maxLongFault, length/3))
+			f.Duration = max(maxFaultDuration, min(maxLongFault, length/3))
 		}
 		activeUntil = slices.DeleteFunc(activeUntil, func(end time.Duration) bool { return end <= at })
 		if len(activeUntil) >= concurrency {
 			continue
 		}
-		if f.Kind == WipeDisk || f.Kind == WipeAndKillAll || f.Kind == ReplaceCore {
-			if at-lastWipe < minWipeInterval || at+minTimeAfterWipe > length || f.Kind == ReplaceCore && spares == 0 {
+		if f.Kind == WipeDisk || f.Kind == WipeAndKillAll || f.Kind == ReplaceController {
+			if at-lastWipe < minWipeInterval || at+minTimeAfterWipe > length || f.Kind == ReplaceController && spares == 0 {
 				continue
 			}
 			lastWipe = at
-			if f.Kind == ReplaceCore {
+			if f.Kind == ReplaceController {
 				spares--
 			}
 		}
-		activeUntil = append(activeUntil, at+f.For)
-		s.Troubles = append(s.Troubles, f)
+		activeUntil = append(activeUntil, at+f.Duration)
+		s.Faults = append(s.Faults, f)
 	}
 	return s
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -21,13 +21,13 @@
 func TestScheduleDependsOnSeed(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(40) {
-		s := Draw(seed, time.Minute, nil, 0)
-		must.Eq(t, s, Draw(seed, time.Minute, nil, 0))
-		must.NotEq(t, s.Troubles, Draw(seed+1, time.Minute, nil, 0).Troubles)
-		for i, f := range s.Troubles {
+		s := DrawSchedule(seed, time.Minute, nil, 0)
+		must.Eq(t, s, DrawSchedule(seed, time.Minute, nil, 0))
+		must.NotEq(t, s.Faults, DrawSchedule(seed+1, time.Minute, nil, 0).Faults)
+		for i, f := range s.Faults {
 			seen[f.Kind] = true
 			must.Less(t, time.Minute, f.At)
-			must.True(t, i == 0 || f.At >= s.Troubles[i-1].At)
+			must.True(t, i == 0 || f.At >= s.Faults[i-1].At)
 		}
 	}
 	must.Len(t, len(Kinds), slices.Collect(func(yield func(Kind) bool) {
@@ -35,14 +35,14 @@
 			yield(k)
 		}
 	}))
-	must.True(t, Draw(1, time.Minute, Planned, 0).planned())
-	must.False(t, Draw(1, time.Minute, nil, 0).planned())
+	must.True(t, DrawSchedule(1, time.Minute, PlannedKinds, 0).planned())
+	must.False(t, DrawSchedule(1, time.Minute, nil, 0).planned())
 }
 
 func TestParseKinds(t *testing.T) {
 	kinds, err := ParseKinds("kill, cut,planned")
 	must.NoError(t, err)
-	must.Eq(t, append([]Kind{KillProcess, Cut}, Planned...), kinds)
+	must.Eq(t, append([]Kind{KillProcess, Partition}, PlannedKinds...), kinds)
 	_, err = ParseKinds("earthquake")
 	must.ErrorContains(t, err, "earthquake")
 }
@@ -52,7 +52,7 @@
 	t.Helper()
 	r := &run{system: &localsystem.System{Ledger: &faulty.Ledger{}}, affected: map[*searcher]bool{}, started: time.Now()}
 	r.options.Dir = t.TempDir()
-	r.schedule = Schedule{Shape: (&Options{}).shape(Shape{}), Troubles: []Trouble{{Kind: KillProcess}}}
+	r.schedule = Schedule{Shape: (&Options{}).shape(Shape{}), Faults: []Fault{{Kind: KillProcess}}}
 	r.load = &load{run: r}
 	r.operators = &operators{run: r}
 	server, err := faulty.Start(faulty.Options{ID: "i-1", Ledger: r.system.Ledger})
@@ -138,7 +138,7 @@
 			arrive(t, s, "GET /get/1 HTTP/1.1", "Attempt-Id: get-1-0")
 		},
 		"lost in planned work": func(t *testing.T, r *run, s *searcher) {
-			r.schedule.Troubles = []Trouble{{Kind: Terminate}}
+			r.schedule.Faults = []Fault{{Kind: Terminate}}
 			s.markUnreliable() // must not excuse the loss in planned maintenance
 			r.load.requests = []*request{{attempts: []*attempt{lostAttempt()}}}
 			arrive(t, s, "GET /get/1 HTTP/1.1", "Attempt-Id: get-1-0")
@@ -253,7 +253,7 @@
 func TestAttemptCrossesClose(t *testing.T) {
 	for took, lost := range map[time.Duration]bool{lossSlack / 2: false, 2 * lossSlack: true} {
 		r, _ := newCheckedRun(t)
-		r.schedule.Troubles = []Trouble{{Kind: Terminate}}
+		r.schedule.Faults = []Fault{{Kind: Terminate}}
 		crossing := lostAttempt()
 		crossing.took = took
 		r.load.requests = []*request{{attempts: []*attempt{crossing}}}
