--- a/lab/soak/abuse.go
+++ b/lab/soak/abuse.go
@@ -14,8 +14,8 @@
 	abuseTimeout  = 2 * time.Second
 )
 
-// malformedRequests are what misbehaving clients send. Each is sent on its own connection, which is then closed or reset.
-var malformedRequests = []func(id string) []byte{
+// malformedMessages are what misbehaving clients send. Each is sent on its own connection, which is then closed or reset.
+var malformedMessages = []func(id string) []byte{
 	func(string) []byte { return []byte("\x16\x03\x01\x00\xa5\x01\x00\x00\xa1") },
 	func(string) []byte { return []byte("GET /get/1 HTTP/1.1\r\nHost: " + host) },
 	func(string) []byte { return bytes.Repeat([]byte("A"), 64<<10) },
@@ -59,7 +59,7 @@
 // abuse makes clients send malformed requests for a while; some of them disconnect early.
 func (r *run) abuse(duration time.Duration, variant int) {
 	for end := time.Now().Add(duration); time.Now().Before(end) && r.ctx.Err() == nil; r.sleep(abuseInterval) {
-		go r.abuseOnce(rand.IntN(len(malformedRequests)), rand.IntN(3))
+		go r.abuseOnce(rand.IntN(len(malformedMessages)), rand.IntN(3))
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(abuseTimeout))
-	c.Write(malformedRequests[index](r.probeID()))
+	c.Write(malformedMessages[index](r.probeID()))
 	switch behavior {
 	case 0: // read the response
 		var b [4096]byte
--- a/lab/soak/attempt_checks.go
+++ b/lab/soak/attempt_checks.go
@@ -81,8 +81,8 @@
 	return a.status == 0 && !a.unsent && a.leftAt.IsZero() && !r.endedWithGrace(a)
 }
 
-// endedWithGrace reports whether an attempt ended in the last sixth of the grace period of a terminating front, because its searcher
-// was still working on it.
+// endedWithGrace reports whether an attempt ended in the last sixth of the grace period of a terminating front, because its
+// searcher was still working on it.
 func (r *run) endedWithGrace(a *attempt) bool {
 	end, proxy := a.sent.Add(a.took), r.proxyName(a.front)
 	r.mu.Lock()
@@ -113,8 +113,8 @@
 	c.run.violation("lost: %s at front %d, with %d arrivals, after %v: %s", a.id, a.front, len(entries), a.took.Round(time.Millisecond), a.failure)
 }
 
-// crossedClose reports whether an attempt was sent while its front was closing the connection: the front has forwarded nothing and may
-// not have read the request.
+// crossedClose reports whether an attempt was sent while its front was closing the connection: the front has forwarded
+// nothing and may not have read the request.
 func (c *attemptChecker) crossedClose(a *attempt) bool {
 	return len(c.entries[a.id]) == 0 && a.took <= lossSlack
 }
--- a/lab/soak/budget_checks.go
+++ b/lab/soak/budget_checks.go
@@ -13,8 +13,8 @@
 	"peathollow/internal/standin/faulty"
 )
 
-// extraArrival is an arrival at a service beyond the first of each request intended for it. For a request intended for another service
-// and sent to an address that this service has taken over, every arrival is extra.
+// extraArrival is an arrival at a service beyond the first of each request intended for it. For a request intended for
+// another service and sent to an address that this service has taken over, every arrival is extra.
 type extraArrival struct {
 	at              time.Time
 	front           int  // the sender
@@ -38,8 +38,9 @@
 	arrivals       []extraArrival
 }
 
-// checkBudget verifies that in each window each service gets no more extra arrivals than the retry budget allows. A request sent to an
-// address that was reassigned to another service counts there from its first arrival on, and does not increase the allowance there.
+// checkBudget verifies that in each window each service gets no more extra arrivals than the retry budget allows. A request
+// sent to an address that was reassigned to another service counts there from its first arrival on, and does not increase
+// the allowance there.
 func (r *run) checkBudget(entries []faulty.Entry, services map[string]string, sent map[string]*attempt) {
 	byService := r.arrivals(entries, services, sent)
 	report, err := os.Create(filepath.Join(r.options.Dir, "budget.txt"))
@@ -105,7 +106,8 @@
 	return byService
 }
 
-// intendedServices returns the services that an attempt should reach, by any configuration that may have been active when it was sent.
+// intendedServices returns the services that an attempt should reach, by any configuration that may have been active when it
+// was sent.
 func (r *run) intendedServices(a *attempt) (names []string) {
 	if a.kind != "fan" {
 		return []string{single}
--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -113,7 +113,8 @@
 	return true
 }
 
-// checkQuietPeriod verifies that each request in the quiet period succeeded and that each front has applied the newest configuration.
+// checkQuietPeriod verifies that each request in the quiet period succeeded and that each front has applied the newest
+// configuration.
 func (r *run) checkQuietPeriod(from time.Time, result *Result) {
 	for _, q := range r.load.allRequests() {
 		if q.started.Before(from) || q.clientLeft {
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -93,10 +93,12 @@
 	localsystem.Send(ctx, rate, l.sendRequest)
 }
 
-// maxInFlight limits the requests in flight: they pile up while fronts are paused, and each takes three file descriptors of this process.
+// maxInFlight limits the requests in flight: they pile up while fronts are paused, and each takes three file descriptors of
+// this process.
 const maxInFlight = 2000
 
-// sendRequest sends a request, with retries where the protocol allows them, until it has a correct response or its time is over.
+// sendRequest sends a request, with retries where the protocol allows them, until it has a correct response or its time is
+// over.
 func (l *load) sendRequest(n int) {
 	defer l.inFlight.Add(-1)
 	if l.inFlight.Add(1) > maxInFlight {
--- a/lab/soak/config.go
+++ b/lab/soak/config.go
@@ -73,8 +73,8 @@
 // versionPath returns the path of the route that a version adds and all later versions keep.
 func versionPath(version uint64) string { return fmt.Sprintf("/v%d/", version) }
 
-// configuration returns the document of a version. The variant distinguishes documents under the same version; set is the set of
-// shards in use.
+// configuration returns the document of a version. The variant distinguishes documents under the same version; set is the
+// set of shards in use.
 func (s Shape) configuration(version uint64, known []uint64, variant, set int) []byte {
 	newRoute := func(name, prefix, mode string) routeConfig {
 		return routeConfig{Name: name, Host: host, Prefix: prefix, Mode: mode, Horizon: horizon.Milliseconds(),
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -45,7 +45,8 @@
 	r.mu.Unlock()
 }
 
-// affectedMachines returns a predicate for the machines that a fault affects. Faults of searchers, operators and clients affect none.
+// affectedMachines returns a predicate for the machines that a fault affects. Faults of searchers, operators and clients
+// affect none.
 func (r *run) affectedMachines(f Fault) func(machine string) bool {
 	switch f.Kind {
 	case SearcherCrash, SearcherUnresponsive, SearcherDrain, SearcherDelete, SearcherReassign, SearcherMisbehaving,
--- a/lab/soak/link_faults.go
+++ b/lab/soak/link_faults.go
@@ -49,8 +49,8 @@
 	return strings.HasPrefix(name, "core-") || strings.HasPrefix(name, "front-")
 }
 
-// splitControllers returns a predicate for links between two groups of controllers. The bits of choice select the groups; each has
-// at least one controller.
+// splitControllers returns a predicate for links between two groups of controllers. The bits of choice select the groups;
+// each has at least one controller.
 func (r *run) splitControllers(choice int) func(from, to string) bool {
 	controllers := r.activeProcesses("controller")
 	side := map[string]bool{}
--- a/lab/soak/multi_faults.go
+++ b/lab/soak/multi_faults.go
@@ -22,7 +22,7 @@
 	r.returnSearcher(s)
 }
 
-// injectMultiFault injects a fault that affects many searchers or fronts. It returns false if the fault is of another kind.
+// injectMultiFault injects a fault that affects many searchers or fronts, or the set of shards. It returns false if the fault is of another kind.
 func (r *run) injectMultiFault(f Fault) bool {
 	switch f.Kind {
 	case FreezeMany:
@@ -71,8 +71,8 @@
 	}
 }
 
-// reassignAddresses makes many searchers crash. After the delay for reuse, searchers of one other service start at their addresses,
-// and later the services get new searchers at new addresses.
+// reassignAddresses makes many searchers crash. After the delay for reuse, searchers of one other service start at their
+// addresses, and later the services get new searchers at new addresses.
 func (r *run) reassignAddresses(f Fault) {
 	services := r.schedule.Shape.services()
 	newService := services[f.SecondTarget%len(services)]
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -217,8 +217,8 @@
 	return nil
 }
 
-// readPeriodically reads the active configuration back until ctx is done. Its version must not be older than the newest one that was
-// acknowledged when the request was sent, and its content must be what was sent under that version.
+// readPeriodically reads the active configuration back until ctx is done. Its version must not be older than the newest one
+// that was acknowledged when the request was sent, and its content must be what was sent under that version.
 func (o *operators) readPeriodically(ctx context.Context) {
 	periodic.Each(ctx, readInterval, func() { o.readOnce(ctx) })
 }
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -257,7 +257,8 @@
 	}
 }
 
-// checkFinalState reads the configuration back and checks the metrics of the processes for violations that they counted themselves.
+// checkFinalState reads the configuration back and checks the metrics of the processes for violations that they counted
+// themselves.
 func (r *run) checkFinalState() {
 	ctx, stop := context.WithTimeout(r.ctx, contactTime)
 	defer stop()
--- a/lab/soak/searchers.go
+++ b/lab/soak/searchers.go
@@ -178,7 +178,8 @@
 	s.stop()
 }
 
-// reassignAddress makes a searcher crash and starts one of another service at its address; the service gets a new searcher elsewhere.
+// reassignAddress makes a searcher crash and starts one of another service at its address; the service gets a new searcher
+// elsewhere.
 func (r *run) reassignAddress(s *searcher, choice int) {
 	s.stop()
 	r.sleep(reuseDelay)
--- a/lab/soak/sessions.go
+++ b/lab/soak/sessions.go
@@ -10,8 +10,8 @@
 	"peathollow/internal/keepalive"
 )
 
-// session is a client with one connection. The platform chooses the front when the connection is opened; the client keeps it until
-// the connection ends, whether or not the front stays ready.
+// session is a client with one connection. The platform chooses the front when the connection is opened; the client keeps it
+// until the connection ends, whether or not the front stays ready.
 type session struct {
 	front int // of the last connection
 	http  *http.Client
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -16,8 +16,8 @@
 	"peathollow/internal/standin/localsystem"
 )
 
-// TestScheduleDependsOnSeed checks that a seed always draws the same schedule, that different seeds draw different ones, and that every
-// kind occurs.
+// TestScheduleDependsOnSeed checks that a seed always draws the same schedule, that different seeds draw different ones, and
+// that every kind occurs.
 func TestScheduleDependsOnSeed(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(40) {
@@ -208,8 +208,8 @@
 	return &injectedFault{kind: Terminate, process: "front-0-proxy", from: a.sent.Add(a.took - before)}
 }
 
-// TestLostDuringFault checks that planned maintenance does not excuse a lost attempt, and that a disturbed front or an unreliable searcher
-// does.
+// TestLostDuringFault checks that planned maintenance does not excuse a lost attempt, and that a disturbed front or an
+// unreliable searcher does.
 func TestLostDuringFault(t *testing.T) {
 	for name, excuse := range map[string]func(r *run, s *searcher) bool{
 		"planned work": func(r *run, s *searcher) bool {
@@ -248,8 +248,8 @@
 	}
 }
 
-// TestAttemptCrossesClose checks that an attempt that was sent while its front closed the connection and that reached no searcher is not
-// counted as lost, even in planned maintenance. One that took longer is.
+// TestAttemptCrossesClose checks that an attempt that was sent while its front closed the connection and that reached no
+// searcher is not counted as lost, even in planned maintenance. One that took longer is.
 func TestAttemptCrossesClose(t *testing.T) {
 	for took, lost := range map[time.Duration]bool{lossSlack / 2: false, 2 * lossSlack: true} {
 		r, _ := newCheckedRun(t)
