--- a/lab/soak/multi_faults.go
+++ b/lab/soak/multi_faults.go
@@ -22,7 +22,8 @@
 	r.returnSearcher(s)
 }
 
-// injectMultiFault injects a fault that affects many searchers or fronts, or the set of shards. It returns false if the fault is of another kind.
+// injectMultiFault injects a fault that affects many searchers or fronts, or the set of shards. It returns
+// false if the fault is of another kind.
 func (r *run) injectMultiFault(f Fault) bool {
 	switch f.Kind {
 	case FreezeMany:
--- a/lab/soak/reload.go
+++ b/lab/soak/reload.go
@@ -13,8 +13,8 @@
 	p.Signal(syscall.SIGHUP)
 }
 
-// awaitSignalHandler waits until a process has decided how to handle SIGHUP. Between exec and the end of its startup no
-// program can.
+// awaitSignalHandler waits until a process has decided how to handle SIGHUP. From exec until its loader has
+// finished no program can.
 func awaitSignalHandler(p *localsystem.Process, s syscall.Signal) {
 	if s != syscall.SIGHUP {
 		return
