--- a/attempt/explore/canon.go
+++ b/attempt/explore/canon.go
@@ -13,48 +13,50 @@
 	"peathollow/attempt"
 )
 
-// canon tells states: two that only differ by which reader or which part is which are one, where that is asked for.
-type canon struct {
-	readers, parts [][]int // orders
-	buf            []byte
-	w              *World
-	names          attempt.StateLabels
-	r, p           []int // the present orders: the place of each
-	bySearcher     []uint64
-	byPart         []uint64
+// canonicalizer computes canonical hashes of states. With symmetry reduction, states that differ only by a permutation of
+// searchers or parts have the same hash.
+type canonicalizer struct {
+	searcherOrders, partOrders [][]int // permutations to try
+	buf                        []byte
+	sim                        *Simulation
+	labels                     attempt.StateLabels
+	searcherPlaces, partPlaces []int // the current permutations: the place of each
+	searcherSignatures         []uint64
+	partSignatures             []uint64
 }
 
-// newCanon knows all orders of readers and parts, or one. The real module tells readers apart by chance drawn from ids,
-// so that with it nothing is alike.
-func newCanon(set *Setup, symmetry bool) *canon {
-	c := &canon{readers: [][]int{upTo(set.Readers)}, parts: [][]int{upTo(set.Parts)}}
-	if symmetry && set.Decider == "free" {
-		c.readers, c.parts = orders(set.Readers), orders(set.Parts)
+// newCanonicalizer tries all permutations of searchers and parts, or only the identity. The policy engine derives random
+// draws from IDs, so that with it searchers and parts are not interchangeable.
+func newCanonicalizer(setup *Setup, symmetry bool) *canonicalizer {
+	c := &canonicalizer{searcherOrders: [][]int{identityOrder(setup.Readers)}, partOrders: [][]int{identityOrder(setup.Parts)}}
+	if symmetry && setup.Decider == "free" {
+		c.searcherOrders, c.partOrders = permutations(setup.Readers), permutations(setup.Parts)
 	}
-	c.names = attempt.StateLabels{LatencyMatters: set.Decider == "brain", Searchers: make([]string, set.Readers),
+	c.labels = attempt.StateLabels{LatencyMatters: setup.Decider == "brain", Searchers: make([]string, setup.Readers),
 		Addr:  func(addr string) byte { return byte(len(addr)) },
-		Shard: func(s int) int { return c.p[s] },
+		Shard: func(s int) int { return c.partPlaces[s] },
 		Scan: func(s *attempt.Scan) int {
-			return slices.IndexFunc(c.w.scans, func(x *scan) bool { return x.s == s })
+			return slices.IndexFunc(c.sim.scans, func(x *scan) bool { return x.request == s })
 		},
-		AnswerPossible: func(k attempt.TransportConn, wire string, out uint64, due bool) bool {
-			may := func(f Fault) bool { return c.w.may(f) }
-			if may(fReuse) || due && may(fBehind) {
+		AnswerPossible: func(k attempt.TransportConn, wireID string, out uint64, due bool) bool {
+			may := func(f Fault) bool { return c.sim.faultAllowed(f) }
+			if may(faultReuse) || due && may(faultBehind) {
 				return true
 			}
-			return slices.ContainsFunc(c.w.sents, func(x *sent) bool {
-				return x.c == k.(*conn) && x.wire == wire && x.seq != out && (x.state == onWire || x.state == answered && may(fTwice))
+			return slices.ContainsFunc(c.sim.dispatches, func(x *dispatch) bool {
+				return x.conn == k.(*conn) && x.wireID == wireID && x.seq != out &&
+					(x.state == onWire || x.state == answered && may(faultTwice))
 			})
 		},
 		ValueReceived: func(v string, shard int, s *attempt.Scan, step int) bool {
-			i := slices.IndexFunc(c.w.scans, func(x *scan) bool { return x.s == s })
-			return c.w.scans[i].came(step, shard, v)
+			i := slices.IndexFunc(c.sim.scans, func(x *scan) bool { return x.request == s })
+			return c.sim.scans[i].hasReceived(step, shard, v)
 		},
-		AppendConn: func(b []byte, k attempt.TransportConn) []byte { return c.conn(b, k.(*conn)) }}
+		AppendConn: func(b []byte, k attempt.TransportConn) []byte { return c.appendConn(b, k.(*conn)) }}
 	return c
 }
 
-func upTo(n int) []int {
+func identityOrder(n int) []int {
 	x := make([]int, n)
 	for i := range x {
 		x[i] = i
@@ -62,93 +64,94 @@
 	return x
 }
 
-func orders(n int) (all [][]int) {
-	var put func(x []int, k int)
-	put = func(x []int, k int) {
+func permutations(n int) (all [][]int) {
+	var permute func(x []int, k int)
+	permute = func(x []int, k int) {
 		if k == n {
 			all = append(all, slices.Clone(x))
 			return
 		}
 		for i := k; i < n; i++ {
 			x[k], x[i] = x[i], x[k]
-			put(x, k+1)
+			permute(x, k+1)
 			x[k], x[i] = x[i], x[k]
 		}
 	}
-	put(upTo(n), 0)
+	permute(identityOrder(n), 0)
 	return all
 }
 
-// hash is the least over all orders, the same for all states that are alike.
-func (c *canon) hash(w *World) uint64 {
-	c.w = w
-	least := uint64(math.MaxUint64)
-	c.look(w)
-	for _, r := range c.readers {
-		if !sorted(r, c.bySearcher) {
+// hash returns the lowest hash over all permutations, which is the same for all symmetric states.
+func (c *canonicalizer) hash(sim *Simulation) uint64 {
+	c.sim = sim
+	lowest := uint64(math.MaxUint64)
+	c.computeSignatures(sim)
+	for _, r := range c.searcherOrders {
+		if !consistent(r, c.searcherSignatures) {
 			continue
 		}
-		for _, p := range c.parts {
-			if !sorted(p, c.byPart) {
+		for _, p := range c.partOrders {
+			if !consistent(p, c.partSignatures) {
 				continue
 			}
-			c.r, c.p = r, p
+			c.searcherPlaces, c.partPlaces = r, p
 			for i, at := range r {
-				c.names.Searchers[at] = readerName(i)
+				c.labels.Searchers[at] = searcherName(i)
 			}
-			c.buf = c.state(c.buf[:0])
-			least = min(least, xxh3.Hash(c.buf))
+			c.buf = c.appendState(c.buf[:0])
+			lowest = min(lowest, xxh3.Hash(c.buf))
 		}
 	}
-	return least
+	return lowest
 }
 
-// look gives each reader and each part a figure that does not depend on names. Only the orders in which these do not
-// fall are tried: where all differ, that is one.
-func (c *canon) look(w *World) {
-	c.bySearcher, c.byPart = make([]uint64, len(c.readers[0])), make([]uint64, len(c.parts[0]))
-	if len(c.readers) == 1 && len(c.parts) == 1 {
+// computeSignatures gives each searcher and each part a signature that does not depend on its name. Only permutations that
+// sort by signature are tried: if all signatures differ, that is one.
+func (c *canonicalizer) computeSignatures(sim *Simulation) {
+	c.searcherSignatures, c.partSignatures = make([]uint64, len(c.searcherOrders[0])), make([]uint64, len(c.partOrders[0]))
+	if len(c.searcherOrders) == 1 && len(c.partOrders) == 1 {
 		return
 	}
-	for i, r := range w.readers {
-		c.bySearcher[i] = uint64(r.state) | uint64(b2i(r.moved))<<2 | uint64(b2i(r.gone))<<3
+	for i, r := range sim.searchers {
+		c.searcherSignatures[i] = uint64(r.state) | uint64(b2i(r.moved))<<2 | uint64(b2i(r.removed))<<3
 	}
-	for _, k := range w.conns {
+	for _, k := range sim.conns {
 		if k.closed {
 			continue
 		}
-		x := uint64(len(k.frames)) | uint64(b2i(k.shut))<<4 | uint64(b2i(k.taken))<<5 | uint64(b2i(k.broken))<<6 |
-			uint64(b2i(k.closing))<<7 | uint64(b2i(k.closed))<<8
-		c.bySearcher[k.reader] = c.bySearcher[k.reader]*0x9e3779b97f4a7c15 + x*31 + 7
+		x := uint64(len(k.frames)) | uint64(b2i(k.closeRequested))<<4 | uint64(b2i(k.writing))<<5 | uint64(b2i(k.endedBySearcher))<<6 |
+			uint64(b2i(k.writeSideEnded))<<7 | uint64(b2i(k.closed))<<8
+		c.searcherSignatures[k.searcher] = c.searcherSignatures[k.searcher]*0x9e3779b97f4a7c15 + x*31 + 7
 	}
-	for _, x := range w.sents {
-		if w.done(x) {
-			if !x.over() {
-				c.byPart[x.shard] += mixed(uint64(b2i(x.mayHaveRun()))<<20 | uint64(x.nr))
+	for _, x := range sim.dispatches {
+		if sim.settled(x) {
+			if !x.stepEnded() {
+				c.partSignatures[x.shard] += mix(uint64(b2i(x.mayHaveRun()))<<20 | uint64(x.index))
 			}
 			continue
 		}
-		y := mixed(uint64(x.state) | uint64(b2i(x.killed))<<3 | uint64(x.step)<<4 | uint64(x.scan.nr)<<5 | uint64(x.nr)<<7)
-		c.bySearcher[x.c.reader] += y
-		c.byPart[x.shard] += mixed(y)
+		y := mix(uint64(x.state) | uint64(b2i(x.cancelWritten))<<3 | uint64(x.step)<<4 | uint64(x.scan.index)<<5 | uint64(x.index)<<7)
+		c.searcherSignatures[x.conn.searcher] += y
+		c.partSignatures[x.shard] += mix(y)
 	}
 }
 
-// done tells that nothing more can come of a dispatch, but that it may have run.
-func (w *World) done(x *sent) bool {
-	return x.state >= answered && (x.state != answered || x.c.closed || !w.may(fTwice) && !w.may(fReuse))
+// settled reports whether no event concerns a dispatch any more; that it may have run can still matter.
+func (sim *Simulation) settled(x *dispatch) bool {
+	return x.state >= answered &&
+		(x.state != answered || x.conn.closed || !sim.faultAllowed(faultTwice) && !sim.faultAllowed(faultReuse))
 }
 
-func mixed(x uint64) uint64 {
+func mix(x uint64) uint64 {
 	x = (x + 1) * 0xbf58476d1ce4e5b9
 	return x ^ x>>29
 }
 
-// sorted tells that figures do not fall in an order.
-func sorted(place []int, by []uint64) bool {
+// consistent reports whether a permutation sorts by signature.
+func consistent(place []int, signatures []uint64) bool {
 	for i := range place {
 		for j := range i {
-			if by[i] != by[j] && (place[i] < place[j]) != (by[i] < by[j]) {
+			if signatures[i] != signatures[j] && (place[i] < place[j]) != (signatures[i] < signatures[j]) {
 				return false
 			}
 		}
@@ -156,100 +159,104 @@
 	return true
 }
 
-func (c *canon) state(b []byte) []byte {
-	w := c.w
-	b = w.life.EncodeState(b, w.now, &c.names)
-	b = append(b, byte(w.spent), byte(b2i(w.inBatch)), byte(b2i(w.stopped)))
-	for _, name := range c.names.Searchers {
-		r := w.readers[name[0]-'a']
-		b = append(b, byte(r.state), byte(b2i(r.moved)), byte(b2i(r.gone)), byte(b2i(r.state != 0 && w.now > r.toldAt)))
+func (c *canonicalizer) appendState(b []byte) []byte {
+	sim := c.sim
+	b = sim.coordinator.EncodeState(b, sim.now, &c.labels)
+	b = append(b, byte(sim.faultsUsed), byte(b2i(sim.inBatch)), byte(b2i(sim.stopped)))
+	for _, name := range c.labels.Searchers {
+		r := sim.searchers[name[0]-'a']
+		b = append(b, byte(r.state), byte(b2i(r.moved)), byte(b2i(r.removed)), byte(b2i(r.state != 0 && sim.now > r.changedAt)))
 	}
-	for _, s := range w.scans {
+	for _, s := range sim.scans {
 		b = append(b, byte(min(s.replies, 2)), byte(s.step))
 		if s.replies == 0 {
-			b = binary.AppendVarint(b, int64(w.now-s.at))
+			b = binary.AppendVarint(b, int64(sim.now-s.submittedAt))
 		}
 	}
-	// What truly became of each dispatch, as far as a property still looks at it.
-	sents := slices.Clone(w.sents)
-	sents = slices.DeleteFunc(sents, func(x *sent) bool { return w.done(x) && x.over() })
-	key := func(x *sent) int { return x.scan.nr<<16 | x.step<<12 | c.p[x.shard]<<8 | x.nr }
-	slices.SortFunc(sents, func(x, y *sent) int { return cmp.Compare(key(x), key(y)) })
-	b = append(b, byte(len(sents)))
-	for _, x := range sents {
+	// What really became of each dispatch, as far as a property still depends on it.
+	relevant := slices.Clone(sim.dispatches)
+	relevant = slices.DeleteFunc(relevant, func(x *dispatch) bool { return sim.settled(x) && x.stepEnded() })
+	key := func(x *dispatch) int { return x.scan.index<<16 | x.step<<12 | c.partPlaces[x.shard]<<8 | x.index }
+	slices.SortFunc(relevant, func(x, y *dispatch) int { return cmp.Compare(key(x), key(y)) })
+	b = append(b, byte(len(relevant)))
+	for _, x := range relevant {
 		b = binary.AppendVarint(b, int64(key(x)))
-		if w.done(x) {
+		if sim.settled(x) {
 			b = append(b, 255, byte(b2i(x.mayHaveRun())))
-			if w.set.Effect == "keyed" && x.wrote {
-				b = binary.AppendVarint(b, int64(w.now-x.at))
+			if sim.setup.Effect == "keyed" && x.written {
+				b = binary.AppendVarint(b, int64(sim.now-x.writtenAt))
 			}
 			continue
 		}
-		b = append(b, byte(x.state), byte(x.end), byte(b2i(x.wrote)|b2i(x.killed)<<1|b2i(x.twice)<<2|b2i(x.forgotten)<<3),
-			byte(c.r[x.c.reader]), byte(b2i(x.c.closed)))
-		if w.set.Effect == "keyed" && x.wrote && x.scan.replies == 0 {
-			b = binary.AppendVarint(b, int64(w.now-x.at))
+		b = append(b, byte(x.state), byte(x.outcome),
+			byte(b2i(x.written)|b2i(x.cancelWritten)<<1|b2i(x.answeredTwice)<<2|b2i(x.droppedByRestart)<<3),
+			byte(c.searcherPlaces[x.conn.searcher]), byte(b2i(x.conn.closed)))
+		if sim.setup.Effect == "keyed" && x.written && x.scan.replies == 0 {
+			b = binary.AppendVarint(b, int64(sim.now-x.writtenAt))
 		}
 	}
-	for _, s := range w.scans {
+	for _, s := range sim.scans {
 		if s.replies > 0 {
 			continue
 		}
-		var in uint64
-		for _, x := range s.in {
+		var received uint64
+		for _, x := range s.received {
 			if x.step == s.step {
-				in |= 1 << c.p[x.shard]
+				received |= 1 << c.partPlaces[x.shard]
 			}
 		}
-		b = binary.AppendUvarint(b, in)
-		b = append(b, byte(s.passed(0)), byte(b2i(w.mayHaveRun(s))))
+		b = binary.AppendUvarint(b, received)
+		b = append(b, byte(s.receivedShards(0)), byte(b2i(sim.mayHaveRun(s))))
 	}
-	if w.free != nil {
-		return c.free(b, w.free)
+	if sim.free != nil {
+		return c.appendFreePolicy(b, sim.free)
 	}
-	b = binary.AppendVarint(b, int64(w.now))
-	return appendAll(b, reflect.ValueOf(w.real).Elem())
+	b = binary.AppendVarint(b, int64(sim.now))
+	return appendValue(b, reflect.ValueOf(sim.engine).Elem())
 }
 
-// conn is what a connection adds: its frames, and where it stands.
-func (c *canon) conn(b []byte, k *conn) []byte {
-	b = append(b, byte(b2i(k.shut)|b2i(k.taken)<<1|b2i(k.broken)<<2|b2i(k.closing)<<3|b2i(k.closed)<<4|b2i(k.writ > 0)<<5),
+// appendConn appends the state of a connection and its frames.
+func (c *canonicalizer) appendConn(b []byte, k *conn) []byte {
+	b = append(b, byte(b2i(k.closeRequested)|b2i(k.writing)<<1|b2i(k.endedBySearcher)<<2|b2i(k.writeSideEnded)<<3|
+		b2i(k.closed)<<4|b2i(k.writtenSeq > 0)<<5),
 		byte(len(k.frames)))
 	for _, f := range k.frames {
-		b = append(b, byte(b2i(f.taken)|b2i(f.whole)<<1|b2i(f.proof)<<2|b2i(f.stop != "")<<3), byte(len(f.calls)))
+		b = append(b, byte(b2i(f.writeStarted)|b2i(f.written)<<1|b2i(f.needsReceipt)<<2|b2i(f.cancelID != "")<<3), byte(len(f.calls)))
 		var calls []int
 		for _, x := range f.calls {
-			calls = append(calls, x.scan.nr<<16|x.step<<12|c.p[x.shard]<<8|x.nr)
+			calls = append(calls, x.scan.index<<16|x.step<<12|c.partPlaces[x.shard]<<8|x.index)
 		}
 		slices.Sort(calls)
 		for _, x := range calls {
 			b = binary.AppendVarint(b, int64(x))
 		}
-		if x := f.behind; x != nil {
-			b = binary.AppendVarint(b, int64(x.scan.nr<<16|x.step<<12|c.p[x.shard]<<8|x.nr))
+		if x := f.cancels; x != nil {
+			b = binary.AppendVarint(b, int64(x.scan.index<<16|x.step<<12|c.partPlaces[x.shard]<<8|x.index))
 		}
 	}
 	return b
 }
 
-func (c *canon) free(b []byte, d *free) []byte {
-	b = append(b, byte(len(d.scans)))
-	place := func(srv int) byte { return byte(slices.Index(c.names.Searchers, d.w.life.SearcherName(srv))) }
-	for _, s := range d.scans {
-		b = append(b, byte(s.nr), byte(s.step), byte(b2i(s.whole)|b2i(s.ran)<<1), byte(s.expect))
-		b = binary.AppendVarint(b, int64(s.end-d.w.now))
+func (c *canonicalizer) appendFreePolicy(b []byte, f *freePolicy) []byte {
+	b = append(b, byte(len(f.scans)))
+	place := func(searcher int) byte {
+		return byte(slices.Index(c.labels.Searchers, f.sim.coordinator.SearcherName(searcher)))
+	}
+	for _, s := range f.scans {
+		b = append(b, byte(s.index), byte(s.step), byte(b2i(s.complete)|b2i(s.mayHaveRun)<<1), byte(s.expectedParts))
+		b = binary.AppendVarint(b, int64(s.deadline-f.sim.now))
 		parts := slices.Clone(s.parts)
-		slices.SortFunc(parts, func(x, y *fpart) int { return cmp.Compare(c.p[x.shard], c.p[y.shard]) })
+		slices.SortFunc(parts, func(x, y *policyPart) int { return cmp.Compare(c.partPlaces[x.shard], c.partPlaces[y.shard]) })
 		for _, p := range parts {
-			b = append(b, byte(c.p[p.shard]), byte(b2i(p.in)), byte(len(p.tries)))
-			for i := range p.tries {
-				t := &p.tries[i]
-				b = append(b, byte(b2i(t.out)|b2i(t.called)<<1|b2i(t.never)<<2))
-				if t.out {
-					b = append(b, place(t.srv))
+			b = append(b, byte(c.partPlaces[p.shard]), byte(b2i(p.succeeded)), byte(len(p.attempts)))
+			for i := range p.attempts {
+				t := &p.attempts[i]
+				b = append(b, byte(b2i(t.inFlight)|b2i(t.cancelled)<<1|b2i(t.neverRan)<<2))
+				if t.inFlight {
+					b = append(b, place(t.searcher))
 				}
-				if d.w.set.Effect == "keyed" {
-					b = binary.AppendVarint(b, int64(t.at-d.w.now))
+				if f.sim.setup.Effect == "keyed" {
+					b = binary.AppendVarint(b, int64(t.sentAt-f.sim.now))
 				}
 			}
 		}
@@ -257,8 +264,9 @@
 	return b
 }
 
-// appendAll appends all that a value holds, but what it acts through, and what lies in places that are not used.
-func appendAll(b []byte, v reflect.Value) []byte {
+// appendValue appends the content of a value, without its interfaces and without unused slots of a policy slab, whose type
+// and fields it finds by name.
+func appendValue(b []byte, v reflect.Value) []byte {
 	switch v.Kind() {
 	case reflect.Bool:
 		return append(b, byte(b2i(v.Bool())))
@@ -275,14 +283,14 @@
 	case reflect.Slice, reflect.Array:
 		b = binary.AppendUvarint(b, uint64(v.Len()))
 		for i := range v.Len() {
-			b = appendAll(b, v.Index(i))
+			b = appendValue(b, v.Index(i))
 		}
 	case reflect.Map:
 		keys := v.MapKeys()
 		slices.SortFunc(keys, func(x, y reflect.Value) int { return cmp.Compare(x.Uint(), y.Uint()) })
 		b = binary.AppendUvarint(b, uint64(len(keys)))
 		for _, k := range keys {
-			b = appendAll(appendAll(b, k), v.MapIndex(k))
+			b = appendValue(appendValue(b, k), v.MapIndex(k))
 		}
 	case reflect.Struct:
 		used := v.FieldByName("used")
@@ -291,13 +299,13 @@
 			if strings.HasPrefix(v.Type().Name(), "slab[") && v.Type().Field(i).Name == "at" {
 				for k := range f.Len() {
 					if used.Index(k).Bool() {
-						b = appendAll(b, f.Index(k))
+						b = appendValue(b, f.Index(k))
 					}
 				}
 				continue
 			}
-			b = appendAll(b, f)
+			b = appendValue(b, f)
 		}
 	}
-	return b // interfaces: the actions, and a hash that is set anew for each draw
+	return b // interfaces: the actions, and a hash that is reset for each random draw
 }
--- a/attempt/explore/checkpoint.go
+++ b/attempt/explore/checkpoint.go
@@ -15,8 +15,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// A checkpoint is the states met and those to go on from: a head in JSON on one line, the hashes, the choices, and a
-// checksum of all that. It is replaced whole or not at all.
+// A checkpoint holds the visited states and the unexpanded ones: a header in JSON on one line, the hashes, the choices, and
+// a checksum of all that. The file is replaced atomically.
 
 const checkpointVersion = 1
 
@@ -36,40 +36,41 @@
 
 func (s *Search) save() error {
 	var b bytes.Buffer
-	head := checkpointHead{checkpointVersion, s.Setup, s.Reduction.String(), s.seen.len(), s.trans.Load(), len(s.stack),
-		s.before + time.Since(s.began), s.deepest, s.Outcomes()}
+	head := checkpointHead{checkpointVersion, s.Setup, s.Reduction.String(), s.seen.len(), s.transitions.Load(), len(s.stack),
+		s.earlierTime + time.Since(s.startedAt), s.maxDepth, s.Outcomes()}
 	if err := json.NewEncoder(&b).Encode(head); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	word := func(x uint64) { b.Write(binary.LittleEndian.AppendUint64(nil, x)) }
-	s.seen.all(word)
+	writeWord := func(x uint64) { b.Write(binary.LittleEndian.AppendUint64(nil, x)) }
+	s.seen.each(writeWord)
 	for _, n := range s.stack {
-		word(uint64(n.steps))
-		word(uint64(len(n.picks)))
-		b.Write(n.picks)
+		writeWord(uint64(n.steps))
+		writeWord(uint64(len(n.choices)))
+		b.Write(n.choices)
 	}
-	word(xxh3.Hash(b.Bytes()))
+	writeWord(xxh3.Hash(b.Bytes()))
 	if err := renameio.WriteFile(s.File, b.Bytes(), 0o644); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	return nil
 }
 
-// same tells that two setups say the same.
-func (s *Setup) same(t *Setup) bool {
+// equal reports whether two setups have the same values, ignoring what Check derived from them.
+func (s *Setup) equal(t *Setup) bool {
 	a, b := *s, *t
-	a.Faults, a.cfg, a.kinds, b.Faults, b.cfg, b.kinds = nil, nil, [faults]bool{}, nil, nil, [faults]bool{}
+	a.Faults, a.mixerSettings, a.enabled, b.Faults, b.mixerSettings, b.enabled =
+		nil, nil, [faultCount]bool{}, nil, nil, [faultCount]bool{}
 	return fmt.Sprint(a) == fmt.Sprint(b) && slices.Equal(s.Faults, t.Faults)
 }
 
-func (s *Search) discard() error {
+func (s *Search) removeCheckpoint() error {
 	if err := os.Remove(s.File); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	return nil
 }
 
-// load goes on from a checkpoint, if there is one of the same search.
+// load resumes from the checkpoint file, if there is one. It fails if the checkpoint is of another search.
 func (s *Search) load() error {
 	text, err := os.ReadFile(s.File)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -81,7 +82,7 @@
 	if err := s.restore(text); err != nil {
 		return fmt.Errorf("checkpoint %s: %w", s.File, err)
 	}
-	s.resumable = true
+	s.resumed = true
 	return nil
 }
 
@@ -96,11 +97,11 @@
 	}
 	switch {
 	case head.Version != checkpointVersion:
-		return fmt.Errorf("of version %d; this program reads %d", head.Version, checkpointVersion)
-	case !head.Setup.same(&s.Setup) || head.Reduction != s.Reduction.String():
-		return errors.New("of another search: give it the same flags, or remove it")
+		return fmt.Errorf("version %d is not supported; this program reads version %d", head.Version, checkpointVersion)
+	case !head.Setup.equal(&s.Setup) || head.Reduction != s.Reduction.String():
+		return errors.New("it belongs to another search: use the same flags, or remove it")
 	}
-	word := func() (x uint64, ok bool) {
+	readWord := func() (x uint64, ok bool) {
 		if len(rest) < 8 {
 			return 0, false
 		}
@@ -108,24 +109,24 @@
 		return x, true
 	}
 	for range head.States {
-		h, ok := word()
+		h, ok := readWord()
 		if !ok {
 			return errCheckpoint
 		}
 		s.seen.add(h)
 	}
 	for range head.Nodes {
-		steps, ok := word()
-		n, ok2 := word()
+		steps, ok := readWord()
+		n, ok2 := readWord()
 		if !ok || !ok2 || uint64(len(rest)) < n {
 			return errCheckpoint
 		}
-		s.stack = append(s.stack, node{picks: bytes.Clone(rest[:n]), steps: int(steps)})
+		s.stack = append(s.stack, node{choices: bytes.Clone(rest[:n]), steps: int(steps)})
 		rest = rest[n:]
 	}
 	s.states.Store(int64(head.States))
-	s.trans.Store(head.Transitions)
-	s.before, s.deepest = head.Spent, head.Depth
+	s.transitions.Store(head.Transitions)
+	s.earlierTime, s.maxDepth = head.Spent, head.Depth
 	for _, o := range head.Outcomes {
 		s.outcomes[o] = true
 	}
--- a/attempt/explore/conn.go
+++ b/attempt/explore/conn.go
@@ -9,76 +9,77 @@
 	"peathollow/policy"
 )
 
-// conn is one connection as its port tells it.
+// conn is a simulated connection; it implements attempt.TransportConn.
 type conn struct {
-	w       *World
-	l       *attempt.Connection
-	nr      int
-	reader  int
-	addr    string
-	frames  []*frame // those of which something is still to come
-	last    uint64
-	writ    uint64
-	shut    bool
-	why     error
-	taken   bool // what is queued was taken up, and is not finished
-	broken  bool // by the reader
-	closing bool
-	closed  bool
+	sim             *Simulation
+	connection      *attempt.Connection
+	index           int
+	searcher        int
+	addr            string
+	frames          []*frame // those that a further event can still concern
+	lastSeq         uint64
+	writtenSeq      uint64
+	closeRequested  bool
+	closeReason     error
+	writing         bool // a write has started and is not complete
+	endedBySearcher bool // the searcher closed or broke the connection
+	writeSideEnded  bool
+	closed          bool
 }
 
+// frame is a frame queued or written on a connection: parts to run, or the cancellation of one.
 type frame struct {
-	seq    uint64
-	calls  []*sent
-	stop   string
-	proof  bool
-	taken  bool
-	whole  bool
-	behind *sent // which dispatch it gives up
+	seq          uint64
+	calls        []*dispatch
+	cancelID     string
+	needsReceipt bool
+	writeStarted bool
+	written      bool
+	cancels      *dispatch // the dispatch that it cancels
 }
 
-func (c *conn) name() string { return fmt.Sprintf("connection %d (reader %s)", c.nr+1, c.addr) }
+func (c *conn) name() string { return fmt.Sprintf("connection %d (reader %s)", c.index+1, c.addr) }
 
-// full asks whether the connection takes no frame this time.
-func (c *conn) full() bool {
-	c.w.inside++
-	defer func() { c.w.inside-- }()
-	return c.w.may(fFull) && c.w.pick(2, func(i int) string {
+// refusesFrame chooses whether the connection refuses a frame (fault full).
+func (c *conn) refusesFrame() bool {
+	c.sim.policyDepth++
+	defer func() { c.sim.policyDepth-- }()
+	return c.sim.faultAllowed(faultFull) && c.sim.choose(2, func(i int) string {
 		return [...]string{c.name() + " takes a frame", c.name() + " takes no frame"}[i]
-	}) == 1 && c.w.spend()
+	}) == 1 && c.sim.spendFault()
 }
 
 func (c *conn) Send(calls []proto.Call) (uint64, bool) {
-	w := c.w
-	if r := w.readers[c.reader]; r.state != policy.Ready && w.now > r.toldAt {
-		w.broke(drains, "%s is handed parts %v after it was told", c.name(), w.now-r.toldAt)
+	sim := c.sim
+	if r := sim.searchers[c.searcher]; r.state != policy.Ready && sim.now > r.changedAt {
+		sim.violate(drains, "%s receives parts %v after its searcher was listed as draining or removed", c.name(), sim.now-r.changedAt)
 	}
-	if c.shut || c.full() {
+	if c.closeRequested || c.refusesFrame() {
 		return 0, false
 	}
 	f := &frame{}
 	for _, k := range calls {
-		// The last scan of that id: an earlier one has ended.
-		s := w.scans[len(w.scans)-1]
-		x := &sent{c: c, scan: s, wire: k.ID, shard: k.Shard}
+		// The ID belongs to the last scan: any earlier scan of the same ID has ended.
+		s := sim.scans[len(sim.scans)-1]
+		x := &dispatch{conn: c, scan: s, wireID: k.ID, shard: k.Shard}
 		if len(k.From) > 0 || k.ID[len(k.ID)-1] == 'h' {
 			x.step = 1
-			w.secondStep(s, k)
+			sim.checkSecondStep(s, k)
 		}
-		for _, y := range w.sents {
-			if y.scan == s && y.wire == x.wire {
-				x.nr = y.nr + 1
+		for _, other := range sim.dispatches {
+			if other.scan == s && other.wireID == x.wireID {
+				x.index = other.index + 1
 			}
 		}
 		f.calls = append(f.calls, x)
-		w.sents = append(w.sents, x)
+		sim.dispatches = append(sim.dispatches, x)
 	}
-	return c.put(f), true
+	return c.enqueue(f), true
 }
 
-func (c *conn) put(f *frame) uint64 {
-	c.last++
-	f.seq = c.last
+func (c *conn) enqueue(f *frame) uint64 {
+	c.lastSeq++
+	f.seq = c.lastSeq
 	for _, x := range f.calls {
 		x.seq = f.seq
 	}
@@ -86,29 +87,29 @@
 	return f.seq
 }
 
-func (c *conn) Cancel(id string, proof bool) (uint64, bool) {
-	if c.shut || c.full() {
+func (c *conn) Cancel(id string, needsReceipt bool) (uint64, bool) {
+	if c.closeRequested || c.refusesFrame() {
 		return 0, false
 	}
-	f := &frame{stop: id, proof: proof}
-	for _, x := range c.w.sents {
-		if x.c == c && x.wire == id {
-			f.behind = x
+	f := &frame{cancelID: id, needsReceipt: needsReceipt}
+	for _, x := range c.sim.dispatches {
+		if x.conn == c && x.wireID == id {
+			f.cancels = x
 		}
 	}
-	return c.put(f), true
+	return c.enqueue(f), true
 }
 
 func (c *conn) Withdraw(seq uint64, id string) bool {
 	for i, f := range c.frames {
-		if f.seq != seq || f.taken || f.whole || f.stop != "" {
+		if f.seq != seq || f.writeStarted || f.written || f.cancelID != "" {
 			continue
 		}
-		f.calls = slices.DeleteFunc(f.calls, func(x *sent) bool {
-			if x.wire == id {
-				x.state = recalled
+		f.calls = slices.DeleteFunc(f.calls, func(x *dispatch) bool {
+			if x.wireID == id {
+				x.state = withdrawn
 			}
-			return x.wire == id
+			return x.wireID == id
 		})
 		if len(f.calls) == 0 {
 			c.frames = slices.Delete(c.frames, i, i+1)
@@ -118,24 +119,24 @@
 	return false
 }
 
-func (c *conn) Written(seq uint64) bool { return seq <= c.writ }
-func (c *conn) Closing() bool           { return c.shut }
+func (c *conn) Written(seq uint64) bool { return seq <= c.writtenSeq }
+func (c *conn) Closing() bool           { return c.closeRequested }
 
 func (c *conn) WriteStarted(seq uint64) bool {
-	return !slices.ContainsFunc(c.frames, func(f *frame) bool { return f.seq == seq && !f.taken })
+	return !slices.ContainsFunc(c.frames, func(f *frame) bool { return f.seq == seq && !f.writeStarted })
 }
 
-func (c *conn) Close() { c.Fail(errShut) }
+func (c *conn) Close() { c.Fail(errClosedByMixer) }
 
-func (c *conn) Fail(why error) {
-	if !c.shut {
-		c.shut, c.why = true, why
+func (c *conn) Fail(reason error) {
+	if !c.closeRequested {
+		c.closeRequested, c.closeReason = true, reason
 	}
 }
 
-func (c *conn) find(seq uint64, wire string) *sent {
-	for _, x := range c.w.sents {
-		if x.c == c && x.seq == seq && x.wire == wire {
+func (c *conn) find(seq uint64, wireID string) *dispatch {
+	for _, x := range c.sim.dispatches {
+		if x.conn == c && x.seq == seq && x.wireID == wireID {
 			return x
 		}
 	}
--- a/attempt/explore/copy.go
+++ b/attempt/explore/copy.go
@@ -8,94 +8,97 @@
 	"peathollow/policy"
 )
 
-// copy is the same run so far, to go on with in another way. Nil with the real module, which is played again instead.
-func (w *World) copy(ask func(n int, label func(int) string) int) *World {
-	if w.free == nil || w.inside > 0 {
+// copy returns a deep copy of the run, which continues with another chooser. It returns nil with the policy engine, whose
+// runs are replayed instead.
+func (sim *Simulation) copy(chooser func(n int, label func(int) string) int) *Simulation {
+	if sim.free == nil || sim.policyDepth > 0 {
 		return nil
 	}
-	n := new(World)
-	*n = *w
-	n.ask = ask
-	n.readers, n.ends = slices.Clone(w.readers), slices.Clone(w.ends)
-	n.dispatched, n.told = maps.Clone(w.dispatched), maps.Clone(w.told)
-	n.scans = make([]*scan, len(w.scans))
-	for i, s := range w.scans {
-		is := *s
-		is.in = slices.Clone(s.in)
-		n.scans[i] = &is
+	next := new(Simulation)
+	*next = *sim
+	next.chooser = chooser
+	next.searchers, next.outcomes = slices.Clone(sim.searchers), slices.Clone(sim.outcomes)
+	next.requested, next.returned = maps.Clone(sim.requested), maps.Clone(sim.returned)
+	next.scans = make([]*scan, len(sim.scans))
+	for i, s := range sim.scans {
+		copied := *s
+		copied.received = slices.Clone(s.received)
+		next.scans[i] = &copied
 	}
-	n.conns = make([]*conn, len(w.conns))
-	for i, c := range w.conns {
-		is := *c
-		is.w, is.l, is.frames = n, nil, nil
-		n.conns[i] = &is
+	next.conns = make([]*conn, len(sim.conns))
+	for i, c := range sim.conns {
+		copied := *c
+		copied.sim, copied.connection, copied.frames = next, nil, nil
+		next.conns[i] = &copied
 	}
-	n.sents = make([]*sent, len(w.sents))
-	many := make([]sent, len(w.sents))
-	for i, x := range w.sents {
-		many[i] = *x
-		is := &many[i]
-		is.c, is.scan = n.conns[x.c.nr], n.scans[x.scan.nr]
-		n.sents[i] = is
+	next.dispatches = make([]*dispatch, len(sim.dispatches))
+	storage := make([]dispatch, len(sim.dispatches))
+	for i, x := range sim.dispatches {
+		storage[i] = *x
+		copied := &storage[i]
+		copied.conn, copied.scan = next.conns[x.conn.index], next.scans[x.scan.index]
+		next.dispatches[i] = copied
 	}
-	for i, c := range w.conns {
+	for i, c := range sim.conns {
 		for _, f := range c.frames {
-			is := *f
-			is.behind = w.sameSent(n, f.behind)
-			is.calls = make([]*sent, len(f.calls))
+			copied := *f
+			copied.cancels = sim.copiedDispatch(next, f.cancels)
+			copied.calls = make([]*dispatch, len(f.calls))
 			for k, x := range f.calls {
-				is.calls[k] = w.sameSent(n, x)
+				copied.calls[k] = sim.copiedDispatch(next, x)
 			}
-			n.conns[i].frames = append(n.conns[i].frames, &is)
+			next.conns[i].frames = append(next.conns[i].frames, &copied)
 		}
 	}
-	n.life = w.life.Copy(attempt.CopyBindings{Transport: n, NewPolicy: n.decider,
-		Conn: func(was attempt.TransportConn, l *attempt.Connection) attempt.TransportConn {
-			c := n.conns[was.(*conn).nr]
-			c.l = l
+	next.coordinator = sim.coordinator.Copy(attempt.CopyBindings{Transport: next, NewPolicy: next.newPolicy,
+		Conn: func(original attempt.TransportConn, connection *attempt.Connection) attempt.TransportConn {
+			c := next.conns[original.(*conn).index]
+			c.connection = connection
 			return c
 		},
-		Reply: func(was, is *attempt.Scan) func(attempt.Answer) {
-			s := n.scans[slices.IndexFunc(w.scans, func(s *scan) bool { return s.s == was })]
-			s.s = is
-			return func(a attempt.Answer) { n.reply(s, a) }
+		Reply: func(original, copied *attempt.Scan) func(attempt.Answer) {
+			s := next.scans[slices.IndexFunc(sim.scans, func(s *scan) bool { return s.request == original })]
+			s.request = copied
+			return func(a attempt.Answer) { next.reply(s, a) }
 		}},
-		func(act policy.Actions) attempt.Policy {
-			n.free = w.free.copy(n, act)
-			return watch{n, n.free}
+		func(actions policy.Actions) attempt.Policy {
+			next.free = sim.free.copy(next, actions)
+			return checkedPolicy{next, next.free}
 		})
-	return n
+	return next
 }
 
-func (w *World) sameSent(n *World, x *sent) *sent {
+// copiedDispatch returns the dispatch in the copy next that corresponds to x.
+func (sim *Simulation) copiedDispatch(next *Simulation, x *dispatch) *dispatch {
 	if x == nil {
 		return nil
 	}
-	return n.sents[slices.Index(w.sents, x)]
+	return next.dispatches[slices.Index(sim.dispatches, x)]
 }
 
-func (d *free) copy(w *World, act policy.Actions) *free {
-	n := &free{w: w, act: act, now: d.now, parts: make(map[uint64]*fpart, len(d.parts)), readers: slices.Clone(d.readers)}
-	scans := map[*fscan]*fscan{}
-	scan := func(s *fscan) *fscan {
+func (f *freePolicy) copy(sim *Simulation, actions policy.Actions) *freePolicy {
+	next := &freePolicy{sim: sim, actions: actions, now: f.now, parts: make(map[uint64]*policyPart, len(f.parts)),
+		searchers: slices.Clone(f.searchers)}
+	scans := map[*policyScan]*policyScan{}
+	scan := func(s *policyScan) *policyScan {
 		if scans[s] == nil {
-			is := *s
-			is.parts = nil
-			scans[s] = &is
+			copied := *s
+			copied.parts = nil
+			scans[s] = &copied
 		}
 		return scans[s]
 	}
-	for id, p := range d.parts {
-		is := *p
-		is.s, is.tries = scan(p.s), slices.Clone(p.tries)
-		n.parts[id] = &is
+	for id, p := range f.parts {
+		copied := *p
+		copied.scan, copied.attempts = scan(p.scan), slices.Clone(p.attempts)
+		next.parts[id] = &copied
 	}
-	for _, s := range d.scans {
-		is := scan(s)
+	for _, s := range f.scans {
+		copied := scan(s)
 		for _, p := range s.parts {
-			is.parts = append(is.parts, n.parts[p.id])
+			copied.parts = append(copied.parts, next.parts[p.id])
 		}
-		n.scans = append(n.scans, is)
+		next.scans = append(next.scans, copied)
 	}
-	return n
+	return next
 }
--- a/attempt/explore/doc.go
+++ b/attempt/explore/doc.go
@@ -1,7 +1,12 @@
-// Package explore tries every order of what the outside can do to the life of an attempt, at small sizes: what it runs
-// is attempt.Coordinator itself, with the real module or with a decider that does anything its interface allows. The outside is
-// World: connections, readers, the list, the client and the clock, each of whose steps is a choice. Search walks all
-// choices depth first, knows a state again by its canonical form, and checks the properties of properties.go after each
-// step. What it finds is cut to the least events and told as a story that can be played again. It proves and is never
-// imported by what serves. How to add an event, a property or a fault: docs/attempt-states.md.
+// Package explore is an explicit-state model checker for attempt.Coordinator. It runs the coordinator itself, with the
+// production policy engine or with a policy that may do anything its interface allows, and enumerates every order of
+// external events at small sizes.
+//
+// Simulation stands for everything outside the coordinator: connections, searchers, the searcher list, the client and the
+// clock. Each of its steps is a choice. Search enumerates all choices depth first, recognizes visited states by a canonical
+// form, and checks the properties of properties.go after each step. A violation is reduced to a minimal sequence of events
+// and written as a scenario that can be replayed. Searchers are called readers in flags and scenario files.
+//
+// The package only verifies: no serving code imports it. docs/attempt-states.md describes how to add an event, a property
+// or a fault.
 package explore
--- a/attempt/explore/events.go
+++ b/attempt/explore/events.go
@@ -9,282 +9,292 @@
 	"peathollow/policy"
 )
 
-// label says what happens: at a connection, to a dispatch. It is put into words only when somebody reads it.
+// label describes an event, on a connection or for a dispatch. Its text is formatted only when it is read.
 type label struct {
-	c    *conn
-	text string
-	x    *sent
-	more string
+	conn     *conn
+	text     string
+	dispatch *dispatch
+	suffix   string
 }
 
 func (l label) String() string {
 	s := l.text
-	if l.c != nil {
-		s = l.c.name() + " " + s
+	if l.conn != nil {
+		s = l.conn.name() + " " + s
 	}
-	if l.x != nil {
-		s += " " + l.x.name()
+	if l.dispatch != nil {
+		s += " " + l.dispatch.name()
 	}
-	return s + l.more
+	return s + l.suffix
 }
 
-// event is one thing the outside may do next.
+// event is one possible next action of the outside.
 type event struct {
 	label
-	do func()
+	apply func()
 }
 
 var (
-	errBroken = errors.New("the reader ended the connection")
-	errSpoilt = errors.New("unreadable answer")
+	errEndedBySearcher = errors.New("the searcher ended the connection")
+	errUnreadable      = errors.New("unreadable answer")
 )
 
-// Step lets one thing happen; false if nothing can any more.
-func (w *World) Step() bool {
-	evs := w.enabled()
-	if len(evs) == 0 {
+// Step runs one possible event. It returns false if none is possible.
+func (sim *Simulation) Step() bool {
+	events := sim.enabled()
+	if len(events) == 0 {
 		return false
 	}
-	evs[w.pick(len(evs), func(i int) string { return evs[i].String() })].do()
-	// What ends a batch that has nothing to send and nothing due changes nothing: there is no need to leave it open.
-	if w.reduced && w.inBatch && w.nothingDue() {
-		w.close()
+	events[sim.choose(len(events), func(i int) string { return events[i].String() })].apply()
+	// Ending a batch that has nothing to send and nothing due has no effect, so the batch need not stay open.
+	if sim.reduceOrder && sim.inBatch && sim.nothingDue() {
+		sim.closeBatch()
 	}
 	return true
 }
 
-func (w *World) nothingDue() bool {
-	_, dispatches := w.life.Pending()
-	at, ok := w.life.NextTimer(true)
-	return !dispatches && !(ok && at <= w.now)
+func (sim *Simulation) nothingDue() bool {
+	_, dispatches := sim.coordinator.Pending()
+	nextTimer, ok := sim.coordinator.NextTimer(true)
+	return !dispatches && !(ok && nextTimer <= sim.now)
 }
 
-// enabled are all things that may happen next.
-func (w *World) enabled() (evs []event) {
-	add := func(l label, do func()) { evs = append(evs, event{l, do}) }
-	in := func(l label, do func()) {
-		add(l, func() { w.open(); w.guard(do) })
+// enabled returns all events that may happen next.
+func (sim *Simulation) enabled() (events []event) {
+	add := func(l label, do func()) { events = append(events, event{l, do}) }
+	addInBatch := func(l label, do func()) {
+		add(l, func() { sim.openBatch(); sim.guard(do) })
 	}
-	// With no scan in hand, none to come, no time to pass and only faults of connections left, what happens on one
-	// connection is seen on no other: one after the other will do.
-	alone := w.reduced && !w.inBatch && w.answeredAll() && !w.mayBesides()
-	if alone {
-		at, ok := w.life.NextTimer(false)
-		results, dispatches := w.life.Pending()
-		alone = !ok && at <= w.now && !results && !dispatches
+	// With no scan in flight or to come, no timer pending and only faults of connections left, events on one connection
+	// are independent of all others, so that the connections are handled one after the other.
+	independent := sim.reduceOrder && !sim.inBatch && sim.allAnswered() && !sim.otherFaultsPossible()
+	if independent {
+		nextTimer, ok := sim.coordinator.NextTimer(false)
+		results, dispatches := sim.coordinator.Pending()
+		independent = !ok && nextTimer <= sim.now && !results && !dispatches
 	}
-	for _, c := range w.conns {
+	for _, c := range sim.conns {
 		if c.closed {
 			continue
 		}
-		if alone && len(evs) > 0 {
-			return evs
+		if independent && len(events) > 0 {
+			return events
 		}
-		// What is left of a connection on which nothing is out is seen by nobody, and stands in nobody's way.
-		if w.reduced && c.closing && !w.outOn(c) && !w.inBatch {
-			return []event{{label{c: c, text: "is gone"}, func() { w.open(); w.guard(func() { c.gone(true) }) }}}
+		// The end of a connection with nothing in flight affects nothing else.
+		if sim.reduceOrder && c.writeSideEnded && !sim.inFlightOn(c) && !sim.inBatch {
+			return []event{{label{conn: c, text: "is gone"}, func() { sim.openBatch(); sim.guard(func() { c.reportClosed(true) }) }}}
 		}
-		if w.reduced && w.free != nil && !w.inBatch {
-			if e, ok := c.clears(); ok {
+		if sim.reduceOrder && sim.free != nil && !sim.inBatch {
+			if e, ok := c.cleanupEvent(); ok {
 				return []event{e}
 			}
 		}
-		c.events(add, in)
+		c.events(add, addInBatch)
 	}
-	w.clientEvents(in)
-	if w.may(fList) {
-		w.listEvents(in)
+	sim.clientEvents(addInBatch)
+	if sim.faultAllowed(faultList) {
+		sim.listEvents(addInBatch)
 	}
-	results, dispatches := w.life.Pending()
-	at, ok := w.life.NextTimer(true)
-	due := results || dispatches || ok && at <= w.now
+	results, dispatches := sim.coordinator.Pending()
+	nextTimer, ok := sim.coordinator.NextTimer(true)
+	due := results || dispatches || ok && nextTimer <= sim.now
 	if !due {
-		// With no scan in hand the module's beat goes on for ever, and nothing that is looked at comes of it.
-		at, ok = w.life.NextTimer(w.life.Usage().Scans > 0)
+		// With no scan in flight the policy engine's tick repeats for ever, without an effect that is checked.
+		nextTimer, ok = sim.coordinator.NextTimer(sim.coordinator.Usage().Scans > 0)
 	}
-	if w.inBatch {
-		add(label{text: "the batch ends"}, w.close)
+	if sim.inBatch {
+		add(label{text: "the batch ends"}, sim.closeBatch)
 	} else if due {
-		add(label{text: "the mixer does what is due"}, func() { w.open(); w.close() })
+		add(label{text: "the mixer does what is due"}, func() { sim.openBatch(); sim.closeBatch() })
 	}
-	// Who ends a connection stops its writing side at that instant.
-	ending := slices.ContainsFunc(w.conns, func(c *conn) bool { return c.shut && !c.closing })
-	if !w.inBatch && ok && at > w.now && !ending && (!due || w.may(fSlow)) {
-		add(label{text: "time passes", more: " to " + at.String()}, func() {
+	// A close request ends the writing side of its connection before time passes.
+	ending := slices.ContainsFunc(sim.conns, func(c *conn) bool { return c.closeRequested && !c.writeSideEnded })
+	if !sim.inBatch && ok && nextTimer > sim.now && !ending && (!due || sim.faultAllowed(faultSlow)) {
+		add(label{text: "time passes", suffix: " to " + nextTimer.String()}, func() {
 			if due {
-				w.spend()
+				sim.spendFault()
 			}
-			w.now = at
+			sim.now = nextTimer
 		})
 	}
-	return evs
+	return events
 }
 
-// clears finds a step of a connection that only tidies up after what is over: to write, or to hear of, frames that give
-// up dispatches whose step has ended. Neither the decider nor any other connection sees whether that is sooner or later.
-func (c *conn) clears() (event, bool) {
-	w := c.w
-	over := func(f *frame) bool { return f.stop != "" && f.behind != nil && f.behind.over() }
-	waits, told, receipts := 0, 0, 0
+// cleanupEvent returns an event of a connection whose only frames to write or to confirm cancel dispatches of steps that
+// have ended. Neither the policy nor another connection can observe when it happens.
+func (c *conn) cleanupEvent() (event, bool) {
+	sim := c.sim
+	obsolete := func(f *frame) bool { return f.cancelID != "" && f.cancels != nil && f.cancels.stepEnded() }
+	unwritten, written, awaitingReceipt := 0, 0, 0
 	for _, f := range c.frames {
 		switch {
-		case f.stop == "" && f.whole:
-		case !over(f):
+		case f.cancelID == "" && f.written:
+		case !obsolete(f):
 			return event{}, false
-		case !f.whole:
-			waits++
-		case f.proof:
-			receipts++
+		case !f.written:
+			unwritten++
+		case f.needsReceipt:
+			awaitingReceipt++
 		default:
-			told++
+			written++
 		}
 	}
 	switch {
-	case waits > 0 && !c.shut && !c.closing && !c.broken && !c.taken && !w.may(fStall):
-		return event{label{c: c, text: "writes what waits"}, func() { c.take(); c.finish(len(c.frames)) }}, true
-	case told > 0:
-		return event{label{c: c, text: "has given up what it was to"}, func() { w.open(); w.guard(c.told) }}, true
-	case receipts > 0 && !c.broken && !c.closing:
-		return event{label{c: c, text: "has its reader's receipt"}, func() { w.open(); w.guard(c.receipted) }}, true
+	case unwritten > 0 && !c.closeRequested && !c.writeSideEnded && !c.endedBySearcher && !c.writing &&
+		!sim.faultAllowed(faultStall):
+		return event{label{conn: c, text: "writes what waits"}, func() { c.startWriting(); c.completeFrames(len(c.frames)) }}, true
+	case written > 0:
+		return event{label{conn: c, text: "has given up what it was to"},
+			func() { sim.openBatch(); sim.guard(c.confirmWrittenCancels) }}, true
+	case awaitingReceipt > 0 && !c.endedBySearcher && !c.writeSideEnded:
+		return event{label{conn: c, text: "has its reader's receipt"}, func() { sim.openBatch(); sim.guard(c.confirmReceipts) }}, true
 	}
 	return event{}, false
 }
 
-// over: its step has ended.
-func (x *sent) over() bool { return x.scan.replies > 0 || x.step < x.scan.step }
+// stepEnded reports whether the dispatch's step has ended.
+func (x *dispatch) stepEnded() bool { return x.scan.replies > 0 || x.step < x.scan.step }
 
-// mayBesides tells that something may yet go wrong that is not a connection's own.
-func (w *World) mayBesides() bool {
-	return w.may(fList) || w.may(fLeft) || w.may(fStop) || w.may(fReuse) || w.may(fPanic) || w.may(fRenew) || w.may(fSlow)
+// otherFaultsPossible reports whether a fault may still happen that concerns more than one connection.
+func (sim *Simulation) otherFaultsPossible() bool {
+	return sim.faultAllowed(faultList) || sim.faultAllowed(faultLeft) || sim.faultAllowed(faultStop) ||
+		sim.faultAllowed(faultReuse) || sim.faultAllowed(faultPanic) || sim.faultAllowed(faultRenew) || sim.faultAllowed(faultSlow)
 }
 
-// outOn tells that something is out on a connection, in truth or as believed.
-func (w *World) outOn(c *conn) bool {
-	for _, x := range w.sents {
-		if x.c == c && (x.state == begun || x.state == onWire) {
+// inFlightOn reports whether a dispatch is in flight on a connection, really or as the coordinator records it.
+func (sim *Simulation) inFlightOn(c *conn) bool {
+	for _, x := range sim.dispatches {
+		if x.conn == c && (x.state == writing || x.state == onWire) {
 			return true
 		}
 	}
 	found := false
-	w.life.EachInFlight(func(k attempt.TransportConn, _ uint64, _ string) { found = found || k == attempt.TransportConn(c) })
+	sim.coordinator.EachInFlight(func(k attempt.TransportConn, _ uint64, _ string) {
+		found = found || k == attempt.TransportConn(c)
+	})
 	return found
 }
 
-func (w *World) clientEvents(in func(label, func())) {
-	last := w.scans[len(w.scans)-1]
-	if w.may(fLeft) && last.replies == 0 {
-		in(label{text: "the client of the last scan goes away"}, func() {
-			w.spend()
-			w.life.ClientLeft(last.s)
+func (sim *Simulation) clientEvents(addInBatch func(label, func())) {
+	last := sim.scans[len(sim.scans)-1]
+	if sim.faultAllowed(faultLeft) && last.replies == 0 {
+		addInBatch(label{text: "the client of the last scan goes away"}, func() {
+			sim.spendFault()
+			sim.coordinator.ClientLeft(last.request)
 		})
 	}
-	if w.may(fReuse) && last.replies > 0 && len(w.scans) == 1 {
-		in(label{text: "the client asks again under the same id"}, func() { w.spend(); w.submit("x") })
+	if sim.faultAllowed(faultReuse) && last.replies > 0 && len(sim.scans) == 1 {
+		addInBatch(label{text: "the client asks again under the same id"}, func() { sim.spendFault(); sim.submit("x") })
 	}
-	if w.may(fStop) && !w.stopped {
-		in(label{text: "SIGTERM"}, func() { w.spend(); w.stopped = true; w.life.Stop(stopIn) })
+	if sim.faultAllowed(faultStop) && !sim.stopped {
+		addInBatch(label{text: "SIGTERM"}, func() { sim.spendFault(); sim.stopped = true; sim.coordinator.Stop(shutdownTimeout) })
 	}
 }
 
-func (w *World) listEvents(in func(label, func())) {
-	change := func(i int, what string, edit func(r *reader)) {
-		in(label{text: "the list says that reader " + readerName(i) + " ", more: what}, func() {
-			w.spend()
-			edit(&w.readers[i])
-			w.list(policy.Changes)
+func (sim *Simulation) listEvents(addInBatch func(label, func())) {
+	change := func(i int, what string, edit func(r *listedSearcher)) {
+		addInBatch(label{text: "the list says that reader " + searcherName(i) + " ", suffix: what}, func() {
+			sim.spendFault()
+			edit(&sim.searchers[i])
+			sim.sendList(policy.Changes)
 		})
 	}
-	for i, r := range w.readers {
+	for i, r := range sim.searchers {
 		if r.state == policy.Ready {
-			change(i, "drains", func(r *reader) { r.state, r.toldAt = policy.Draining, w.now })
+			change(i, "drains", func(r *listedSearcher) { r.state, r.changedAt = policy.Draining, sim.now })
 		}
 		if r.state != policy.Gone {
-			change(i, "is gone", func(r *reader) { r.state, r.gone, r.toldAt = policy.Gone, true, w.now })
+			change(i, "is gone", func(r *listedSearcher) { r.state, r.removed, r.changedAt = policy.Gone, true, sim.now })
 		}
-		if r.gone && r.state == policy.Gone {
-			change(i, "is back at another address", func(r *reader) { r.state, r.moved = policy.Ready, true })
+		if r.removed && r.state == policy.Gone {
+			change(i, "is back at another address", func(r *listedSearcher) { r.state, r.moved = policy.Ready, true })
 		}
 	}
 }
 
-// events are what may happen on a connection.
-func (c *conn) events(add, in func(label, func())) {
-	w := c.w
-	waiting := slices.ContainsFunc(c.frames, func(f *frame) bool { return !f.whole })
-	if !c.closing && !c.broken && waiting {
-		if !c.taken && !c.shut {
-			add(label{c: c, text: "writes what waits"}, func() { c.take(); c.finish(len(c.frames)) })
-			if w.may(fStall) {
-				add(label{c: c, text: "begins to write, and stays unfinished"}, func() { w.spend(); c.take() })
+// events adds what may happen on a connection.
+func (c *conn) events(add, addInBatch func(label, func())) {
+	sim := c.sim
+	waiting := slices.ContainsFunc(c.frames, func(f *frame) bool { return !f.written })
+	if !c.writeSideEnded && !c.endedBySearcher && waiting {
+		if !c.writing && !c.closeRequested {
+			add(label{conn: c, text: "writes what waits"}, func() { c.startWriting(); c.completeFrames(len(c.frames)) })
+			if sim.faultAllowed(faultStall) {
+				add(label{conn: c, text: "begins to write, and stays unfinished"}, func() { sim.spendFault(); c.startWriting() })
 			}
-		} else if c.taken {
-			add(label{c: c, text: "finishes a frame"}, func() { c.finish(1) })
+		} else if c.writing {
+			add(label{conn: c, text: "finishes a frame"}, func() { c.completeFrames(1) })
 		}
 	}
-	if c.tell() >= 0 {
-		in(label{c: c, text: "has given up what it was to"}, func() { c.told() })
+	if c.writtenCancel() >= 0 {
+		addInBatch(label{conn: c, text: "has given up what it was to"}, func() { c.confirmWrittenCancels() })
 	}
-	if !c.broken && (!c.closing || w.may(fAfter)) {
-		c.words(in)
+	if !c.endedBySearcher && (!c.writeSideEnded || sim.faultAllowed(faultAfter)) {
+		c.answerEvents(addInBatch)
 	}
-	if !c.closing {
-		if w.may(fBreak) {
-			in(label{c: c, text: "is ended by its reader"}, func() { w.spend(); c.broken = true; c.endAll(); c.end(errBroken) })
+	if !c.writeSideEnded {
+		if sim.faultAllowed(faultBreak) {
+			addInBatch(label{conn: c, text: "is ended by its reader"}, func() {
+				sim.spendFault()
+				c.endedBySearcher = true
+				c.endInFlight()
+				c.endWriteSide(errEndedBySearcher)
+			})
 		}
-		if w.may(fMute) {
-			in(label{c: c, text: "is found silent and ended"}, func() { w.spend(); c.end(proto.ErrMute) })
+		if sim.faultAllowed(faultMute) {
+			addInBatch(label{conn: c, text: "is found silent and ended"}, func() { sim.spendFault(); c.endWriteSide(proto.ErrMute) })
 		}
-		if c.shut {
-			in(label{c: c, text: "ends"}, func() { c.end(c.why) })
+		if c.closeRequested {
+			addInBatch(label{conn: c, text: "ends"}, func() { c.endWriteSide(c.closeReason) })
 		}
 	} else {
-		in(label{c: c, text: "is gone"}, func() { c.gone(true) })
-		if !c.broken && w.may(fMute) && c.writ > 0 {
-			in(label{c: c, text: "is gone without its reader's end"}, func() { w.spend(); c.gone(false) })
+		addInBatch(label{conn: c, text: "is gone"}, func() { c.reportClosed(true) })
+		if !c.endedBySearcher && sim.faultAllowed(faultMute) && c.writtenSeq > 0 {
+			addInBatch(label{conn: c, text: "is gone without its reader's end"}, func() { sim.spendFault(); c.reportClosed(false) })
 		}
 	}
 }
 
-// Quiet ends a run without anything more from the outside: time passes, then connections end. It checks that each scan
-// is answered all the same, and that all is given back.
-func (w *World) Quiet() {
-	w.quiet = true
+// FinishQuietly ends a run without further outside events: time passes, then all connections end. It checks that each scan
+// is answered nevertheless, and that everything is released.
+func (sim *Simulation) FinishQuietly() {
+	sim.quiet = true
 	for range 200 {
-		w.open()
-		w.close()
-		if results, dispatches := w.life.Pending(); results || dispatches {
+		sim.openBatch()
+		sim.closeBatch()
+		if results, dispatches := sim.coordinator.Pending(); results || dispatches {
 			continue
 		}
-		at, ok := w.life.NextTimer(true)
-		if w.bad != nil || !ok || w.answeredAll() {
+		at, ok := sim.coordinator.NextTimer(true)
+		if sim.violation != nil || !ok || sim.allAnswered() {
 			break
 		}
-		w.now = max(w.now, at)
+		sim.now = max(sim.now, at)
 	}
-	for _, s := range w.scans {
+	for _, s := range sim.scans {
 		if s.replies == 0 {
-			w.broke(ends, "%s gets no answer from a silent outside", s.name())
+			sim.violate(ends, "%s gets no answer from a silent outside", s.name())
 		}
 	}
-	// A look at a connection may end another, never open one.
+	// The end of a connection may end another one, but never opens one: two rounds are enough.
 	for range 2 {
-		for _, c := range w.conns {
+		for _, c := range sim.conns {
 			if c.closed {
 				continue
 			}
-			w.open()
-			if !c.closing {
-				w.guard(func() { c.broken = true; c.endAll(); c.end(errBroken) })
+			sim.openBatch()
+			if !c.writeSideEnded {
+				sim.guard(func() { c.endedBySearcher = true; c.endInFlight(); c.endWriteSide(errEndedBySearcher) })
 			}
-			w.guard(func() { c.gone(true) })
-			w.close()
+			sim.guard(func() { c.reportClosed(true) })
+			sim.closeBatch()
 		}
-		w.open()
-		w.close()
+		sim.openBatch()
+		sim.closeBatch()
 	}
-	w.left()
+	sim.checkReleased()
 }
 
-func (w *World) answeredAll() bool {
-	return !slices.ContainsFunc(w.scans, func(s *scan) bool { return s.replies == 0 })
+func (sim *Simulation) allAnswered() bool {
+	return !slices.ContainsFunc(sim.scans, func(s *scan) bool { return s.replies == 0 })
 }
--- a/attempt/explore/explore_test.go
+++ b/attempt/explore/explore_test.go
@@ -14,17 +14,18 @@
 	"pgregory.net/rapid"
 )
 
-func all(t *testing.T, set Setup, red Reduction) *Search {
+// searchAll validates and explores a setup, and fails the test on any violation.
+func searchAll(t *testing.T, setup Setup, reduction Reduction) *Search {
 	t.Helper()
-	if err := set.Check(); err != nil {
+	if err := setup.Check(); err != nil {
 		t.Fatal(err)
 	}
-	s := &Search{Setup: set, Reduction: red, Threads: 2} // other tests run beside, on time
-	explore(t, s)
+	s := &Search{Setup: setup, Reduction: reduction, Threads: 2} // leaves cores to other tests, some of which depend on timing
+	runSearch(t, s)
 	return s
 }
 
-func explore(t *testing.T, s *Search) Result {
+func runSearch(t *testing.T, s *Search) Result {
 	t.Helper()
 	res, err := s.Run(context.Background())
 	if err != nil {
@@ -36,19 +37,20 @@
 	return res
 }
 
-var both = Reduction{Symmetry: true, Order: true}
+var fullReduction = Reduction{Symmetry: true, Order: true}
 
-// Two readers and two parts hold in every order, whatever decides. Scaled down: no fault of the outside in the free
-// decider's runs and the module's; the module's with some, for a lone part. docs/attempt-states.md has the figures at full size.
-func TestTwoReadersAndTwoParts(t *testing.T) {
+// Explores two searchers and two parts in every order with both policies. The sizes are reduced: two parts without faults,
+// and a single part with some faults for the policy engine. docs/attempt-states.md has the figures at full size.
+func TestTwoSearchersAndTwoParts(t *testing.T) {
 	for effect := range effects {
 		for _, x := range []Setup{
 			{Readers: 2, Parts: 2, Tries: 1, Steps: 1, Copies: 1, Decider: "free"},
 			{Readers: 2, Parts: 2, Tries: 2, Steps: 1, Copies: 1, Decider: "brain"},
-			{Readers: 2, Parts: 1, Tries: 2, Steps: 1, Copies: 1, Decider: "brain", Faults: []string{"break", "mute", "list", "left"}, Most: 1},
+			{Readers: 2, Parts: 1, Tries: 2, Steps: 1, Copies: 1, Decider: "brain",
+				Faults: []string{"break", "mute", "list", "left"}, Most: 1},
 		} {
 			x.Effect = effect
-			res := all(t, x, both).result()
+			res := searchAll(t, x, fullReduction).result()
 			if !res.Complete || res.States < 100 {
 				t.Errorf("%+v: %d states, complete %t", x, res.States, res.Complete)
 			}
@@ -56,77 +58,82 @@
 	}
 }
 
-// Every kind of fault at the smallest size, with a decider that does anything.
-func TestEveryFaultAtTheSmallestSize(t *testing.T) {
+// Explores every kind of fault at the smallest size with the free policy.
+func TestEveryFaultAtMinimalSize(t *testing.T) {
 	for effect := range effects {
-		all(t, Setup{Readers: 2, Parts: 1, Tries: 2, Effect: effect, Steps: 1, Copies: 1, Decider: "free", Faults: []string{"all"}, Most: 1}, both)
+		searchAll(t, Setup{Readers: 2, Parts: 1, Tries: 2, Effect: effect, Steps: 1, Copies: 1, Decider: "free",
+			Faults: []string{"all"}, Most: 1}, fullReduction)
 	}
 }
 
-// What symmetry leaves out is nothing but names: the unreduced search meets the very same forms. What the order leaves
-// out ends no scan in another way.
+// Guards against reductions that skip relevant states: the search without symmetry reduction must visit the same canonical
+// forms, and the search without order reduction must have the same outcomes of scans.
 func TestReductionIsSound(t *testing.T) {
 	for _, faults := range [][]string{{"break", "list"}, {"mute", "left"}} {
-		set := Setup{Readers: 2, Parts: 1, Tries: 2, Effect: "replayable", Steps: 1, Copies: 1, Decider: "free", Faults: faults, Most: 1}
-		if err := set.Check(); err != nil {
+		setup := Setup{Readers: 2, Parts: 1, Tries: 2, Effect: "replayable", Steps: 1, Copies: 1, Decider: "free",
+			Faults: faults, Most: 1}
+		if err := setup.Check(); err != nil {
 			t.Fatal(err)
 		}
-		plain := &Search{Setup: set, also: &seen{}}
-		explore(t, plain)
-		symmetry := all(t, set, Reduction{Symmetry: true})
-		forms, met := map[uint64]bool{}, map[uint64]bool{}
-		plain.also.all(func(h uint64) { forms[h] = true })
-		symmetry.seen.all(func(h uint64) { met[h] = true })
-		if !maps.Equal(forms, met) {
-			t.Errorf("%v: %d forms without the reduction, %d with it", faults, len(forms), len(met))
+		unreduced := &Search{Setup: setup, symmetricSeen: &stateSet{}}
+		runSearch(t, unreduced)
+		symmetry := searchAll(t, setup, Reduction{Symmetry: true})
+		forms, visited := map[uint64]bool{}, map[uint64]bool{}
+		unreduced.symmetricSeen.each(func(h uint64) { forms[h] = true })
+		symmetry.seen.each(func(h uint64) { visited[h] = true })
+		if !maps.Equal(forms, visited) {
+			t.Errorf("%v: %d forms without the reduction, %d with it", faults, len(forms), len(visited))
 		}
-		if symmetry.states.Load() >= plain.states.Load() {
-			t.Errorf("%v: nothing was saved", faults)
+		if symmetry.states.Load() >= unreduced.states.Load() {
+			t.Errorf("%v: symmetry reduction saved no states", faults)
 		}
-		reduced := all(t, set, both)
-		if a, b := plain.Outcomes(), reduced.Outcomes(); !slices.Equal(a, b) || len(a) < 3 {
-			t.Errorf("%v: scans came to %q unreduced, to %q reduced", faults, a, b)
+		reduced := searchAll(t, setup, fullReduction)
+		if a, b := unreduced.Outcomes(), reduced.Outcomes(); !slices.Equal(a, b) || len(a) < 3 {
+			t.Errorf("%v: outcomes of scans are %q without reduction, %q with it", faults, a, b)
 		}
 		if reduced.states.Load() >= symmetry.states.Load() {
-			t.Errorf("%v: nothing more was saved", faults)
+			t.Errorf("%v: order reduction saved no states", faults)
 		}
 	}
 }
 
-// A state is the same by another name of its readers.
-func TestFormsAreBlindToNames(t *testing.T) {
-	set := Setup{Readers: 3, Parts: 2, Tries: 2, Effect: "keyed", Steps: 2, Copies: 1, Decider: "free", Faults: []string{"all"}, Most: 3}
-	if err := set.Check(); err != nil {
+// The canonical hash of a state must not depend on the names of its searchers: two runs that differ by a permutation of
+// names are hashed after every step.
+func TestCanonicalHashIgnoresNames(t *testing.T) {
+	setup := Setup{Readers: 3, Parts: 2, Tries: 2, Effect: "keyed", Steps: 2, Copies: 1, Decider: "free",
+		Faults: []string{"all"}, Most: 3}
+	if err := setup.Check(); err != nil {
 		t.Fatal(err)
 	}
-	set.kinds[fRenew] = false // several are asked for in the order of names, to save the others
+	// The free policy renews several searchers in index order only, to skip the other orders; that is not symmetric.
+	setup.enabled[faultRenew] = false
 	swap := strings.NewReplacer("reader a", "reader c", "reader b", "reader a", "reader c", "reader b")
 	rapid.Check(t, func(r *rapid.T) {
-		dice := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1))
-		var taken []string
-		a := NewWorld(&set, func(n int, label func(int) string) int {
-			k := dice.IntN(n)
-			taken = append(taken, label(k))
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1))
+		var events []string
+		a := NewSimulation(&setup, func(n int, label func(int) string) int {
+			k := rng.IntN(n)
+			events = append(events, label(k))
 			return k
 		})
 		at := 0
-		b := NewWorld(&set, func(n int, label func(int) string) int {
-			want := swap.Replace(taken[at])
+		b := NewSimulation(&setup, func(n int, label func(int) string) int {
+			want := swap.Replace(events[at])
 			at++
 			for k := range n {
 				if label(k) == want {
 					return k
 				}
 			}
-			r.Fatalf("%q can't happen by the other names", want)
+			r.Fatalf("%q is not possible after the names are permuted", want)
 			return 0
 		})
 		a.begin()
 		b.begin()
-		ca, cb := newCanon(&set, true), newCanon(&set, true)
+		canonicalA, canonicalB := newCanonicalizer(&setup, true), newCanonicalizer(&setup, true)
 		for range 60 {
-			if x, y := ca.hash(a), cb.hash(b); x != y {
-				r.Fatalf("two forms after %q", taken)
+			if x, y := canonicalA.hash(a), canonicalB.hash(b); x != y {
+				r.Fatalf("different canonical hashes after %q", events)
 			}
 			if !a.Step() {
 				return
@@ -136,17 +143,19 @@
 	})
 }
 
-// A search cut short goes on where it was, and comes to the same.
-func TestGoesOnFromACheckpoint(t *testing.T) {
-	set := Setup{Readers: 2, Parts: 1, Tries: 2, Effect: "replayable", Steps: 1, Copies: 1, Decider: "free", Faults: []string{"break", "mute"}, Most: 1}
-	whole := all(t, set, Reduction{}).result()
-	if err := set.Check(); err != nil {
+// A search that is interrupted and resumed several times must give the result of an uninterrupted one, and must reject
+// truncated and corrupt checkpoints and those of another search.
+func TestSearchResumesFromCheckpoint(t *testing.T) {
+	setup := Setup{Readers: 2, Parts: 1, Tries: 2, Effect: "replayable", Steps: 1, Copies: 1, Decider: "free",
+		Faults: []string{"break", "mute"}, Most: 1}
+	whole := searchAll(t, setup, Reduction{}).result()
+	if err := setup.Check(); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "checkpoint")
-	var last Result
+	var final Result
 	for n := 1; ; n++ {
-		s := &Search{Setup: set, Reduction: Reduction{}, File: file}
+		s := &Search{Setup: setup, Reduction: Reduction{}, File: file}
 		if n < 4 {
 			s.Limit = n * whole.States / 4
 		}
@@ -154,42 +163,44 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if last = res; res.Complete {
+		if final = res; res.Complete {
 			break
 		}
 		if n > 4 {
-			t.Fatal("it does not come to an end")
+			t.Fatal("the resumed search does not complete")
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for at := 0; at < len(text); at += 1 + len(text)/200 {
-			if (&Search{Setup: set, Reduction: Reduction{}, outcomes: map[string]bool{}}).restore(text[:at]) == nil {
-				t.Fatalf("a checkpoint cut at byte %d is taken", at)
+		for offset := 0; offset < len(text); offset += 1 + len(text)/200 {
+			if (&Search{Setup: setup, Reduction: Reduction{}, outcomes: map[string]bool{}}).restore(text[:offset]) == nil {
+				t.Fatalf("a checkpoint truncated at byte %d is accepted", offset)
 			}
-			bad := slices.Clone(text)
-			bad[at] ^= 4
-			if (&Search{Setup: set, Reduction: Reduction{}, outcomes: map[string]bool{}}).restore(bad) == nil {
-				t.Fatalf("a checkpoint with a bit flipped in byte %d is taken", at)
+			damaged := slices.Clone(text)
+			damaged[offset] ^= 4
+			if (&Search{Setup: setup, Reduction: Reduction{}, outcomes: map[string]bool{}}).restore(damaged) == nil {
+				t.Fatalf("a checkpoint with a flipped bit in byte %d is accepted", offset)
 			}
 		}
-		other := set
+		other := setup
 		other.Tries = 1
 		if err := (&Search{Setup: other, Reduction: Reduction{}, outcomes: map[string]bool{}}).restore(text); err == nil {
-			t.Fatal("a checkpoint of another search is taken")
+			t.Fatal("a checkpoint of another search is accepted")
 		}
 	}
-	if last.States != whole.States || last.Outcomes != whole.Outcomes {
-		t.Errorf("%d states and %d outcomes in pieces, %d and %d at once", last.States, last.Outcomes, whole.States, whole.Outcomes)
+	if final.States != whole.States || final.Outcomes != whole.Outcomes {
+		t.Errorf("%d states and %d outcomes when resumed, %d and %d when uninterrupted",
+			final.States, final.Outcomes, whole.States, whole.Outcomes)
 	}
 	if _, err := os.Stat(file); err == nil {
-		t.Error("the checkpoint of a search that is done is left")
+		t.Error("the checkpoint of a completed search is not removed")
 	}
 }
 
-// Every violation ever found is kept as a case, and stays mended.
-func TestCasesStayMended(t *testing.T) {
+// Replays every violation that was found and fixed. At least half of its recorded events must still be possible, so that
+// the scenario still tests something.
+func TestRecordedViolationsStayFixed(t *testing.T) {
 	files, err := filepath.Glob("testdata/cases/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no cases: %v", err)
@@ -200,25 +211,25 @@
 			t.Error(err)
 			continue
 		}
-		events, bad, err := Play(c)
+		events, violation, err := Play(c)
 		if err != nil {
 			t.Error(err)
 		}
-		if bad != nil {
-			t.Errorf("%s: %s is broken again: %s", file, bad.Property, bad.Text)
+		if violation != nil {
+			t.Errorf("%s: %s is violated again: %s", file, violation.Property, violation.Text)
 		}
-		met := 0
+		matched := 0
 		for _, e := range c.Events {
-			met += b2i(slices.Contains(events, e))
+			matched += b2i(slices.Contains(events, e))
 		}
-		if 2*met < len(c.Events) {
-			t.Errorf("%s: only %d of its %d events can happen any more", file, met, len(c.Events))
+		if 2*matched < len(c.Events) {
+			t.Errorf("%s: only %d of its %d events are still possible", file, matched, len(c.Events))
 		}
 	}
 }
 
-// A few of the planted faults are built and caught here; all are by `peathollow verify attempts --mutants`.
-func TestPlantedFaultsAreCaught(t *testing.T) {
+// Builds and detects a few of the injected faults; `peathollow verify attempts --mutants` runs all of them.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	for _, name := range []string{"given up once the word is written", "what waits is not taken back", "module: may have run"} {
 		tried, err := TryMutants(context.Background(), "../..", name, nil)
 		if err != nil || len(tried) != 1 {
@@ -230,57 +241,57 @@
 	}
 }
 
-// Each edit of a planted fault still fits, and each property has one meant for it.
+// The edit of each injected fault must still apply, and each property must have a fault that it should detect.
 func TestPlantedFaultsFit(t *testing.T) {
-	meant := map[string]bool{}
+	covered := map[string]bool{}
 	for _, m := range Mutants {
-		meant[m.Property.Name] = true
+		covered[m.Property.Name] = true
 		text, err := os.ReadFile(filepath.Join("../..", m.File))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if n := strings.Count(string(text), m.Old); n != 1 {
-			t.Errorf("%s: what it changes stands %d times in %s", m.Name, n, m.File)
+			t.Errorf("%s: the text to replace occurs %d times in %s", m.Name, n, m.File)
 		}
 		if err := m.Setup.Check(); err != nil {
 			t.Errorf("%s: %v", m.Name, err)
 		}
 	}
 	for _, p := range Properties {
-		if !meant[p.Name] {
-			t.Errorf("no planted fault is meant for %s", p.Name)
+		if !covered[p.Name] {
+			t.Errorf("no injected fault is assigned to %s", p.Name)
 		}
 	}
 }
 
-func TestSeenIsASet(t *testing.T) {
+func TestStateSet(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var s seen
-		plain := map[uint64]bool{}
+		var s stateSet
+		reference := map[uint64]bool{}
 		for _, h := range rapid.SliceOf(rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 300))).Draw(r, "hashes") {
-			if s.add(h) == plain[h] {
+			if s.add(h) == reference[h] {
 				r.Fatalf("%d", h)
 			}
-			plain[h] = true
+			reference[h] = true
 		}
-		met := map[uint64]bool{}
-		s.all(func(h uint64) { met[h] = true })
-		if !maps.Equal(met, plain) || s.len() != len(plain) {
-			r.Fatalf("%d held, %d put in", s.len(), len(plain))
+		listed := map[uint64]bool{}
+		s.each(func(h uint64) { listed[h] = true })
+		if !maps.Equal(listed, reference) || s.len() != len(reference) {
+			r.Fatalf("the set has %d hashes, want %d", s.len(), len(reference))
 		}
 	})
 }
 
-func BenchmarkSeen(b *testing.B) {
-	dice := rand.New(rand.NewPCG(1, 1))
+func BenchmarkStateSet(b *testing.B) {
+	rng := rand.New(rand.NewPCG(1, 1))
 	const n = 1_000_000
 	hashes := make([]uint64, n)
 	for i := range hashes {
-		hashes[i] = dice.Uint64()
+		hashes[i] = rng.Uint64()
 	}
 	b.Run("own", func(b *testing.B) {
 		for b.Loop() {
-			var s seen
+			var s stateSet
 			for _, h := range hashes {
 				s.add(h)
 			}
@@ -298,7 +309,7 @@
 	})
 }
 
-func TestBadSetups(t *testing.T) {
+func TestInvalidSetups(t *testing.T) {
 	good := Setup{Readers: 2, Parts: 1, Tries: 2, Effect: "keyed", Steps: 1, Copies: 1, Decider: "free"}
 	for flag, edit := range map[string]func(*Setup){
 		"--readers": func(s *Setup) { s.Readers = 0 },
@@ -315,8 +326,8 @@
 		}
 	}
 	for _, r := range []string{"none", "symmetry", "order", "both"} {
-		if red, err := ParseReduction(r); err != nil || fmt.Sprint(red) != r {
-			t.Errorf("%s: %v, %v", r, red, err)
+		if reduction, err := ParseReduction(r); err != nil || fmt.Sprint(reduction) != r {
+			t.Errorf("%s: %v, %v", r, reduction, err)
 		}
 	}
 }
--- a/attempt/explore/search.go
+++ b/attempt/explore/search.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Reduction says which states are taken for one, and which orders are not tried.
+// Reduction selects which states are treated as equal, and which orders of events are skipped.
 type Reduction struct {
-	Symmetry bool // readers and parts that are alike
-	Order    bool // steps that commute with all others
+	Symmetry bool // treats states as equal that differ only by a permutation of searchers or parts
+	Order    bool // tries steps that commute with all others in one order only (partial order reduction)
 }
 
-// ParseReduction reads none, symmetry, order or both.
+// ParseReduction parses the value of --reduction: none, symmetry, order or both.
 func ParseReduction(s string) (Reduction, error) {
 	switch s {
 	case "none":
@@ -43,228 +43,231 @@
 	return "none"
 }
 
-// Search is one walk over all that can happen.
+// Search is one exhaustive exploration of a setup.
 type Search struct {
 	Setup     Setup
 	Reduction Reduction
 	Threads   int
-	Limit     int                // of states; 0: none
-	MemoryMB  int                // of the process; 0: no bound
-	Only      string             // the one property to look at; empty: all
-	Stop      int                // violations after which it ends; 0: one
-	File      string             // checkpoint; empty: none
+	Limit     int                // of states; 0 means none
+	MemoryMB  int                // limit for the process; 0 means none
+	Only      string             // the only property to check; empty means all
+	Stop      int                // number of violated properties after which the search ends; 0 means one
+	File      string             // of the checkpoint; empty means none
 	Every     time.Duration      // between checkpoints
-	Progress  func(Result, bool) // told every second, and at the end
+	Progress  func(Result, bool) // called every second, and with true at the end
 
-	seen      seen
-	also      *seen // canonical forms met, where the search itself does not use them
-	trans     atomic.Int64
-	states    atomic.Int64
-	mu        sync.Mutex
-	idle      sync.Cond
-	stack     []node
-	waiting   int
-	over      bool // nothing is left, or the search is cut short
-	cut       bool
-	found     []Finding
-	outcomes  map[string]bool
-	deepest   int
-	began     time.Time
-	before    time.Duration // spent by those whose checkpoint this goes on from
-	pause     atomic.Bool
-	workers   int
-	resumable bool
+	seen          stateSet
+	symmetricSeen *stateSet // canonical forms visited, recorded by a test when the search itself has no symmetry reduction
+	transitions   atomic.Int64
+	states        atomic.Int64
+	mu            sync.Mutex
+	idle          sync.Cond
+	stack         []node
+	waiting       int
+	finished      bool // no state is left, or the search was interrupted
+	interrupted   bool
+	findings      []Finding
+	outcomes      map[string]bool
+	maxDepth      int
+	startedAt     time.Time
+	earlierTime   time.Duration // spent by the searches whose checkpoint this one resumes
+	pause         atomic.Bool
+	workers       int
+	resumed       bool
 
-	after int // states, and then stop is called: a test's way to interrupt
-	stop  func()
+	interruptAfter int // number of states after which a test interrupts the search by interruptFunc
+	interruptFunc  func()
 }
 
-// soft is the memory from which on the collector looks more often.
-const soft = 2 << 30
+// softMemoryLimit is the heap size above which the garbage collector runs more often.
+const softMemoryLimit = 2 << 30
 
-// node is a state to go on from, told by the choices that lead there; as it is, where that can be kept.
+// node is an unexpanded state, identified by the choices that lead to it. sim is the state itself where it can be copied.
 type node struct {
-	picks []byte
-	steps int
-	w     *World
+	choices []byte
+	steps   int
+	sim     *Simulation
 }
 
-// Finding is a way to a violation.
+// Finding is a violation and the events that lead to it.
 type Finding struct {
 	Violation
-	Events []string `json:"events"`
-	Story  []string `json:"story"`
-	picks  []byte
-	steps  int
+	Events  []string `json:"events"`
+	Story   []string `json:"story"`
+	choices []byte
+	steps   int
 }
 
-// Result is what a search came to.
+// Result summarizes a search.
 type Result struct {
 	Setup       Setup     `json:"setup"`
 	States      int       `json:"states"`
 	Transitions int       `json:"transitions"`
 	Violations  int       `json:"violations"`
-	Complete    bool      `json:"complete"` // the whole space was explored
+	Complete    bool      `json:"complete"` // the whole state space was explored
 	Seconds     float64   `json:"seconds"`
 	PeakMB      int       `json:"peak_mb"`
 	Reduction   string    `json:"reduction"`
 	Threads     int       `json:"threads"`
 	Depth       int       `json:"depth"` // steps of the longest run
 	Outcomes    int       `json:"outcomes"`
-	Waiting     int       `json:"waiting"` // states whose steps are not tried yet
+	Waiting     int       `json:"waiting"` // states that are not expanded yet
 	Found       []Finding `json:"found,omitempty"`
 }
 
-// run plays choices; what is beyond them takes the first way, and how many ways there were is noted.
+// run replays choices. Beyond the given choices it takes the first alternative and records how many there were.
 type run struct {
-	w      *World
-	picks  []byte
-	at     int
-	arity  []byte
-	beyond int
+	sim     *Simulation
+	choices []byte
+	next    int
+	arity   []byte
+	extra   int
 }
 
-func (r *run) ask(n int, _ func(int) string) int {
+func (r *run) choose(n int, _ func(int) string) int {
 	k := 0
-	if r.at < len(r.picks) {
-		if k = int(r.picks[r.at]); k >= n {
-			r.w.broke(alike, "choice %d of %d ways, where there were more before", k, n)
+	if r.next < len(r.choices) {
+		if k = int(r.choices[r.next]); k >= n {
+			r.sim.violate(sameAgain, "choice %d of %d alternatives, where there were more before", k, n)
 			k = 0
 		}
 	} else {
-		r.picks = append(r.picks, 0)
+		r.choices = append(r.choices, 0)
 	}
 	r.arity = append(r.arity, byte(n))
-	r.at++
+	r.next++
 	return k
 }
 
-// play runs some steps by their choices; the last step may ask beyond them. It tells whether that step was possible.
-func (s *Search) play(picks []byte, steps int) (*run, bool) {
-	r := &run{picks: picks}
-	r.w = NewWorld(&s.Setup, r.ask)
-	r.w.reduced, r.w.alike, r.w.only = s.Reduction.Order, s.Reduction.Symmetry, s.Only
-	r.w.begin()
+// replay runs a number of steps from the start by their choices; the last step may need more choices than given. It
+// reports whether the last step was possible.
+func (s *Search) replay(choices []byte, steps int) (*run, bool) {
+	r := &run{choices: choices}
+	r.sim = NewSimulation(&s.Setup, r.choose)
+	r.sim.reduceOrder, r.sim.reduceSymmetry, r.sim.property = s.Reduction.Order, s.Reduction.Symmetry, s.Only
+	r.sim.begin()
 	for range steps {
-		if !r.w.Step() {
+		if !r.sim.Step() {
 			return r, false
 		}
-		if r.w.bad != nil {
+		if r.sim.violation != nil {
 			return r, true
 		}
 	}
 	return r, true
 }
 
-// onward takes one more step from a node.
-func (s *Search) onward(n *node, picks []byte) (*run, bool) {
-	if n.w == nil {
-		if r, _ := s.play(slices.Clone(n.picks), n.steps); s.Setup.Decider == "free" {
-			n.w = r.w
+// advance takes one more step from a node.
+func (s *Search) advance(n *node, choices []byte) (*run, bool) {
+	if n.sim == nil {
+		if r, _ := s.replay(slices.Clone(n.choices), n.steps); s.Setup.Decider == "free" {
+			n.sim = r.sim
 		} else {
-			return s.play(picks, n.steps+1)
+			return s.replay(choices, n.steps+1)
 		}
 	}
-	r := &run{picks: picks, at: len(n.picks), arity: make([]byte, len(n.picks), len(n.picks)+4)}
-	r.w = n.w.copy(r.ask)
-	return r, r.w.Step()
+	r := &run{choices: choices, next: len(n.choices), arity: make([]byte, len(n.choices), len(n.choices)+4)}
+	r.sim = n.sim.copy(r.choose)
+	return r, r.sim.Step()
 }
 
-// ways tries all choices behind those given, which are the same in all: the last that has a way left is turned on.
-func ways(picks []byte, play func(picks []byte) (*run, bool), each func(*run)) {
-	from := len(picks)
-	picks = slices.Clone(picks)
+// enumerate runs every continuation of the given choices: each round advances the last choice that has an alternative
+// left, like an odometer, and never changes the given prefix.
+func enumerate(choices []byte, execute func(choices []byte) (*run, bool), each func(*run)) {
+	prefix := len(choices)
+	choices = slices.Clone(choices)
 	for {
-		r, possible := play(picks)
+		r, possible := execute(choices)
 		if !possible {
-			return // nothing can happen any more
+			return // no event is possible
 		}
 		each(r)
-		i := len(r.picks) - 1
-		for i >= from && r.picks[i]+1 >= r.arity[i] {
+		i := len(r.choices) - 1
+		for i >= prefix && r.choices[i]+1 >= r.arity[i] {
 			i--
 		}
-		if i < from {
+		if i < prefix {
 			return
 		}
-		picks = append(slices.Clone(r.picks[:i]), r.picks[i]+1)
+		choices = append(slices.Clone(r.choices[:i]), r.choices[i]+1)
 	}
 }
 
-// expand tries every next step of a node.
-func (s *Search) expand(n node, c, other *canon, push func(node)) {
-	ways(n.picks, func(picks []byte) (*run, bool) { return s.onward(&n, picks) }, func(r *run) {
-		s.trans.Add(1)
-		s.reach(r, n.steps+1, c, other, push)
+// expand takes every possible next step of a node.
+func (s *Search) expand(n node, canonical, symmetric *canonicalizer, push func(node)) {
+	enumerate(n.choices, func(choices []byte) (*run, bool) { return s.advance(&n, choices) }, func(r *run) {
+		s.transitions.Add(1)
+		s.visit(r, n.steps+1, canonical, symmetric, push)
 	})
 }
 
-// reach looks at a state.
-func (s *Search) reach(r *run, steps int, c, other *canon, push func(node)) {
-	if r.w.bad == nil {
-		if s.also != nil {
-			s.also.add(other.hash(r.w))
+// visit checks a state and, if it is new, passes it to push.
+func (s *Search) visit(r *run, steps int, canonical, symmetric *canonicalizer, push func(node)) {
+	if r.sim.violation == nil {
+		if s.symmetricSeen != nil {
+			s.symmetricSeen.add(symmetric.hash(r.sim))
 		}
-		h := c.hash(r.w)
-		if !s.seen.add(h) {
+		hash := canonical.hash(r.sim)
+		if !s.seen.add(hash) {
 			return
 		}
-		// Now and then a run is played once more: the same choices must lead to the same state.
-		if h%64 == 0 {
-			if again, _ := s.play(slices.Clone(r.picks), steps); again.w.bad == nil && c.hash(again.w) != h {
-				r.w.broke(alike, "the same %d choices lead to two states", len(r.picks))
-				s.violated(r, steps)
+		// One of 64 runs is replayed: the same choices must lead to the same state.
+		if hash%64 == 0 {
+			if replayed, _ := s.replay(slices.Clone(r.choices), steps); replayed.sim.violation == nil &&
+				canonical.hash(replayed.sim) != hash {
+				r.sim.violate(sameAgain, "the same %d choices lead to two states", len(r.choices))
+				s.recordViolation(r, steps)
 				return
 			}
 		}
 		if n := s.states.Add(1); s.Limit > 0 && int(n) >= s.Limit {
-			s.cutShort()
+			s.interrupt()
 		}
-		s.note(r.w, steps)
-		kept := r.w.copy(nil) // it ends as it is, and goes on as a copy
-		r.w.Quiet()
-		if r.w.bad == nil {
-			push(node{slices.Clone(r.picks), steps, kept})
+		s.recordOutcomes(r.sim, steps)
+		copied := r.sim.copy(nil) // the original runs to its end below; the copy is expanded later
+		r.sim.FinishQuietly()
+		if r.sim.violation == nil {
+			push(node{slices.Clone(r.choices), steps, copied})
 		}
 	}
-	if r.w.bad != nil {
-		s.violated(r, steps)
+	if r.sim.violation != nil {
+		s.recordViolation(r, steps)
 	}
 }
 
-// note keeps what scans came to, to compare searches by.
-func (s *Search) note(w *World, steps int) {
+// recordOutcomes collects the outcomes of scans, by which searches are compared.
+func (s *Search) recordOutcomes(sim *Simulation, steps int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deepest = max(s.deepest, steps)
-	for _, o := range w.ends {
+	s.maxDepth = max(s.maxDepth, steps)
+	for _, o := range sim.outcomes {
 		s.outcomes[o] = true
 	}
 }
 
-func (s *Search) violated(r *run, steps int) {
+func (s *Search) recordViolation(r *run, steps int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// One of a kind is told: the shortest met.
-	f := Finding{Violation: *r.w.bad, picks: slices.Clone(r.picks), steps: steps}
-	i := slices.IndexFunc(s.found, func(g Finding) bool { return g.Property == f.Property })
+	// Only the shortest finding of each property is kept.
+	f := Finding{Violation: *r.sim.violation, choices: slices.Clone(r.choices), steps: steps}
+	i := slices.IndexFunc(s.findings, func(g Finding) bool { return g.Property == f.Property })
 	switch {
 	case i < 0:
-		s.found = append(s.found, f)
-	case f.steps < s.found[i].steps:
-		s.found[i] = f
+		s.findings = append(s.findings, f)
+	case f.steps < s.findings[i].steps:
+		s.findings[i] = f
 	}
-	if len(s.found) >= max(1, s.Stop) {
+	if len(s.findings) >= max(1, s.Stop) {
 		s.finish(true)
 	}
 }
 
-func (s *Search) finish(cut bool) {
-	s.over, s.cut = true, s.cut || cut
+func (s *Search) finish(interrupted bool) {
+	s.finished, s.interrupted = true, s.interrupted || interrupted
 	s.idle.Broadcast()
 }
 
-func (s *Search) cutShort() {
+func (s *Search) interrupt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finish(true)
@@ -273,21 +276,21 @@
 func (s *Search) result() Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.count()
-	r.Complete = !s.cut
+	r := s.snapshot()
+	r.Complete = !s.interrupted
 	return r
 }
 
-func (s *Search) count() Result {
-	return Result{Setup: s.Setup, States: int(s.states.Load()), Transitions: int(s.trans.Load()), Violations: len(s.found),
-		Seconds: (s.before + time.Since(s.began)).Seconds(), PeakMB: peakMB(), Reduction: s.Reduction.String(),
-		Threads: s.Threads, Depth: s.deepest, Outcomes: len(s.outcomes), Waiting: len(s.stack)}
+func (s *Search) snapshot() Result {
+	return Result{Setup: s.Setup, States: int(s.states.Load()), Transitions: int(s.transitions.Load()), Violations: len(s.findings),
+		Seconds: (s.earlierTime + time.Since(s.startedAt)).Seconds(), PeakMB: peakMB(), Reduction: s.Reduction.String(),
+		Threads: s.Threads, Depth: s.maxDepth, Outcomes: len(s.outcomes), Waiting: len(s.stack)}
 }
 
-// Outcomes are what the scans came to, all there were.
+// Outcomes returns every outcome that a scan had in the search, sorted.
 func (s *Search) Outcomes() []string { return slices.Sorted(maps.Keys(s.outcomes)) }
 
-// peakMB is the most memory the process ever had.
+// peakMB returns the peak resident memory of the process.
 func peakMB() int {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/attempt/explore/setup.go
+++ b/attempt/explore/setup.go
@@ -11,72 +11,72 @@
 	"peathollow/policy"
 )
 
-// Setup is what is explored: sizes, rules of the table type, who decides, and what may go wrong.
+// Setup is the configuration that is explored: its sizes, the rules of the table type, the policy, and the possible faults.
 type Setup struct {
 	Readers int      `json:"readers"`
 	Parts   int      `json:"parts"`
-	Tries   int      `json:"tries"`  // dispatches of a part, at most
+	Tries   int      `json:"tries"`  // maximum number of dispatches of a part
 	Effect  string   `json:"effect"` // replayable, keyed or nonreplayable
 	Steps   int      `json:"steps"`
-	Copies  int      `json:"copies"`  // dispatches of a part that may be out at once
-	Decider string   `json:"decider"` // brain or free
-	Faults  []string `json:"faults"`  // kinds
-	Most    int      `json:"most"`    // of them in one run, alike or not
+	Copies  int      `json:"copies"`  // maximum number of dispatches of a part in flight at once
+	Decider string   `json:"decider"` // brain (the policy engine) or free (any action that is allowed)
+	Faults  []string `json:"faults"`  // kinds of faults that may happen
+	Most    int      `json:"most"`    // maximum number of faults in one run, of any kinds
 
-	kinds [faults]bool // as Check made them
-	cfg   *config.Settings
+	enabled       [faultCount]bool // the faults by kind; set by Check
+	mixerSettings *config.Settings
 }
 
-// Fault is something that goes wrong, or that is not the ordinary course.
+// Fault is a kind of failure or unusual event that can be injected.
 type Fault uint8
 
 const (
-	fBreak Fault = iota
-	fMute
-	fSpoilt
-	fRefuse
-	fError
-	fStall
-	fAfter
-	fTwice
-	fBehind
-	fStranger
-	fList
-	fLeft
-	fStop
-	fReuse
-	fPanic
-	fFull
-	fRenew
-	fSlow
-	fEarly
-	faults
+	faultBreak Fault = iota
+	faultMute
+	faultSpoilt
+	faultRefuse
+	faultError
+	faultStall
+	faultAfter
+	faultTwice
+	faultBehind
+	faultStranger
+	faultList
+	faultLeft
+	faultStop
+	faultReuse
+	faultPanic
+	faultFull
+	faultRenew
+	faultSlow
+	faultEarly
+	faultCount
 )
 
-// Kinds are the faults by name, a line each.
-var Kinds = [faults]Property{
-	fBreak:    {"break", "a connection fails to come up, or its reader ends it, before or after the last byte of a frame"},
-	fMute:     {"mute", "a connection falls silent: this mixer ends it, and hears nothing of the reader's end"},
-	fSpoilt:   {"spoilt", "an answer can't be read, and its connection is ended"},
-	fRefuse:   {"refuse", "a reader turns a part away"},
-	fError:    {"error", "a reader answers with an error"},
-	fStall:    {"stall", "frames begin to be written and stay unfinished for a time, or for ever"},
-	fAfter:    {"after", "a reader's words are still handed on behind the end of the connection's writing side"},
-	fTwice:    {"twice", "an answer comes a second time"},
-	fBehind:   {"behind", "bytes lie right behind an answer"},
-	fStranger: {"stranger", "an answer comes that was never asked for"},
-	fList:     {"list", "a reader drains, goes, or comes back under the same name at another address"},
-	fLeft:     {"left", "the client goes away"},
-	fStop:     {"stop", "SIGTERM"},
-	fReuse:    {"reuse", "the client uses its request's id again after the answer"},
-	fPanic:    {"panic", "the decider panics within a step"},
-	fFull:     {"full", "a connection takes no frame"},
-	fRenew:    {"renew", "the decider wants a reader's connections renewed"},
-	fSlow:     {"slow", "time passes before the mixer gets to what is due"},
-	fEarly:    {"early", "an answer is read before the write of what it answers has returned"},
+// Kinds lists the kinds of faults with a one-line description each.
+var Kinds = [faultCount]Property{
+	faultBreak:    {"break", "a connection can't be established, or its reader ends it, before or after the last byte of a frame"},
+	faultMute:     {"mute", "a connection becomes unresponsive: this mixer ends it, without seeing the reader's end"},
+	faultSpoilt:   {"spoilt", "an answer can't be parsed, and its connection is ended"},
+	faultRefuse:   {"refuse", "a reader rejects a part as overloaded"},
+	faultError:    {"error", "a reader answers with an error"},
+	faultStall:    {"stall", "writes of frames start and stay incomplete for a time, or for ever"},
+	faultAfter:    {"after", "a reader's answers and receipts are still delivered after the end of the connection's writing side"},
+	faultTwice:    {"twice", "an answer arrives a second time"},
+	faultBehind:   {"behind", "more bytes follow directly after an answer"},
+	faultStranger: {"stranger", "an unsolicited answer arrives"},
+	faultList:     {"list", "a reader drains, is removed, or returns under the same name at another address"},
+	faultLeft:     {"left", "the client disconnects"},
+	faultStop:     {"stop", "SIGTERM"},
+	faultReuse:    {"reuse", "the client reuses its request's ID after the answer"},
+	faultPanic:    {"panic", "the policy panics"},
+	faultFull:     {"full", "a connection refuses a frame"},
+	faultRenew:    {"renew", "the policy has a reader's connections renewed"},
+	faultSlow:     {"slow", "time passes before the mixer handles what is due"},
+	faultEarly:    {"early", "an answer is read before the write of what it answers has returned"},
 }
 
-// Check tells what is wrong with a setup, by its flag, and makes it ready. It comes before all else.
+// Check validates a setup and prepares it for use; it must be called first. Errors name the flag at fault.
 func (s *Setup) Check() error {
 	for _, x := range []struct {
 		name         string
@@ -93,80 +93,81 @@
 	if s.Decider != "brain" && s.Decider != "free" {
 		return fmt.Errorf("--decider %q: brain or free", s.Decider)
 	}
-	var all []string
+	var names []string
 	for _, f := range s.Faults {
 		switch f = strings.TrimSpace(f); f {
 		case "all":
 			for _, k := range Kinds {
-				all = append(all, k.Name)
+				names = append(names, k.Name)
 			}
 		case "none", "":
 		default:
-			if _, ok := kind(f); !ok {
-				return fmt.Errorf("--faults %q: all, none, or some of %s", f, strings.Join(names(), ", "))
+			if _, ok := faultByName(f); !ok {
+				return fmt.Errorf("--faults %q: all, none, or some of %s", f, strings.Join(faultNames(), ", "))
 			}
-			all = append(all, f)
+			names = append(names, f)
 		}
 	}
-	slices.Sort(all)
-	s.Faults = slices.Compact(all)
+	slices.Sort(names)
+	s.Faults = slices.Compact(names)
 	for _, f := range s.Faults {
-		k, _ := kind(f)
-		s.kinds[k] = true
+		k, _ := faultByName(f)
+		s.enabled[k] = true
 	}
-	s.cfg = s.settings()
+	s.mixerSettings = s.settings()
 	return nil
 }
 
-func kind(name string) (Fault, bool) {
-	i := slices.Index(names(), name)
+func faultByName(name string) (Fault, bool) {
+	i := slices.Index(faultNames(), name)
 	return Fault(max(i, 0)), i >= 0
 }
 
-func names() (all []string) {
+func faultNames() (names []string) {
 	for _, k := range Kinds {
-		all = append(all, k.Name)
+		names = append(names, k.Name)
 	}
-	return all
+	return names
 }
 
-var effects = map[string]policy.Effect{"replayable": policy.Idempotent, "keyed": policy.IdempotentByKey, "nonreplayable": policy.NonIdempotent}
+var effects = map[string]policy.Effect{"replayable": policy.Idempotent, "keyed": policy.IdempotentByKey,
+	"nonreplayable": policy.NonIdempotent}
 
-// The times of a run. They are the explorer's own: what matters is which comes first, and that some fall together.
+// The durations of a run. Only their order matters, and that some of them coincide.
 const (
-	wait   = 400 * time.Millisecond // how long the client waits
-	half   = 200 * time.Millisecond // when the free decider looks again
-	until  = 150 * time.Millisecond // how long it waits for a dispatch of a lone part
-	window = 300 * time.Millisecond // within which a keyed part may go again
-	stopIn = 100 * time.Millisecond // what SIGTERM leaves
+	clientWait         = 400 * time.Millisecond // the client's deadline after arrival
+	recheckDelay       = 200 * time.Millisecond // after which the free policy acts again
+	loneAttemptTimeout = 150 * time.Millisecond // after which a dispatch expires, with a single part
+	repeatWindow       = 300 * time.Millisecond // within which a keyed part may be dispatched again
+	shutdownTimeout    = 100 * time.Millisecond // time left to scans in flight after SIGTERM
 )
 
-// patience is how long the free decider waits for a dispatch. With several parts that ends when it looks again: there
-// are fewer instants, and all still come in every order of events.
-func (s *Setup) patience() time.Duration {
+// attemptTimeout is the time after which a dispatch of the free policy expires. With several parts it coincides with the
+// recheck, which leaves fewer distinct instants while events at them still occur in every order.
+func (s *Setup) attemptTimeout() time.Duration {
 	if s.Parts > 1 {
-		return half
+		return recheckDelay
 	}
-	return until
+	return loneAttemptTimeout
 }
 
-// settings are those of a mixer with one table type and one tenant.
+// settings returns the settings of a mixer with one table type and one tenant.
 func (s *Setup) settings() *config.Settings {
-	second := 0
+	secondStep := 0
 	if s.Steps == 2 {
-		second = s.Parts
+		secondStep = s.Parts
 	}
 	return &config.Settings{
 		Types: map[string]int{"t": 0}, Tenants: map[string]int{"one": 0}, Shards: s.Parts, OpenMost: 100, Streams: 8,
-		Idle: time.Hour, Connect: half,
+		Idle: time.Hour, Connect: recheckDelay,
 		Brain: policy.Settings{Seed: 1, Mixers: 1, Shards: 1, ShardSpan: 1, PartsPerCall: 2, MaxAttempts: s.Tries,
 			MayHedge: s.Copies > 1, MayCancel: true, MaxRetryAfter: time.Second, Granularity: time.Millisecond, ListInterval: time.Hour,
 			Quotas: []float64{1000},
-			Types: []policy.TableType{{Target: half, Timeout: wait, RepeatWindow: window, LateShare: 0.5, Benefit: 1,
-				Effect: effects[s.Effect], Need: 1, Floor: 0.5, SecondStep: second}}}}
+			Types: []policy.TableType{{Target: recheckDelay, Timeout: clientWait, RepeatWindow: repeatWindow, LateShare: 0.5, Benefit: 1,
+				Effect: effects[s.Effect], Need: 1, Floor: 0.5, SecondStep: secondStep}}}}
 }
 
-// limits are wide enough never to bind but where a fault says so.
+// limits returns limits that are never reached; frames are refused only by the fault full.
 func limits() attempt.Limits {
 	return attempt.Limits{Open: 100, ConnectionsPerSearcher: 8, Connections: 32,
 		PartsPerConnection: 16, AnswerHistory: 16, IdleTimeout: time.Hour, LogInterval: 10 * time.Hour}
--- a/attempt/explore/workers.go
+++ b/attempt/explore/workers.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// Run walks, and says what it came to. An ended context cuts it short, and leaves a checkpoint if one is asked for.
+// Run runs the search and returns its result. If the context ends, the search is interrupted and writes a checkpoint if one
+// is configured.
 func (s *Search) Run(ctx context.Context) (Result, error) {
 	s.idle.L = &s.mu
-	// Each run makes a world and lets it go: little is alive, and the collector need not look often.
+	// Each run allocates a simulation and drops it: the live heap is small, so the garbage collector can run rarely.
 	defer debug.SetGCPercent(debug.SetGCPercent(1600))
-	defer debug.SetMemoryLimit(debug.SetMemoryLimit(soft))
+	defer debug.SetMemoryLimit(debug.SetMemoryLimit(softMemoryLimit))
 	s.outcomes = map[string]bool{}
-	s.began = time.Now()
+	s.startedAt = time.Now()
 	if s.Threads <= 0 {
 		s.Threads = runtime.GOMAXPROCS(0)
 	}
@@ -25,110 +26,111 @@
 			return Result{}, err
 		}
 	}
-	if !s.resumable {
-		// The list and the scan are handed over; the decider may choose already.
-		root := newCanon(&s.Setup, s.Reduction.Symmetry)
-		other := newCanon(&s.Setup, true)
+	if !s.resumed {
+		// The first batch, with the list and the scan, already contains choices of the policy.
+		root := newCanonicalizer(&s.Setup, s.Reduction.Symmetry)
+		symmetric := newCanonicalizer(&s.Setup, true)
 		var first []node
-		s.begin(root, other, func(n node) { first = append(first, n) })
+		s.expandRoot(root, symmetric, func(n node) { first = append(first, n) })
 		s.stack = first
 	}
-	stop := context.AfterFunc(ctx, s.cutShort)
+	stop := context.AfterFunc(ctx, s.interrupt)
 	defer stop()
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	done := make(chan struct{})
 	s.workers = s.Threads
 	for range s.Threads {
-		all.Go(s.work)
+		group.Go(s.work)
 	}
-	go func() { all.Wait(); close(done) }()
-	err := s.watch(done)
-	res := s.result()
+	go func() { group.Wait(); close(done) }()
+	err := s.monitor(done)
+	result := s.result()
 	if s.File != "" && err == nil {
-		if res.Complete {
-			err = s.discard()
+		if result.Complete {
+			err = s.removeCheckpoint()
 		} else {
 			err = s.save()
 		}
 	}
-	for i := range s.found {
-		s.found[i].tell(&s.Setup, s.Reduction)
+	for i := range s.findings {
+		s.findings[i].describe(&s.Setup, s.Reduction)
 	}
-	res.Found = s.found
+	result.Found = s.findings
 	if s.Progress != nil {
-		s.Progress(res, true)
+		s.Progress(result, true)
 	}
-	return res, err
+	return result, err
 }
 
-// begin tries all choices of the very first batch.
-func (s *Search) begin(c, other *canon, push func(node)) {
-	ways(nil, func(picks []byte) (*run, bool) { return s.play(picks, 0) }, func(r *run) {
-		s.trans.Add(1)
-		s.reach(r, 0, c, other, push)
+// expandRoot tries all choices of the first batch.
+func (s *Search) expandRoot(canonical, symmetric *canonicalizer, push func(node)) {
+	enumerate(nil, func(choices []byte) (*run, bool) { return s.replay(choices, 0) }, func(r *run) {
+		s.transitions.Add(1)
+		s.visit(r, 0, canonical, symmetric, push)
 	})
 }
 
-// work expands depth first, from a stack of its own; what others could use goes to the common one.
+// work expands nodes depth first from a local stack, and shares nodes with idle workers through the common stack.
 func (s *Search) work() {
-	c, other := newCanon(&s.Setup, s.Reduction.Symmetry), newCanon(&s.Setup, true)
-	var own []node
-	push := func(n node) { own = append(own, n) }
-	for n := 0; ; n++ {
-		if len(own) == 0 || s.pause.Load() || n%256 == 0 {
-			if own = s.share(own); len(own) == 0 {
+	canonical, symmetric := newCanonicalizer(&s.Setup, s.Reduction.Symmetry), newCanonicalizer(&s.Setup, true)
+	var local []node
+	push := func(n node) { local = append(local, n) }
+	for expanded := 0; ; expanded++ {
+		if len(local) == 0 || s.pause.Load() || expanded%256 == 0 {
+			if local = s.takeWork(local); len(local) == 0 {
 				return
 			}
 		}
-		next := own[len(own)-1]
-		own = own[:len(own)-1]
-		s.expand(next, c, other, push)
-		if len(own) > 1 && s.hungry() {
-			s.give(&own)
+		next := local[len(local)-1]
+		local = local[:len(local)-1]
+		s.expand(next, canonical, symmetric, push)
+		if len(local) > 1 && s.othersIdle() {
+			s.shareHalf(&local)
 		}
 	}
 }
 
-func (s *Search) hungry() bool {
+// othersIdle reports whether a worker is idle and the common stack is empty.
+func (s *Search) othersIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiting > 0 && len(s.stack) == 0
 }
 
-// give hands the older half of a stack to the others: what is nearest to the start has most behind it.
-func (s *Search) give(own *[]node) {
+// shareHalf moves the older half of a local stack to the common one: nodes nearest to the root have the largest subtrees.
+func (s *Search) shareHalf(local *[]node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	half := len(*own) / 2
-	s.stack = append(s.stack, (*own)[:half]...)
-	*own = slices.Clone((*own)[half:])
+	half := len(*local) / 2
+	s.stack = append(s.stack, (*local)[:half]...)
+	*local = slices.Clone((*local)[half:])
 	s.idle.Broadcast()
 }
 
-// share waits for work, or for the end of a pause in which a checkpoint is written. It gives nothing back when the search
-// is over.
-func (s *Search) share(own []node) []node {
+// takeWork returns the local stack if it holds nodes, else a node of the common stack, for which it may wait. While a
+// checkpoint is written, it first moves the local stack to the common one. It returns nil when the search is finished.
+func (s *Search) takeWork(local []node) []node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over || s.pause.Load() {
-		s.stack = append(s.stack, own...)
-		own = nil
+	if s.finished || s.pause.Load() {
+		s.stack = append(s.stack, local...)
+		local = nil
 	}
-	if len(own) > 0 {
-		return own
+	if len(local) > 0 {
+		return local
 	}
 	s.waiting++
 	defer func() { s.waiting-- }()
 	for {
 		switch {
-		case s.over:
+		case s.finished:
 			return nil
 		case s.pause.Load():
 		case len(s.stack) > 0:
 			last := len(s.stack) - 1
-			own = append(own, s.stack[last])
+			local = append(local, s.stack[last])
 			s.stack = s.stack[:last]
-			return own
+			return local
 		case s.waiting == s.workers:
 			s.finish(false)
 			return nil
@@ -138,11 +140,11 @@
 	}
 }
 
-// watch tells progress, keeps the limits, and writes checkpoints.
-func (s *Search) watch(done <-chan struct{}) error {
+// monitor reports progress, enforces the memory limit, and writes checkpoints.
+func (s *Search) monitor(done <-chan struct{}) error {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
-	said, saved := time.Now(), time.Now()
+	reportedAt, savedAt := time.Now(), time.Now()
 	for {
 		select {
 		case <-done:
@@ -150,35 +152,35 @@
 		case <-tick.C:
 		}
 		if s.MemoryMB > 0 && peakMB() >= s.MemoryMB {
-			s.cutShort()
+			s.interrupt()
 		}
-		if s.Progress != nil && time.Since(said) >= time.Second {
-			said = time.Now()
+		if s.Progress != nil && time.Since(reportedAt) >= time.Second {
+			reportedAt = time.Now()
 			s.mu.Lock()
-			res := s.count()
+			result := s.snapshot()
 			s.mu.Unlock()
-			s.Progress(res, false)
+			s.Progress(result, false)
 		}
-		if s.File != "" && s.Every > 0 && time.Since(saved) >= s.Every {
+		if s.File != "" && s.Every > 0 && time.Since(savedAt) >= s.Every {
 			if err := s.checkpoint(); err != nil {
 				return err
 			}
-			saved = time.Now()
+			savedAt = time.Now()
 		}
 	}
 }
 
-// checkpoint stops all workers between two states, and writes.
+// checkpoint pauses all workers between two states and writes a checkpoint.
 func (s *Search) checkpoint() error {
 	s.pause.Store(true)
 	s.mu.Lock()
-	for s.waiting < s.workers && !s.over {
+	for s.waiting < s.workers && !s.finished {
 		s.idle.Wait()
 	}
-	over := s.over
+	finished := s.finished
 	s.mu.Unlock()
 	var err error
-	if !over {
+	if !finished {
 		err = s.save()
 	}
 	s.mu.Lock()
