--- a/attempt/explore/canon.go
+++ b/attempt/explore/canon.go
@@ -28,11 +28,11 @@
 // newCanonicalizer tries all permutations of searchers and parts, or only the identity. The policy engine derives random
 // draws from IDs, so that with it searchers and parts are not interchangeable.
 func newCanonicalizer(setup *Setup, symmetry bool) *canonicalizer {
-	c := &canonicalizer{searcherOrders: [][]int{identityOrder(setup.Readers)}, partOrders: [][]int{identityOrder(setup.Parts)}}
-	if symmetry && setup.Decider == "free" {
-		c.searcherOrders, c.partOrders = permutations(setup.Readers), permutations(setup.Parts)
+	c := &canonicalizer{searcherOrders: [][]int{identityOrder(setup.Searchers)}, partOrders: [][]int{identityOrder(setup.Parts)}}
+	if symmetry && setup.Policy == "free" {
+		c.searcherOrders, c.partOrders = permutations(setup.Searchers), permutations(setup.Parts)
 	}
-	c.labels = attempt.StateLabels{LatencyMatters: setup.Decider == "brain", Searchers: make([]string, setup.Readers),
+	c.labels = attempt.StateLabels{LatencyMatters: setup.Policy == "brain", Searchers: make([]string, setup.Searchers),
 		Addr:  func(addr string) byte { return byte(len(addr)) },
 		Shard: func(s int) int { return c.partPlaces[s] },
 		Scan: func(s *attempt.Scan) int {
--- a/attempt/explore/canon_test.go
+++ b/attempt/explore/canon_test.go
@@ -9,11 +9,12 @@
 // successor forms.
 func TestFormsTellAllThatMatters(t *testing.T) {
 	for _, setup := range []Setup{
-		{Readers: 2, Parts: 1, Tries: 2, Effect: "replayable", Steps: 1, Copies: 1, Decider: "free", Faults: []string{"all"}, Most: 1},
-		{Readers: 2, Parts: 1, Tries: 2, Effect: "keyed", Steps: 2, Copies: 1, Decider: "free",
-			Faults: []string{"break", "mute", "list"}, Most: 2},
+		{Searchers: 2, Parts: 1, MaxAttempts: 2, Effect: "replayable", Steps: 1, MaxInFlight: 1, Policy: "free",
+			Faults: []string{"all"}, MaxFaults: 1},
+		{Searchers: 2, Parts: 1, MaxAttempts: 2, Effect: "keyed", Steps: 2, MaxInFlight: 1, Policy: "free",
+			Faults: []string{"break", "mute", "list"}, MaxFaults: 2},
 	} {
-		if err := setup.Check(); err != nil {
+		if err := setup.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		s := &Search{Setup: setup, Reduction: Reduction{Symmetry: true}}
--- a/attempt/explore/checkpoint.go
+++ b/attempt/explore/checkpoint.go
@@ -49,13 +49,13 @@
 		b.Write(n.choices)
 	}
 	writeWord(xxh3.Hash(b.Bytes()))
-	if err := renameio.WriteFile(s.File, b.Bytes(), 0o644); err != nil {
+	if err := renameio.WriteFile(s.CheckpointFile, b.Bytes(), 0o644); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	return nil
 }
 
-// equal reports whether two setups have the same values, ignoring what Check derived from them.
+// equal reports whether two setups have the same values, ignoring what Validate derived from them.
 func (s *Setup) equal(t *Setup) bool {
 	a, b := *s, *t
 	a.Faults, a.mixerSettings, a.enabled, b.Faults, b.mixerSettings, b.enabled =
@@ -64,7 +64,7 @@
 }
 
 func (s *Search) removeCheckpoint() error {
-	if err := os.Remove(s.File); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(s.CheckpointFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	return nil
@@ -72,7 +72,7 @@
 
 // load resumes from the checkpoint file, if there is one. It fails if the checkpoint is of another search.
 func (s *Search) load() error {
-	text, err := os.ReadFile(s.File)
+	text, err := os.ReadFile(s.CheckpointFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
@@ -80,7 +80,7 @@
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	if err := s.restore(text); err != nil {
-		return fmt.Errorf("checkpoint %s: %w", s.File, err)
+		return fmt.Errorf("checkpoint %s: %w", s.CheckpointFile, err)
 	}
 	s.resumed = true
 	return nil
--- a/attempt/explore/explore_test.go
+++ b/attempt/explore/explore_test.go
@@ -17,7 +17,7 @@
 // searchAll validates and explores a setup, and fails the test on any violation.
 func searchAll(t *testing.T, setup Setup, reduction Reduction) *Search {
 	t.Helper()
-	if err := setup.Check(); err != nil {
+	if err := setup.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	s := &Search{Setup: setup, Reduction: reduction, Threads: 2} // leaves cores to other tests, some of which depend on timing
@@ -31,8 +31,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range res.Found {
-		t.Errorf("%+v:\n%s", s.Setup, strings.Join(f.Story, "\n"))
+	for _, f := range res.Findings {
+		t.Errorf("%+v:\n%s", s.Setup, strings.Join(f.Trace, "\n"))
 	}
 	return res
 }
@@ -44,10 +44,10 @@
 func TestTwoSearchersAndTwoParts(t *testing.T) {
 	for effect := range effects {
 		for _, x := range []Setup{
-			{Readers: 2, Parts: 2, Tries: 1, Steps: 1, Copies: 1, Decider: "free"},
-			{Readers: 2, Parts: 2, Tries: 2, Steps: 1, Copies: 1, Decider: "brain"},
-			{Readers: 2, Parts: 1, Tries: 2, Steps: 1, Copies: 1, Decider: "brain",
-				Faults: []string{"break", "mute", "list", "left"}, Most: 1},
+			{Searchers: 2, Parts: 2, MaxAttempts: 1, Steps: 1, MaxInFlight: 1, Policy: "free"},
+			{Searchers: 2, Parts: 2, MaxAttempts: 2, Steps: 1, MaxInFlight: 1, Policy: "brain"},
+			{Searchers: 2, Parts: 1, MaxAttempts: 2, Steps: 1, MaxInFlight: 1, Policy: "brain",
+				Faults: []string{"break", "mute", "list", "left"}, MaxFaults: 1},
 		} {
 			x.Effect = effect
 			res := searchAll(t, x, fullReduction).result()
@@ -61,8 +61,8 @@
 // Explores every kind of fault at the smallest size with the free policy.
 func TestEveryFaultAtMinimalSize(t *testing.T) {
 	for effect := range effects {
-		searchAll(t, Setup{Readers: 2, Parts: 1, Tries: 2, Effect: effect, Steps: 1, Copies: 1, Decider: "free",
-			Faults: []string{"all"}, Most: 1}, fullReduction)
+		searchAll(t, Setup{Searchers: 2, Parts: 1, MaxAttempts: 2, Effect: effect, Steps: 1, MaxInFlight: 1, Policy: "free",
+			Faults: []string{"all"}, MaxFaults: 1}, fullReduction)
 	}
 }
 
@@ -70,9 +70,9 @@
 // forms, and the search without order reduction must have the same outcomes of scans.
 func TestReductionIsSound(t *testing.T) {
 	for _, faults := range [][]string{{"break", "list"}, {"mute", "left"}} {
-		setup := Setup{Readers: 2, Parts: 1, Tries: 2, Effect: "replayable", Steps: 1, Copies: 1, Decider: "free",
-			Faults: faults, Most: 1}
-		if err := setup.Check(); err != nil {
+		setup := Setup{Searchers: 2, Parts: 1, MaxAttempts: 2, Effect: "replayable", Steps: 1, MaxInFlight: 1, Policy: "free",
+			Faults: faults, MaxFaults: 1}
+		if err := setup.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		unreduced := &Search{Setup: setup, symmetricSeen: &stateSet{}}
@@ -100,9 +100,9 @@
 // The canonical hash of a state must not depend on the names of its searchers: two runs that differ by a permutation of
 // names are hashed after every step.
 func TestCanonicalHashIgnoresNames(t *testing.T) {
-	setup := Setup{Readers: 3, Parts: 2, Tries: 2, Effect: "keyed", Steps: 2, Copies: 1, Decider: "free",
-		Faults: []string{"all"}, Most: 3}
-	if err := setup.Check(); err != nil {
+	setup := Setup{Searchers: 3, Parts: 2, MaxAttempts: 2, Effect: "keyed", Steps: 2, MaxInFlight: 1, Policy: "free",
+		Faults: []string{"all"}, MaxFaults: 3}
+	if err := setup.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	// The free policy renews several searchers in index order only, to skip the other orders; that is not symmetric.
@@ -146,18 +146,18 @@
 // A search that is interrupted and resumed several times must give the result of an uninterrupted one, and must reject
 // truncated and corrupt checkpoints and those of another search.
 func TestSearchResumesFromCheckpoint(t *testing.T) {
-	setup := Setup{Readers: 2, Parts: 1, Tries: 2, Effect: "replayable", Steps: 1, Copies: 1, Decider: "free",
-		Faults: []string{"break", "mute"}, Most: 1}
+	setup := Setup{Searchers: 2, Parts: 1, MaxAttempts: 2, Effect: "replayable", Steps: 1, MaxInFlight: 1, Policy: "free",
+		Faults: []string{"break", "mute"}, MaxFaults: 1}
 	whole := searchAll(t, setup, Reduction{}).result()
-	if err := setup.Check(); err != nil {
+	if err := setup.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "checkpoint")
 	var final Result
 	for n := 1; ; n++ {
-		s := &Search{Setup: setup, Reduction: Reduction{}, File: file}
+		s := &Search{Setup: setup, Reduction: Reduction{}, CheckpointFile: file}
 		if n < 4 {
-			s.Limit = n * whole.States / 4
+			s.MaxStates = n * whole.States / 4
 		}
 		res, err := s.Run(context.Background())
 		if err != nil {
@@ -184,7 +184,7 @@
 			}
 		}
 		other := setup
-		other.Tries = 1
+		other.MaxAttempts = 1
 		if err := (&Search{Setup: other, Reduction: Reduction{}, outcomes: map[string]bool{}}).restore(text); err == nil {
 			t.Fatal("a checkpoint of another search is accepted")
 		}
@@ -206,12 +206,12 @@
 		t.Fatalf("no cases: %v", err)
 	}
 	for _, file := range files {
-		c, err := ReadCase(file)
+		c, err := ReadScenario(file)
 		if err != nil {
 			t.Error(err)
 			continue
 		}
-		events, violation, err := Play(c)
+		events, violation, err := Replay(c)
 		if err != nil {
 			t.Error(err)
 		}
@@ -231,11 +231,11 @@
 // Builds and detects a few of the injected faults; `peathollow verify attempts --mutants` runs all of them.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	for _, name := range []string{"given up once the word is written", "what waits is not taken back", "module: may have run"} {
-		tried, err := TryMutants(context.Background(), "../..", name, nil)
+		tried, err := RunMutants(context.Background(), "../..", name, nil)
 		if err != nil || len(tried) != 1 {
 			t.Fatalf("%s: %v, %v", name, tried, err)
 		}
-		if m := tried[0]; !m.Caught || m.Events == 0 {
+		if m := tried[0]; !m.Detected || m.Events == 0 {
 			t.Errorf("%+v", m)
 		}
 	}
@@ -253,7 +253,7 @@
 		if n := strings.Count(string(text), m.Old); n != 1 {
 			t.Errorf("%s: the text to replace occurs %d times in %s", m.Name, n, m.File)
 		}
-		if err := m.Setup.Check(); err != nil {
+		if err := m.Setup.Validate(); err != nil {
 			t.Errorf("%s: %v", m.Name, err)
 		}
 	}
@@ -310,18 +310,18 @@
 }
 
 func TestInvalidSetups(t *testing.T) {
-	good := Setup{Readers: 2, Parts: 1, Tries: 2, Effect: "keyed", Steps: 1, Copies: 1, Decider: "free"}
+	good := Setup{Searchers: 2, Parts: 1, MaxAttempts: 2, Effect: "keyed", Steps: 1, MaxInFlight: 1, Policy: "free"}
 	for flag, edit := range map[string]func(*Setup){
-		"--readers": func(s *Setup) { s.Readers = 0 },
+		"--readers": func(s *Setup) { s.Searchers = 0 },
 		"--parts":   func(s *Setup) { s.Parts = 5 },
 		"--effect":  func(s *Setup) { s.Effect = "once" },
-		"--decider": func(s *Setup) { s.Decider = "" },
+		"--decider": func(s *Setup) { s.Policy = "" },
 		"--faults":  func(s *Setup) { s.Faults = []string{"fire"} },
-		"--most":    func(s *Setup) { s.Most = -1 },
+		"--most":    func(s *Setup) { s.MaxFaults = -1 },
 	} {
 		s := good
 		edit(&s)
-		if err := s.Check(); err == nil || !strings.HasPrefix(err.Error(), flag) {
+		if err := s.Validate(); err == nil || !strings.HasPrefix(err.Error(), flag) {
 			t.Errorf("%s: %v", flag, err)
 		}
 	}
--- a/attempt/explore/freepolicy.go
+++ b/attempt/explore/freepolicy.go
@@ -311,14 +311,14 @@
 
 // mayDispatch applies the rules that every policy must keep for sending a part.
 func (f *freePolicy) mayDispatch(p *policyPart) bool {
-	if p.succeeded || p.ended || len(p.attempts) >= f.sim.setup.Tries || f.now >= p.scan.deadline {
+	if p.succeeded || p.ended || len(p.attempts) >= f.sim.setup.MaxAttempts || f.now >= p.scan.deadline {
 		return false
 	}
 	inFlight := 0
 	for i := range p.attempts {
 		inFlight += b2i(p.attempts[i].inFlight)
 	}
-	if inFlight >= f.sim.setup.Copies {
+	if inFlight >= f.sim.setup.MaxInFlight {
 		return false
 	}
 	first := p.firstMaybeRun()
--- a/attempt/explore/mutants.go
+++ b/attempt/explore/mutants.go
@@ -27,7 +27,7 @@
 
 // smallSetup has a single part that is dispatched up to twice.
 func smallSetup(effect string, faults ...string) Setup {
-	return Setup{Readers: 2, Parts: 1, Tries: 2, Effect: effect, Steps: 1, Copies: 1, Decider: "free", Faults: faults, Most: min(2, 2*len(faults))}
+	return Setup{Searchers: 2, Parts: 1, MaxAttempts: 2, Effect: effect, Steps: 1, MaxInFlight: 1, Policy: "free", Faults: faults, MaxFaults: min(2, 2*len(faults))}
 }
 
 func (s Setup) with(edit func(*Setup)) Setup {
@@ -37,16 +37,16 @@
 
 func twoParts(s *Setup)  { s.Parts = 2 }
 func twoSteps(s *Setup)  { s.Parts, s.Steps = 2, 2 }
-func twoCopies(s *Setup) { s.Copies = 2 }
+func twoCopies(s *Setup) { s.MaxInFlight = 2 }
 func withEngine(s *Setup) {
-	s.Decider, s.Parts = "brain", 2
+	s.Policy, s.Parts = "brain", 2
 }
 
 // Mutants lists all injected faults.
 var Mutants = []Mutant{
 	{"answered scan kept", "attempt/pending.go", "	delete(c.pending.scans, s.id)\n", "", oneAnswer, smallSetup("replayable", "stop")},
 	{"more time than the client has", "attempt/admit.go", "remaining := s.Query.Wait - sentAgo", "remaining := s.Query.Wait - sentAgo + c.settings.Connect", inTime, smallSetup("replayable")},
-	{"a wake is lost", "attempt/coordinator.go", "	c.timers.add(at, task{kind: policyWake, token: token})\n", "	if c.now == 0 {\n		return\n	}\n	c.timers.add(at, task{kind: policyWake, token: token})\n", ends, smallSetup("replayable", "reuse").with(func(s *Setup) { s.Tries = 1 })},
+	{"a wake is lost", "attempt/coordinator.go", "	c.timers.add(at, task{kind: policyWake, token: token})\n", "	if c.now == 0 {\n		return\n	}\n	c.timers.add(at, task{kind: policyWake, token: token})\n", ends, smallSetup("replayable", "reuse").with(func(s *Setup) { s.MaxAttempts = 1 })},
 	{"every wake is lost", "attempt/timers.go", "		c.policy.Woke(t.token)\n", "", ends, smallSetup("replayable")},
 	{"given up once the word is written", "attempt/send.go", "proof := c.exclusive(p) || a.conn.lastReceived < a.startedAt", "proof := false", oneOut, smallSetup("replayable")},
 	{"lost with this mixer's end", "attempt/answers.go", "} else if !c.exclusive(p) {", "} else {", oneOut, smallSetup("replayable", "mute")},
@@ -84,11 +84,11 @@
 	{"a keyed part waits beyond its window", "attempt/send.go", "if windowEnd, ok := c.windowEnd(q.part, q.index); ok {", "if windowEnd, ok := c.windowEnd(q.part, q.index); ok && windowEnd == 0 {", keyWindow, smallSetup("keyed")},
 	{"an earlier dispatch's answer ends one that waits", "attempt/answers.go", "!conn.transport.Written(a.seq) && (!conn.transport.WriteStarted", "conn.transport == nil && (!conn.transport.WriteStarted", silentAfter, smallSetup("replayable").with(twoCopies)},
 	{"an answer that overtakes its write is dropped", "attempt/answers.go", "(!conn.transport.WriteStarted(a.seq) ||\n		answer.End != policy.Succeeded && conn.history.answerDue(answer.ID))", "conn.transport != nil", belief, smallSetup("replayable", "early")},
-	{"an id used again hides what is out", "attempt/answers.go", "		p, index, ok = conn.findByWireID(answer.ID)\n", "", belief, smallSetup("replayable", "reuse").with(func(s *Setup) { s.Readers = 1 })},
-	{"an earlier request's answer is taken for this one's", "attempt/send.go", "	for conn != nil && slices.ContainsFunc(batch", "	for conn == nil && slices.ContainsFunc(batch", values, smallSetup("replayable", "reuse").with(func(s *Setup) { s.Readers = 1 })},
+	{"an id used again hides what is out", "attempt/answers.go", "		p, index, ok = conn.findByWireID(answer.ID)\n", "", belief, smallSetup("replayable", "reuse").with(func(s *Setup) { s.Searchers = 1 })},
+	{"an earlier request's answer is taken for this one's", "attempt/send.go", "	for conn != nil && slices.ContainsFunc(batch", "	for conn == nil && slices.ContainsFunc(batch", values, smallSetup("replayable", "reuse").with(func(s *Setup) { s.Searchers = 1 })},
 	{"module: throttled though it may have run", "policy/end.go", "if e.classes[sc.class].effect != Idempotent && e.mayHaveRun(sc) {", "if e.classes[sc.class].effect == IdempotentByKey && e.mayHaveRun(sc) {", harmless, smallSetup("nonreplayable", "break").with(withEngine)},
 	{"module: may have run, and goes again", "policy/send.go", "case p.inFlight > 0 && !e.mayHedge, ran && !e.mayRepeat(c, since, 2):", "case p.inFlight > 0 && !e.mayHedge, ran && c.floor < 0 && !e.mayRepeat(c, since, 2):", noRerun, smallSetup("nonreplayable", "error").with(withEngine)},
-	{"module: what is called off counts as back", "policy/send.go", "		e.actions.Cancel(p.id, len(p.attempts)-1)\n", "		e.actions.Cancel(p.id, len(p.attempts)-1)\n		a.inFlight, p.inFlight = false, p.inFlight-1\n", oneOut, smallSetup("replayable").with(withEngine).with(func(s *Setup) { s.Tries = 3 })},
+	{"module: what is called off counts as back", "policy/send.go", "		e.actions.Cancel(p.id, len(p.attempts)-1)\n", "		e.actions.Cancel(p.id, len(p.attempts)-1)\n		a.inFlight, p.inFlight = false, p.inFlight-1\n", oneOut, smallSetup("replayable").with(withEngine).with(func(s *Setup) { s.MaxAttempts = 3 })},
 	{"module: a keyed part has no window", "policy/send.go", "return c.effect == Idempotent || c.effect == IdempotentByKey && e.now-since < c.repeatWindow-time.Duration(rounds)*e.granularity", "return c.effect == Idempotent || c.effect == IdempotentByKey", keyWindow, smallSetup("keyed", "break").with(withEngine)},
 	{"module: half is whole", "policy/end.go", "		e.completeStep(si, false)\n", "		e.completeStep(si, sc.passed > 0)\n", wholeMark, smallSetup("replayable").with(withEngine)},
 	{"module: no end of time", "policy/end.go", "1-sc.lostWeight < floor-epsilon, e.now >= sc.deadline,\n", "1-sc.lostWeight < floor-epsilon,\n", ends, smallSetup("replayable").with(withEngine)},
@@ -96,23 +96,23 @@
 	{"a dispatch is queued twice", "attempt/send.go", "	c.unsent = append(c.unsent, queuedAttempt{p, len(p.attempts) - 1})\n", "	c.unsent = append(c.unsent, queuedAttempt{p, len(p.attempts) - 1}, queuedAttempt{p, len(p.attempts) - 1})\n", copies, smallSetup("replayable").with(twoCopies)},
 }
 
-// Tried is the result of a mutant.
-type Tried struct {
+// MutantResult is the result of a mutant.
+type MutantResult struct {
 	Name     string   `json:"name"`
 	Property string   `json:"property"`         // that should detect it
-	Broken   []string `json:"broken,omitempty"` // properties found violated
+	Violated []string `json:"broken,omitempty"` // properties found violated
 	Events   int      `json:"events"`           // of the shortest scenario
 	States   int      `json:"states"`
 	Seconds  float64  `json:"seconds"`
-	Caught   bool     `json:"caught"`
-	Fault    string   `json:"fault,omitempty"` // why it could not be run
+	Detected bool     `json:"caught"`
+	Error    string   `json:"fault,omitempty"` // why it could not be run
 
 	finding *Finding
 	setup   Setup
 }
 
-// TryMutants builds the program in a checkout with each fault injected, and runs the search with it. It needs the Go tools.
-func TryMutants(ctx context.Context, source string, only string, report func(Tried)) ([]Tried, error) {
+// RunMutants builds the program in a checkout with each fault injected, and runs the search with it. It needs the Go tools.
+func RunMutants(ctx context.Context, source string, only string, report func(MutantResult)) ([]MutantResult, error) {
 	if _, err := os.Stat(filepath.Join(source, "attempt", "coordinator.go")); err != nil {
 		return nil, fmt.Errorf("--source %s: not a checkout of this program: %w", source, err)
 	}
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	all := make([]Tried, len(Mutants))
+	all := make([]MutantResult, len(Mutants))
 	slots := make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -152,20 +152,20 @@
 }
 
 // run explores the program with the fault and checks whether the property detects it.
-func (m Mutant) run(ctx context.Context, source, dir string) Tried {
-	result := Tried{Name: m.Name, Property: m.Property.Name}
+func (m Mutant) run(ctx context.Context, source, dir string) MutantResult {
+	result := MutantResult{Name: m.Name, Property: m.Property.Name}
 	startedAt := time.Now()
 	defer func() { result.Seconds = time.Since(startedAt).Seconds() }()
 	found, err := m.buildAndExplore(ctx, source, dir)
 	if err != nil {
-		result.Fault = err.Error()
+		result.Error = err.Error()
 		return result
 	}
 	result.States = found.States
-	for _, f := range found.Found {
-		result.Broken = append(result.Broken, f.Property)
+	for _, f := range found.Findings {
+		result.Violated = append(result.Violated, f.Property)
 		if f.Property == m.Property.Name {
-			result.Caught, result.Events = true, len(f.Events)
+			result.Detected, result.Events = true, len(f.Events)
 			result.finding, result.setup = &f, m.Setup
 		}
 	}
@@ -173,7 +173,7 @@
 }
 
 // Write writes the finding that detected the fault to a scenario file in dir.
-func (t *Tried) Write(dir string) error {
+func (t *MutantResult) Write(dir string) error {
 	if t.finding == nil {
 		return nil
 	}
@@ -220,9 +220,9 @@
 		return result, fmt.Errorf("the changed program does not build: %w: %.500s", err, out)
 	}
 	setup := m.Setup
-	out, err := exec.CommandContext(ctx, program, "verify", "attempts", "--json", "--readers", fmt.Sprint(setup.Readers), "--parts", fmt.Sprint(setup.Parts),
-		"--tries", fmt.Sprint(setup.Tries), "--effect", setup.Effect, "--steps", fmt.Sprint(setup.Steps), "--copies", fmt.Sprint(setup.Copies),
-		"--decider", setup.Decider, "--faults", strings.Join(setup.Faults, ",")+",", "--most", fmt.Sprint(setup.Most), "--threads", "2",
+	out, err := exec.CommandContext(ctx, program, "verify", "attempts", "--json", "--readers", fmt.Sprint(setup.Searchers), "--parts", fmt.Sprint(setup.Parts),
+		"--tries", fmt.Sprint(setup.MaxAttempts), "--effect", setup.Effect, "--steps", fmt.Sprint(setup.Steps), "--copies", fmt.Sprint(setup.MaxInFlight),
+		"--decider", setup.Policy, "--faults", strings.Join(setup.Faults, ",")+",", "--most", fmt.Sprint(setup.MaxFaults), "--threads", "2",
 		"--property", m.Property.Name, "--limit-states", "300000").Output()
 	os.Remove(program)
 	if exit := (*exec.ExitError)(nil); err != nil && !(errors.As(err, &exit) && (exit.ExitCode() == 1 || exit.ExitCode() == 3)) {
--- a/attempt/explore/properties.go
+++ b/attempt/explore/properties.go
@@ -49,8 +49,8 @@
 var Properties = []Property{oneAnswer, inTime, oneOut, copies, noRerun, keyWindow, silentAfter, drains, values, wholeMark,
 	secondStep, belief, proof, toldOnce, toldAll, harmless, givenBack, ends, sameAgain, noPanic}
 
-// Known reports whether a property of that name exists; the empty name is valid too.
-func Known(name string) bool {
+// KnownProperty reports whether a property of that name exists; the empty name is valid too.
+func KnownProperty(name string) bool {
 	return name == "" || slices.ContainsFunc(Properties, func(p Property) bool { return p.Name == name })
 }
 
@@ -75,15 +75,15 @@
 	inFlight := 0
 	for _, other := range sim.dispatches {
 		// Where hedging is allowed, a dispatch that was cancelled or lost with its connection no longer counts.
-		discounted := sim.setup.Copies > 1 && (other.cancelWritten || other.conn.writeSideEnded)
+		discounted := sim.setup.MaxInFlight > 1 && (other.cancelWritten || other.conn.writeSideEnded)
 		if other != x && other.scan == x.scan && other.wireID == x.wireID && other.mayBeRunning() && !discounted {
 			inFlight++
 		}
 	}
 	switch {
-	case sim.setup.Copies == 1 && inFlight > 0:
+	case sim.setup.MaxInFlight == 1 && inFlight > 0:
 		sim.violate(oneOut, "the write of %s starts while an earlier dispatch of the part may be running", x.name())
-	case inFlight >= sim.setup.Copies:
+	case inFlight >= sim.setup.MaxInFlight:
 		sim.violate(copies, "the write of %s starts while %d other dispatches of the part are in flight", x.name(), inFlight)
 	}
 }
@@ -143,7 +143,7 @@
 		x.reportedInFlight = false
 	}
 	sim.coordinator.EachInFlight(sim.visitInFlight)
-	if sim.setup.Copies > 1 {
+	if sim.setup.MaxInFlight > 1 {
 		return
 	}
 	for _, x := range sim.dispatches {
--- a/attempt/explore/randomwalk.go
+++ b/attempt/explore/randomwalk.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Walk runs random walks through the same state space for a given time, as a baseline for the exhaustive search. It
-// counts distinct states by the same canonical form and returns the first violation.
-func Walk(ctx context.Context, setup Setup, reduction Reduction, seed uint64, threads int,
+// RandomWalks runs random walks through the same state space for a given time, as a baseline for the exhaustive search.
+// It counts distinct states by the same canonical form and returns the first violation.
+func RandomWalks(ctx context.Context, setup Setup, reduction Reduction, seed uint64, threads int,
 	length time.Duration) (states, walks int, violation *Violation) {
 	if threads <= 0 {
 		threads = runtime.GOMAXPROCS(0)
--- a/attempt/explore/scenario.go
+++ b/attempt/explore/scenario.go
@@ -8,14 +8,13 @@
 	"strings"
 )
 
-// Case is a scenario: a run recorded as the labels of its events, which can be replayed. It records a violation, present
-// or fixed.
-type Case struct {
+// Scenario is a run recorded as the labels of its events, which can be replayed. It shows a violation, present or fixed.
+type Scenario struct {
 	Setup     Setup    `json:"setup"`
 	Reduction string   `json:"reduction"`
 	Property  string   `json:"property"`
 	Text      string   `json:"text,omitempty"`
-	Found     string   `json:"found,omitempty"` // which fault it shows, and what became of it
+	Origin    string   `json:"found,omitempty"` // which fault it shows, and what became of it
 	Events    []string `json:"events"`
 }
 
@@ -61,9 +60,9 @@
 	}
 }
 
-// Play replays a scenario, then continues without outside events until the run ends. It returns the events that happened
+// Replay replays a scenario, then continues without outside events until the run ends. It returns the events that happened
 // and the first violation.
-func Play(scenario Case) (events []string, violation *Violation, err error) {
+func Replay(scenario Scenario) (events []string, violation *Violation, err error) {
 	reduction, err := ParseReduction(scenario.Reduction)
 	if err != nil {
 		return nil, nil, err
@@ -87,10 +86,10 @@
 // describe writes a finding as labelled events, and removes all events that are not needed to reproduce it.
 func (f *Finding) describe(setup *Setup, reduction Reduction) {
 	f.Events = eventNames(setup, reduction, f.choices, f.steps)
-	scenario := Case{Setup: *setup, Reduction: reduction.String(), Property: f.Property, Events: f.Events}
+	scenario := Scenario{Setup: *setup, Reduction: reduction.String(), Property: f.Property, Events: f.Events}
 	replay := func(events []string) ([]string, *Violation) {
 		scenario.Events = events
-		happened, violation, err := Play(scenario)
+		happened, violation, err := Replay(scenario)
 		if err != nil || violation == nil || violation.Property != f.Property {
 			return nil, nil
 		}
@@ -114,11 +113,11 @@
 			size /= 2
 		}
 	}
-	f.Story = nil
+	f.Trace = nil
 	for i, e := range f.Events {
-		f.Story = append(f.Story, fmt.Sprintf("%2d. %s", i+1, e))
+		f.Trace = append(f.Trace, fmt.Sprintf("%2d. %s", i+1, e))
 	}
-	f.Story = append(f.Story, fmt.Sprintf("Then %s: %s", f.Property, f.Text))
+	f.Trace = append(f.Trace, fmt.Sprintf("Then %s: %s", f.Property, f.Text))
 }
 
 // eventNames returns the labels of the events that choices stand for.
@@ -145,17 +144,17 @@
 }
 
 // Write writes a finding to a file as a scenario.
-func (f *Finding) Write(file string, setup Setup, reduction Reduction, found string) error {
-	b, err := json.MarshalIndent(Case{Setup: setup, Reduction: reduction.String(), Property: f.Property, Text: f.Text, Found: found,
-		Events: f.Events}, "", "  ")
+func (f *Finding) Write(file string, setup Setup, reduction Reduction, origin string) error {
+	b, err := json.MarshalIndent(Scenario{Setup: setup, Reduction: reduction.String(), Property: f.Property, Text: f.Text,
+		Origin: origin, Events: f.Events}, "", "  ")
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(file, append(b, '\n'), 0o644)
 }
 
-// ReadCase reads and validates a scenario file.
-func ReadCase(file string) (scenario Case, err error) {
+// ReadScenario reads and validates a scenario file.
+func ReadScenario(file string) (scenario Scenario, err error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return scenario, err
@@ -163,7 +162,7 @@
 	if err := json.Unmarshal(b, &scenario); err != nil {
 		return scenario, fmt.Errorf("%s: %w", file, err)
 	}
-	if err := scenario.Setup.Check(); err != nil {
+	if err := scenario.Setup.Validate(); err != nil {
 		return scenario, fmt.Errorf("%s: %w", file, err)
 	}
 	return scenario, nil
--- a/attempt/explore/search.go
+++ b/attempt/explore/search.go
@@ -45,16 +45,16 @@
 
 // Search is one exhaustive exploration of a setup.
 type Search struct {
-	Setup     Setup
-	Reduction Reduction
-	Threads   int
-	Limit     int                // of states; 0 means none
-	MemoryMB  int                // limit for the process; 0 means none
-	Only      string             // the only property to check; empty means all
-	Stop      int                // number of violated properties after which the search ends; 0 means one
-	File      string             // of the checkpoint; empty means none
-	Every     time.Duration      // between checkpoints
-	Progress  func(Result, bool) // called every second, and with true at the end
+	Setup              Setup
+	Reduction          Reduction
+	Threads            int
+	MaxStates          int                // of states; 0 means none
+	MemoryMB           int                // limit for the process; 0 means none
+	Property           string             // the only property to check; empty means all
+	MaxViolations      int                // number of violated properties after which the search ends; 0 means one
+	CheckpointFile     string             // empty means none
+	CheckpointInterval time.Duration      // between checkpoints
+	Progress           func(Result, bool) // called every second, and with true at the end
 
 	seen          stateSet
 	symmetricSeen *stateSet // canonical forms visited, recorded by a test when the search itself has no symmetry reduction
@@ -93,7 +93,7 @@
 type Finding struct {
 	Violation
 	Events  []string `json:"events"`
-	Story   []string `json:"story"`
+	Trace   []string `json:"story"`
 	choices []byte
 	steps   int
 }
@@ -111,8 +111,8 @@
 	Threads     int       `json:"threads"`
 	Depth       int       `json:"depth"` // steps of the longest run
 	Outcomes    int       `json:"outcomes"`
-	Waiting     int       `json:"waiting"` // states that are not expanded yet
-	Found       []Finding `json:"found,omitempty"`
+	Unexpanded  int       `json:"waiting"` // states that are not expanded yet
+	Findings    []Finding `json:"found,omitempty"`
 }
 
 // run replays choices. Beyond the given choices it takes the first alternative and records how many there were.
@@ -144,7 +144,7 @@
 func (s *Search) replay(choices []byte, steps int) (*run, bool) {
 	r := &run{choices: choices}
 	r.sim = NewSimulation(&s.Setup, r.choose)
-	r.sim.reduceOrder, r.sim.reduceSymmetry, r.sim.property = s.Reduction.Order, s.Reduction.Symmetry, s.Only
+	r.sim.reduceOrder, r.sim.reduceSymmetry, r.sim.property = s.Reduction.Order, s.Reduction.Symmetry, s.Property
 	r.sim.begin()
 	for range steps {
 		if !r.sim.Step() {
@@ -160,7 +160,7 @@
 // advance takes one more step from a node.
 func (s *Search) advance(n *node, choices []byte) (*run, bool) {
 	if n.sim == nil {
-		if r, _ := s.replay(slices.Clone(n.choices), n.steps); s.Setup.Decider == "free" {
+		if r, _ := s.replay(slices.Clone(n.choices), n.steps); s.Setup.Policy == "free" {
 			n.sim = r.sim
 		} else {
 			return s.replay(choices, n.steps+1)
@@ -220,7 +220,7 @@
 				return
 			}
 		}
-		if n := s.states.Add(1); s.Limit > 0 && int(n) >= s.Limit {
+		if n := s.states.Add(1); s.MaxStates > 0 && int(n) >= s.MaxStates {
 			s.interrupt()
 		}
 		s.recordOutcomes(r.sim, steps)
@@ -257,7 +257,7 @@
 	case f.steps < s.findings[i].steps:
 		s.findings[i] = f
 	}
-	if len(s.findings) >= max(1, s.Stop) {
+	if len(s.findings) >= max(1, s.MaxViolations) {
 		s.finish(true)
 	}
 }
@@ -284,7 +284,7 @@
 func (s *Search) snapshot() Result {
 	return Result{Setup: s.Setup, States: int(s.states.Load()), Transitions: int(s.transitions.Load()), Violations: len(s.findings),
 		Seconds: (s.earlierTime + time.Since(s.startedAt)).Seconds(), PeakMB: peakMB(), Reduction: s.Reduction.String(),
-		Threads: s.Threads, Depth: s.maxDepth, Outcomes: len(s.outcomes), Waiting: len(s.stack)}
+		Threads: s.Threads, Depth: s.maxDepth, Outcomes: len(s.outcomes), Unexpanded: len(s.stack)}
 }
 
 // Outcomes returns every outcome that a scan had in the search, sorted.
--- a/attempt/explore/setup.go
+++ b/attempt/explore/setup.go
@@ -13,17 +13,17 @@
 
 // Setup is the configuration that is explored: its sizes, the rules of the table type, the policy, and the possible faults.
 type Setup struct {
-	Readers int      `json:"readers"`
-	Parts   int      `json:"parts"`
-	Tries   int      `json:"tries"`  // maximum number of dispatches of a part
-	Effect  string   `json:"effect"` // replayable, keyed or nonreplayable
-	Steps   int      `json:"steps"`
-	Copies  int      `json:"copies"`  // maximum number of dispatches of a part in flight at once
-	Decider string   `json:"decider"` // brain (the policy engine) or free (any action that is allowed)
-	Faults  []string `json:"faults"`  // kinds of faults that may happen
-	Most    int      `json:"most"`    // maximum number of faults in one run, of any kinds
+	Searchers   int      `json:"readers"`
+	Parts       int      `json:"parts"`
+	MaxAttempts int      `json:"tries"`  // maximum number of dispatches of a part
+	Effect      string   `json:"effect"` // replayable, keyed or nonreplayable
+	Steps       int      `json:"steps"`
+	MaxInFlight int      `json:"copies"`  // maximum number of dispatches of a part in flight at once
+	Policy      string   `json:"decider"` // brain (the policy engine) or free (any action that is allowed)
+	Faults      []string `json:"faults"`  // kinds of faults that may happen
+	MaxFaults   int      `json:"most"`    // maximum number of faults in one run, of any kinds
 
-	enabled       [faultCount]bool // the faults by kind; set by Check
+	enabled       [faultCount]bool // the faults by kind; set by Validate
 	mixerSettings *config.Settings
 }
 
@@ -53,8 +53,8 @@
 	faultCount
 )
 
-// Kinds lists the kinds of faults with a one-line description each.
-var Kinds = [faultCount]Property{
+// FaultKinds lists the kinds of faults with a one-line description each.
+var FaultKinds = [faultCount]Property{
 	faultBreak:    {"break", "a connection can't be established, or its reader ends it, before or after the last byte of a frame"},
 	faultMute:     {"mute", "a connection becomes unresponsive: this mixer ends it, without seeing the reader's end"},
 	faultSpoilt:   {"spoilt", "an answer can't be parsed, and its connection is ended"},
@@ -76,13 +76,13 @@
 	faultEarly:    {"early", "an answer is read before the write of what it answers has returned"},
 }
 
-// Check validates a setup and prepares it for use; it must be called first. Errors name the flag at fault.
-func (s *Setup) Check() error {
+// Validate checks a setup and prepares it for use; it must be called first. Errors name the flag at fault.
+func (s *Setup) Validate() error {
 	for _, x := range []struct {
 		name         string
 		v, low, high int
-	}{{"readers", s.Readers, 1, 4}, {"parts", s.Parts, 1, 4}, {"tries", s.Tries, 1, 4}, {"steps", s.Steps, 1, 2},
-		{"copies", s.Copies, 1, 4}, {"most", s.Most, 0, 8}} {
+	}{{"readers", s.Searchers, 1, 4}, {"parts", s.Parts, 1, 4}, {"tries", s.MaxAttempts, 1, 4}, {"steps", s.Steps, 1, 2},
+		{"copies", s.MaxInFlight, 1, 4}, {"most", s.MaxFaults, 0, 8}} {
 		if x.v < x.low || x.v > x.high {
 			return fmt.Errorf("--%s %d: %d to %d", x.name, x.v, x.low, x.high)
 		}
@@ -90,14 +90,14 @@
 	if _, ok := effects[s.Effect]; !ok {
 		return fmt.Errorf("--effect %q: replayable, keyed or nonreplayable", s.Effect)
 	}
-	if s.Decider != "brain" && s.Decider != "free" {
-		return fmt.Errorf("--decider %q: brain or free", s.Decider)
+	if s.Policy != "brain" && s.Policy != "free" {
+		return fmt.Errorf("--decider %q: brain or free", s.Policy)
 	}
 	var names []string
 	for _, f := range s.Faults {
 		switch f = strings.TrimSpace(f); f {
 		case "all":
-			for _, k := range Kinds {
+			for _, k := range FaultKinds {
 				names = append(names, k.Name)
 			}
 		case "none", "":
@@ -124,7 +124,7 @@
 }
 
 func faultNames() (names []string) {
-	for _, k := range Kinds {
+	for _, k := range FaultKinds {
 		names = append(names, k.Name)
 	}
 	return names
@@ -160,8 +160,9 @@
 	return &config.Settings{
 		Types: map[string]int{"t": 0}, Tenants: map[string]int{"one": 0}, Shards: s.Parts, OpenMost: 100, Streams: 8,
 		Idle: time.Hour, Connect: recheckDelay,
-		Brain: policy.Settings{Seed: 1, Mixers: 1, Shards: 1, ShardSpan: 1, PartsPerCall: 2, MaxAttempts: s.Tries,
-			MayHedge: s.Copies > 1, MayCancel: true, MaxRetryAfter: time.Second, Granularity: time.Millisecond, ListInterval: time.Hour,
+		Brain: policy.Settings{Seed: 1, Mixers: 1, Shards: 1, ShardSpan: 1, PartsPerCall: 2, MaxAttempts: s.MaxAttempts,
+			MayHedge: s.MaxInFlight > 1, MayCancel: true, MaxRetryAfter: time.Second, Granularity: time.Millisecond,
+			ListInterval: time.Hour,
 			Quotas: []float64{1000},
 			Types: []policy.TableType{{Target: recheckDelay, Timeout: clientWait, RepeatWindow: repeatWindow, LateShare: 0.5, Benefit: 1,
 				Effect: effects[s.Effect], Need: 1, Floor: 0.5, SecondStep: secondStep}}}}
--- a/attempt/explore/simulation.go
+++ b/attempt/explore/simulation.go
@@ -148,7 +148,7 @@
 // NewSimulation creates a run of a mixer. Its first batch, with the searcher list and one scan, is run by begin.
 func NewSimulation(setup *Setup, chooser func(n int, label func(int) string) int) *Simulation {
 	sim := &Simulation{setup: setup, chooser: chooser, requested: map[[2]uint64]bool{}, returned: map[[2]uint64]bool{}}
-	sim.searchers = make([]listedSearcher, setup.Readers)
+	sim.searchers = make([]listedSearcher, setup.Searchers)
 	sim.coordinator = attempt.NewWith(setup.mixerSettings, limits(), sim, time.Unix(1e9, 0), sim.newPolicy)
 	return sim
 }
@@ -164,7 +164,7 @@
 
 func (sim *Simulation) newPolicy(actions policy.Actions, now time.Duration) attempt.Policy {
 	sim.free, sim.engine = nil, nil
-	if sim.setup.Decider == "free" {
+	if sim.setup.Policy == "free" {
 		sim.free = newFreePolicy(sim, actions, now)
 		return checkedPolicy{sim, sim.free}
 	}
@@ -332,7 +332,7 @@
 
 // faultAllowed reports whether a fault may still happen in this run.
 func (sim *Simulation) faultAllowed(f Fault) bool {
-	return !sim.quiet && sim.faultsUsed < sim.setup.Most && sim.setup.enabled[f]
+	return !sim.quiet && sim.faultsUsed < sim.setup.MaxFaults && sim.setup.enabled[f]
 }
 
 // spendFault counts one fault of the run. It always returns true, for use in conditions.
--- a/attempt/explore/workers.go
+++ b/attempt/explore/workers.go
@@ -21,7 +21,7 @@
 	if s.Threads <= 0 {
 		s.Threads = runtime.GOMAXPROCS(0)
 	}
-	if s.File != "" {
+	if s.CheckpointFile != "" {
 		if err := s.load(); err != nil {
 			return Result{}, err
 		}
@@ -45,7 +45,7 @@
 	go func() { group.Wait(); close(done) }()
 	err := s.monitor(done)
 	result := s.result()
-	if s.File != "" && err == nil {
+	if s.CheckpointFile != "" && err == nil {
 		if result.Complete {
 			err = s.removeCheckpoint()
 		} else {
@@ -55,7 +55,7 @@
 	for i := range s.findings {
 		s.findings[i].describe(&s.Setup, s.Reduction)
 	}
-	result.Found = s.findings
+	result.Findings = s.findings
 	if s.Progress != nil {
 		s.Progress(result, true)
 	}
@@ -161,7 +161,7 @@
 			s.mu.Unlock()
 			s.Progress(result, false)
 		}
-		if s.File != "" && s.Every > 0 && time.Since(savedAt) >= s.Every {
+		if s.CheckpointFile != "" && s.CheckpointInterval > 0 && time.Since(savedAt) >= s.CheckpointInterval {
 			if err := s.checkpoint(); err != nil {
 				return err
 			}
--- a/cmd/peathollow/verify.go
+++ b/cmd/peathollow/verify.go
@@ -52,15 +52,15 @@
 		Description: "Runs what serves, the package attempt, through every order of what the outside can do, and checks its properties in " +
 			"each state. Exit 1 on a violation, which is told as the shortest story found; 3 if the search was cut short.",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "readers", Value: 2, Destination: &p.set.Readers, Usage: "readers, each holding every part (1 to 4)"},
+			&cli.IntFlag{Name: "readers", Value: 2, Destination: &p.set.Searchers, Usage: "readers, each holding every part (1 to 4)"},
 			&cli.IntFlag{Name: "parts", Value: 2, Destination: &p.set.Parts, Usage: "parts of the scan (1 to 4)"},
-			&cli.IntFlag{Name: "tries", Value: 2, Destination: &p.set.Tries, Usage: "dispatches of a part, at most (1 to 4)"},
+			&cli.IntFlag{Name: "tries", Value: 2, Destination: &p.set.MaxAttempts, Usage: "dispatches of a part, at most (1 to 4)"},
 			&cli.StringFlag{Name: "effect", Value: "replayable", Destination: &p.set.Effect, Usage: "what a repeat does: replayable, keyed or nonreplayable"},
 			&cli.IntFlag{Name: "steps", Value: 1, Destination: &p.set.Steps, Usage: "steps of the table type (1 or 2)"},
-			&cli.IntFlag{Name: "copies", Value: 1, Destination: &p.set.Copies, Usage: "dispatches of a part that may be out at once; 1 bars copies"},
-			&cli.StringFlag{Name: "decider", Value: "free", Destination: &p.set.Decider, Usage: "who decides: brain, the real module, or free, anything its interface allows"},
+			&cli.IntFlag{Name: "copies", Value: 1, Destination: &p.set.MaxInFlight, Usage: "dispatches of a part that may be out at once; 1 bars copies"},
+			&cli.StringFlag{Name: "decider", Value: "free", Destination: &p.set.Policy, Usage: "who decides: brain, the real module, or free, anything its interface allows"},
 			&cli.StringFlag{Name: "faults", Value: "break,mute,left,list", Destination: &p.faults, Usage: "what may go wrong: all, none, or kinds with commas between (see --list-faults)"},
-			&cli.IntFlag{Name: "most", Value: 1, Destination: &p.set.Most, Usage: "faults in one run, of any kinds (0 to 8)"},
+			&cli.IntFlag{Name: "most", Value: 1, Destination: &p.set.MaxFaults, Usage: "faults in one run, of any kinds (0 to 8)"},
 			&cli.StringFlag{Name: "reduction", Value: "both", Destination: &p.reduction, Usage: "orders and states not tried since others stand for them: none, symmetry, order, both"},
 			&cli.IntFlag{Name: "threads", Destination: &p.threads, Usage: "cores to use; 0: all"},
 			&cli.IntFlag{Name: "limit-states", Destination: &p.limit, Usage: "cut the search short after so many states; 0: never"},
@@ -93,17 +93,17 @@
 	case p.properties:
 		return p.list(out, explore.Properties)
 	case p.kinds:
-		return p.list(out, explore.Kinds[:])
+		return p.list(out, explore.FaultKinds[:])
 	case p.replay != "":
 		return p.again(out)
 	case p.mutants:
 		return p.plant(ctx, out, errs)
 	}
 	p.set.Faults = strings.Split(p.faults, ",")
-	if err := p.set.Check(); err != nil {
+	if err := p.set.Validate(); err != nil {
 		return err
 	}
-	if !explore.Known(p.property) {
+	if !explore.KnownProperty(p.property) {
 		return fmt.Errorf("--property %q: see --list-properties", p.property)
 	}
 	red, err := explore.ParseReduction(p.reduction)
@@ -116,7 +116,7 @@
 		}
 	}
 	if p.walk > 0 {
-		states, walks, bad := explore.Walk(ctx, p.set, red, p.seed, p.threads, p.walk)
+		states, walks, bad := explore.RandomWalks(ctx, p.set, red, p.seed, p.threads, p.walk)
 		fmt.Fprintf(out, "%d random ways met %d states in %v\n", walks, states, p.walk)
 		if bad != nil {
 			fmt.Fprintf(out, "violation of %s: %s\n", bad.Property, bad.Text)
@@ -124,8 +124,8 @@
 		}
 		return nil
 	}
-	s := explore.Search{Setup: p.set, Reduction: red, Threads: p.threads, Only: p.property, Limit: p.limit, MemoryMB: p.memory, Stop: p.find,
-		File: p.checkpoint, Every: p.every}
+	s := explore.Search{Setup: p.set, Reduction: red, Threads: p.threads, Property: p.property, MaxStates: p.limit, MemoryMB: p.memory, MaxViolations: p.find,
+		CheckpointFile: p.checkpoint, CheckpointInterval: p.every}
 	if !p.quiet {
 		s.Progress = func(r explore.Result, last bool) { searching(errs, r, last) }
 	}
@@ -134,9 +134,9 @@
 		return err
 	}
 	if p.write != "" {
-		for i := range res.Found {
-			f := &res.Found[i]
-			if err := f.Write(fmt.Sprintf("%s/%s-%s-%s.json", p.write, f.Property, p.set.Effect, p.set.Decider), p.set, red, "verify attempts"); err != nil {
+		for i := range res.Findings {
+			f := &res.Findings[i]
+			if err := f.Write(fmt.Sprintf("%s/%s-%s-%s.json", p.write, f.Property, p.set.Effect, p.set.Policy), p.set, red, "verify attempts"); err != nil {
 				return err
 			}
 		}
@@ -168,7 +168,7 @@
 		fmt.Fprintf(out, "\r%80s\r", "")
 		return
 	}
-	fmt.Fprintf(out, "\r%d states, %d transitions, %d waiting, depth %d, %d MB, %.0f s ", r.States, r.Transitions, r.Waiting, r.Depth, r.PeakMB, r.Seconds)
+	fmt.Fprintf(out, "\r%d states, %d transitions, %d waiting, depth %d, %d MB, %.0f s ", r.States, r.Transitions, r.Unexpanded, r.Depth, r.PeakMB, r.Seconds)
 }
 
 func (p *proofOf) print(out io.Writer, r explore.Result) error {
@@ -181,9 +181,9 @@
 	}
 	fmt.Fprintf(out, "%d states, %d transitions, %s; %d violations; longest run %d steps; %.1f s on %d cores, %d MB, reduction %s\n",
 		r.States, r.Transitions, end, r.Violations, r.Depth, r.Seconds, r.Threads, r.PeakMB, r.Reduction)
-	for _, f := range r.Found {
+	for _, f := range r.Findings {
 		fmt.Fprintf(out, "\n%s is broken:\n", f.Property)
-		for _, line := range f.Story {
+		for _, line := range f.Trace {
 			fmt.Fprintln(out, line)
 		}
 	}
@@ -192,11 +192,11 @@
 
 // again plays a case.
 func (p *proofOf) again(out io.Writer) error {
-	c, err := explore.ReadCase(p.replay)
+	c, err := explore.ReadScenario(p.replay)
 	if err != nil {
 		return err
 	}
-	events, bad, err := explore.Play(c)
+	events, bad, err := explore.Replay(c)
 	if err != nil {
 		return err
 	}
@@ -213,9 +213,9 @@
 
 // plant tries the mutants.
 func (p *proofOf) plant(ctx context.Context, out, errs io.Writer) error {
-	all, err := explore.TryMutants(ctx, p.source, p.only, func(t explore.Tried) {
+	all, err := explore.RunMutants(ctx, p.source, p.only, func(t explore.MutantResult) {
 		if !p.quiet {
-			fmt.Fprintf(errs, "%-50s caught %t\n", t.Name, t.Caught)
+			fmt.Fprintf(errs, "%-50s caught %t\n", t.Name, t.Detected)
 		}
 	})
 	if err != nil {
@@ -223,7 +223,7 @@
 	}
 	caught := 0
 	for _, t := range all {
-		if t.Caught {
+		if t.Detected {
 			caught++
 		}
 		if p.write != "" {
@@ -234,9 +234,9 @@
 	}
 	if p.asJSON {
 		err := json.NewEncoder(out).Encode(struct {
-			Planted int             `json:"planted"`
-			Caught  int             `json:"caught"`
-			Mutants []explore.Tried `json:"mutants"`
+			Planted int                    `json:"planted"`
+			Caught  int                    `json:"caught"`
+			Mutants []explore.MutantResult `json:"mutants"`
 		}{len(all), caught, all})
 		if err != nil {
 			return err
@@ -244,9 +244,9 @@
 	} else {
 		fmt.Fprintf(out, "| planted fault | property meant for it | events | states | found broken |\n| --- | --- | --- | --- | --- |\n")
 		for _, t := range all {
-			broken := strings.Join(t.Broken, ", ")
-			if t.Fault != "" {
-				broken = t.Fault
+			broken := strings.Join(t.Violated, ", ")
+			if t.Error != "" {
+				broken = t.Error
 			}
 			fmt.Fprintf(out, "| %s | %s | %d | %d | %s |\n", t.Name, t.Property, t.Events, t.States, broken)
 		}
