--- a/attempt/explore/conn.go
+++ b/attempt/explore/conn.go
@@ -52,7 +52,8 @@
 func (c *conn) Send(calls []proto.Call) (uint64, bool) {
 	sim := c.sim
 	if r := sim.searchers[c.searcher]; r.state != policy.Ready && sim.now > r.changedAt {
-		sim.violate(drains, "%s receives parts %v after its searcher was listed as draining or removed", c.name(), sim.now-r.changedAt)
+		sim.violate(propDrains, "%s receives parts %v after its searcher was listed as draining or removed", c.name(),
+			sim.now-r.changedAt)
 	}
 	if c.closeRequested || c.refusesFrame() {
 		return 0, false
--- a/attempt/explore/events.go
+++ b/attempt/explore/events.go
@@ -273,7 +273,7 @@
 	}
 	for _, s := range sim.scans {
 		if s.replies == 0 {
-			sim.violate(ends, "%s gets no answer from a silent outside", s.name())
+			sim.violate(propEnds, "%s gets no answer from a silent outside", s.name())
 		}
 	}
 	// The end of a connection may end another one, but never opens one: two rounds are enough.
--- a/attempt/explore/search.go
+++ b/attempt/explore/search.go
@@ -57,7 +57,7 @@
 	Progress           func(Result, bool) // called every second, and with true at the end
 
 	seen          stateSet
-	symmetricSeen *stateSet // canonical forms visited, recorded by a test when the search itself has no symmetry reduction
+	symmetricSeen *stateSet // symmetry-reduced forms of all visited states; set by a test of a search without that reduction
 	transitions   atomic.Int64
 	states        atomic.Int64
 	mu            sync.Mutex
@@ -128,7 +128,7 @@
 	k := 0
 	if r.next < len(r.choices) {
 		if k = int(r.choices[r.next]); k >= n {
-			r.sim.violate(sameAgain, "choice %d of %d alternatives, where there were more before", k, n)
+			r.sim.violate(propSameAgain, "choice %d of %d alternatives, where there were more before", k, n)
 			k = 0
 		}
 	} else {
@@ -215,7 +215,7 @@
 		if hash%64 == 0 {
 			if replayed, _ := s.replay(slices.Clone(r.choices), steps); replayed.sim.violation == nil &&
 				canonical.hash(replayed.sim) != hash {
-				r.sim.violate(sameAgain, "the same %d choices lead to two states", len(r.choices))
+				r.sim.violate(propSameAgain, "the same %d choices lead to two states", len(r.choices))
 				s.recordViolation(r, steps)
 				return
 			}
--- a/attempt/explore/setup.go
+++ b/attempt/explore/setup.go
@@ -163,7 +163,7 @@
 		Brain: policy.Settings{Seed: 1, Mixers: 1, Shards: 1, ShardSpan: 1, PartsPerCall: 2, MaxAttempts: s.MaxAttempts,
 			MayHedge: s.MaxInFlight > 1, MayCancel: true, MaxRetryAfter: time.Second, Granularity: time.Millisecond,
 			ListInterval: time.Hour,
-			Quotas: []float64{1000},
+			Quotas:       []float64{1000},
 			Types: []policy.TableType{{Target: recheckDelay, Timeout: clientWait, RepeatWindow: repeatWindow, LateShare: 0.5, Benefit: 1,
 				Effect: effects[s.Effect], Need: 1, Floor: 0.5, SecondStep: secondStep}}}}
 }
--- a/attempt/explore/simulation.go
+++ b/attempt/explore/simulation.go
@@ -196,7 +196,7 @@
 	defer func() {
 		if e := recover(); e != nil {
 			if e != errPolicyPanic {
-				sim.violate(noPanic, "%v", e)
+				sim.violate(propNoPanic, "%v", e)
 				return
 			}
 			for _, x := range sim.dispatches {
@@ -209,13 +209,13 @@
 	f()
 }
 
-func (sim *Simulation) submit(id string) {
-	q := proto.Query{ID: id, Class: "t", Tenant: "one", Key: "k", Wait: clientWait}
+func (sim *Simulation) submit(queryID string) {
+	query := proto.Query{ID: queryID, Class: "t", Tenant: "one", Key: "k", Wait: clientWait}
 	for i := range sim.setup.Parts {
-		q.Parts = append(q.Parts, proto.Part{Shard: i, Weight: 1 / float64(sim.setup.Parts)})
+		query.Parts = append(query.Parts, proto.Part{Shard: i, Weight: 1 / float64(sim.setup.Parts)})
 	}
 	s := &scan{index: len(sim.scans), submittedAt: sim.now}
-	s.request = &attempt.Scan{Query: q, Reply: func(a attempt.Answer) { sim.reply(s, a) }}
+	s.request = &attempt.Scan{Query: query, Reply: func(a attempt.Answer) { sim.reply(s, a) }}
 	sim.scans = append(sim.scans, s)
 	sim.guard(func() { sim.coordinator.Admit(s.request, 0) })
 }
@@ -229,7 +229,7 @@
 	rows, duplicate := map[int]string{}, 0
 	if a.Kind == attempt.Completed {
 		if err := json.Unmarshal(a.Body, &body); err != nil {
-			sim.violate(values, "%s: unreadable answer: %v", s.name(), err)
+			sim.violate(propValues, "%s: unreadable answer: %v", s.name(), err)
 		}
 		for _, r := range body.Rows {
 			if _, ok := rows[r.Shard]; ok {
@@ -246,15 +246,15 @@
 // sendList passes the state of all searchers to the coordinator.
 func (sim *Simulation) sendList(mode policy.ListMode) {
 	sim.listVersion++
-	l := proto.List{Version: sim.listVersion, Whole: mode == policy.Full}
+	list := proto.List{Version: sim.listVersion, Whole: mode == policy.Full}
 	for i, r := range sim.searchers {
 		addr := searcherName(i)
 		if r.moved {
 			addr += "'"
 		}
-		l.Hosts = append(l.Hosts, proto.Host{Name: searcherName(i), Addr: addr, State: r.state, Weight: 1})
+		list.Hosts = append(list.Hosts, proto.Host{Name: searcherName(i), Addr: addr, State: r.state, Weight: 1})
 	}
-	sim.coordinator.ApplyList(mode, l)
+	sim.coordinator.ApplyList(mode, list)
 }
 
 func searcherName(i int) string { return string(rune('a' + i)) }
@@ -281,11 +281,11 @@
 func (sim *Simulation) checkSecondStep(s *scan, k proto.Call) {
 	for _, shard := range k.From {
 		if !slices.ContainsFunc(s.received, func(c receivedValue) bool { return c.step == 0 && c.shard == shard }) {
-			sim.violate(secondStep, "%s lists shard %d, which had not answered in the first step", k.ID, shard+1)
+			sim.violate(propSecondStep, "%s lists shard %d, which had not answered in the first step", k.ID, shard+1)
 		}
 	}
 	if !slices.Contains(k.From, k.Shard) || k.Whole && len(k.From) < sim.setup.Parts || !slices.IsSorted(k.From) {
-		sim.violate(secondStep, "%s, of shard %d, lists shards %v of the first step, whole: %t", k.ID, k.Shard+1, k.From, k.Whole)
+		sim.violate(propSecondStep, "%s, of shard %d, lists shards %v of the first step, whole: %t", k.ID, k.Shard+1, k.From, k.Whole)
 	}
 }
 
