--- a/mixer/client_test.go
+++ b/mixer/client_test.go
@@ -16,11 +16,11 @@
 	"peathollow/internal/standin"
 )
 
-// What clients do, and what they hold.
+// Tests of the client side: requests, connections and the limits on both.
 
-func TestBadRequestsAreToldAtOnce(t *testing.T) {
-	w := start(t, 4, sound, nil)
-	defer w.close()
+func TestInvalidRequestsAreRejectedAtOnce(t *testing.T) {
+	env := startEnv(t, 4, answerOK, nil)
+	defer env.close()
 	for _, c := range []struct{ id, class, wait, body, want string }{
 		{"a", "narrow", "500m", "no json", "body"},
 		{"b", "narrow", "500m", `{"parts":[],"expr":"x"}`, "no parts"},
@@ -34,29 +34,29 @@
 		{"i j", "narrow", "500m", body(1), "Req-Id"},
 		{"k", "narrow", "500m", `{"expr":"` + strings.Repeat("x", 70<<10) + `"}`, "more than"},
 	} {
-		g, err := w.ask(c.id, c.class, c.wait, c.body)
+		g, err := env.ask(c.id, c.class, c.wait, c.body)
 		if err != nil || g.status/100 != 4 || !strings.Contains(g.text, c.want) {
 			t.Errorf("%q: %d %q %v", c.want, g.status, g.text, err)
 		}
 	}
-	if g, err := w.ask("late", "narrow", "0m", body(1)); err != nil || g.status != 503 {
+	if g, err := env.ask("late", "narrow", "0m", body(1)); err != nil || g.status != 503 {
 		t.Errorf("a deadline already past: %+v %v", g, err)
 	}
-	if len(w.seen) > 0 {
-		t.Errorf("dispatches: %v", w.seen)
+	if len(env.seen) > 0 {
+		t.Errorf("dispatches: %v", env.seen)
 	}
 }
 
-// raw sends bytes as they are and gives the statuses of the answers till the mixer closes.
-func (w *world) raw(text string) (statuses []int) {
-	c, err := net.Dial("tcp", w.base)
+// raw sends the text unchanged and returns the status of each response until the mixer closes the connection.
+func (env *testEnv) raw(text string) (statuses []int) {
+	c, err := net.Dial("tcp", env.base)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err := io.WriteString(c, text); err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	for r := bufio.NewReader(c); ; {
 		res, err := http.ReadResponse(r, nil)
@@ -74,11 +74,11 @@
 	return "POST /narrow HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Deadline: 30000m\r\n" + more
 }
 
-// A head with two ways to tell the body's length is refused and its connection closed, however it is written: what
-// one reading takes for the body is a further request in the other, and would be passed on.
-func TestTwoLengthsAreRefused(t *testing.T) {
-	w := start(t, 4, sound, patient)
-	defer w.close()
+// Guards against request smuggling: a head with both Content-Length and Transfer-Encoding, in any spelling, is refused
+// and its connection closed. What one reading takes for the body is another request in the other reading.
+func TestConflictingBodyLengthsAreRefused(t *testing.T) {
+	env := startEnv(t, 4, answerOK, longDeadlines)
+	defer env.close()
 	sane := head("sane", "Content-Length: "+fmt.Sprint(len(body(1)))+"\r\n\r\n") + body(1)
 	chunks := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body(1)), body(1))
 	behind := head("hidden", "Content-Length: "+fmt.Sprint(len(body(1)))+"\r\nConnection: close\r\n\r\n") + body(1)
@@ -91,27 +91,27 @@
 		"Content-Length: 40\r\nContent-Length: 41\r\n", "Content-Length: -1\r\n", "Content-Length: 4 0\r\n",
 	} {
 		for j, before := range []string{"", sane, head("chunks", "Transfer-Encoding: chunked\r\n\r\n") + chunks} {
-			got := w.raw(before + head(fmt.Sprint("both", i, j), both+"\r\n") + chunks + behind)
+			got := env.raw(before + head(fmt.Sprint("both", i, j), both+"\r\n") + chunks + behind)
 			want := min(j, 1)
 			if len(got) != want+1 || got[want]/100 < 4 || want > 0 && got[0] != 200 {
 				t.Errorf("%q behind %.30q: %d", both, before, got)
 			}
-			w.mu.Lock()
-			if len(w.seen["hidden.1"]) > 0 || len(w.seen[fmt.Sprintf("both%d%d.1", i, j)]) > 0 {
+			env.mu.Lock()
+			if len(env.seen["hidden.1"]) > 0 || len(env.seen[fmt.Sprintf("both%d%d.1", i, j)]) > 0 {
 				t.Errorf("%q: passed on", both)
 			}
-			w.mu.Unlock()
+			env.mu.Unlock()
 		}
 	}
-	if got := w.raw(sane + head("last", "Transfer-Encoding: chunked\r\n\r\n") + chunks + behind); fmt.Sprint(got) != "[200 200 200]" {
+	if got := env.raw(sane + head("last", "Transfer-Encoding: chunked\r\n\r\n") + chunks + behind); fmt.Sprint(got) != "[200 200 200]" {
 		t.Errorf("requests one behind the other: %v", got)
 	}
 }
 
-// Clients that say nothing, or half a request, are sent away in time, and what is claimed to be long is not waited for.
-func TestClientsThatNeverAsk(t *testing.T) {
-	w := start(t, 4, sound, nil)
-	defer w.close()
+// Clients that send nothing, or half a request, are disconnected in time. A body declared too long is not waited for.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
+	env := startEnv(t, 4, answerOK, nil)
+	defer env.close()
 	var all sync.WaitGroup
 	for text, want := range map[string]string{
 		"":                                      "[]",
@@ -126,7 +126,7 @@
 	} {
 		all.Go(func() {
 			at := time.Now()
-			if got := fmt.Sprint(w.raw(text)); got != want || time.Since(at) > 10*time.Second {
+			if got := fmt.Sprint(env.raw(text)); got != want || time.Since(at) > 10*time.Second {
 				t.Errorf("%.60q: %s after %v", text, got, time.Since(at))
 			}
 		})
@@ -134,33 +134,33 @@
 	all.Wait()
 }
 
-// A client that leaves ends its scan: the parts it held count as free again.
-func TestAClientLeaves(t *testing.T) {
+// A client that disconnects ends its scan, and the parts that it held are released.
+func TestClientDisconnectReleasesParts(t *testing.T) {
 	arrived := make(chan bool, 8)
-	w := start(t, 4, func(_, _ int, c proto.Call) standin.Reply {
+	env := startEnv(t, 4, func(_, _ int, c proto.Call) standin.Reply {
 		select {
 		case arrived <- true:
 		default:
 		}
 		return standin.Reply{End: 200, Silent: strings.HasPrefix(c.ID, "gone")}
 	}, func(s map[string]any) { s["limits"].(map[string]any)["maxOpen"] = 2 })
-	defer w.close()
+	defer env.close()
 	ctx, leave := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() {
-		_, err := w.http.Do(w.request(ctx, "gone", "narrow", "60000m", body(1)))
+		_, err := env.http.Do(env.request(ctx, "gone", "narrow", "60000m", body(1)))
 		done <- err
 	}()
 	<-arrived
-	if g, err := w.ask("over", "narrow", "500m", body(2)); err != nil || g.status != 503 {
+	if g, err := env.ask("over", "narrow", "500m", body(2)); err != nil || g.status != 503 {
 		t.Errorf("beyond what may be held: %+v %v", g, err)
 	}
 	leave()
 	if err := <-done; err == nil {
-		t.Error("the client did not leave")
+		t.Error("the request of the disconnected client succeeded")
 	}
-	for i := 0; ; i++ { // the mixer hears of it in its own time
-		g, err := w.ask(fmt.Sprint("next", i), "narrow", "500m", body(2))
+	for i := 0; ; i++ { // the mixer notices the disconnect after a while
+		g, err := env.ask(fmt.Sprint("next", i), "narrow", "500m", body(2))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,18 +170,18 @@
 	}
 }
 
-// With all descriptors of clients in use the one idle longest goes; busy ones and their answers stay.
-func TestIdleClientsMakeRoom(t *testing.T) {
-	w := start(t, 4, sound, nil)
-	defer w.close()
+// While all client descriptors are in use, the connection idle longest is closed. Busy ones and their answers stay.
+func TestIdleClientsAreEvicted(t *testing.T) {
+	env := startEnv(t, 4, answerOK, nil)
+	defer env.close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newGate(ln, &Limits{Clients: 3, ClientYoung: time.Hour})
-	srv := &http.Server{ConnState: g.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {})}
-	go srv.Serve(g)
-	defer srv.Close()
+	g := newConnLimiter(ln, &Limits{Clients: 3, ClientYoung: time.Hour})
+	server := &http.Server{ConnState: g.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {})}
+	go server.Serve(g)
+	defer server.Close()
 	for i := range 10 { // each leaves its connection idle
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -201,10 +201,10 @@
 	}
 }
 
-// Who makes room: the silent first, unless they have only just come, then the idle, and nobody with a request in hand.
-func TestWhoMakesRoom(t *testing.T) {
+// The order of eviction: silent connections first unless they are new, then idle ones, and none with a request in flight.
+func TestEvictionOrder(t *testing.T) {
 	now := time.Now()
-	g := &gate{young: 100 * time.Millisecond, spare: 2 * time.Second, conns: map[*client]bool{}}
+	g := &connLimiter{newGrace: 100 * time.Millisecond, idleGrace: 2 * time.Second, conns: map[*client]bool{}}
 	var order []string
 	names := map[*client]string{}
 	for _, c := range []struct {
@@ -212,12 +212,13 @@
 		state http.ConnState
 		age   time.Duration
 	}{{"busy", http.StateActive, time.Hour}, {"idle 3s", http.StateIdle, 3 * time.Second}, {"idle 1s", http.StateIdle, time.Second},
-		{"new 50ms", http.StateNew, 50 * time.Millisecond}, {"new 1s", http.StateNew, time.Second}, {"new 2s", http.StateNew, 2 * time.Second},
+		{"new 50ms", http.StateNew, 50 * time.Millisecond}, {"new 1s", http.StateNew, time.Second},
+		{"new 2s", http.StateNew, 2 * time.Second},
 		{"idle 9s", http.StateIdle, 9 * time.Second}} {
 		x := &client{state: c.state, since: now.Add(-c.age)}
 		g.conns[x], names[x] = true, c.name
 	}
-	for c := g.worst(now); c != nil; c = g.worst(now) {
+	for c := g.evictionCandidate(now); c != nil; c = g.evictionCandidate(now) {
 		order = append(order, names[c])
 		delete(g.conns, c)
 	}
@@ -226,27 +227,28 @@
 	}
 }
 
-// What may be held at once fits into the memory told, on the smallest machine as well as on the usual one.
-func TestWhatMayBeHeldFits(t *testing.T) {
+// The limits fit into the configured memory and descriptors, on the smallest machine as well as on the usual one.
+func TestLimitsFitMemoryAndDescriptors(t *testing.T) {
 	for _, c := range []struct{ mb, sockets int }{{32, 256}, {32, 1024}, {48, 256}, {192, 1024}} {
-		cfg := w0(t).cfg
+		cfg := idleMixer(t).cfg
 		cfg.MemoryMB, cfg.Sockets = c.mb, c.sockets
 		l := newLimits(cfg)
-		sum := l.Clients*clientCost + l.Attempt.Connections*laneCost + l.Big*bigCost + int(l.Discovery.Body)
-		if sum > c.mb<<20*2/3 || l.Clients+l.Attempt.Connections+otherSockets > c.sockets || l.Clients < c.sockets/3 && c.mb > 32 || l.Attempt.Connections < 64 {
+		sum := l.Clients*clientCost + l.Attempt.Connections*connCost + l.Big*largeBodyCost + int(l.Discovery.Body)
+		if sum > c.mb<<20*2/3 || l.Clients+l.Attempt.Connections+reservedSockets > c.sockets ||
+			l.Clients < c.sockets/3 && c.mb > 32 || l.Attempt.Connections < 64 {
 			t.Errorf("%+v: %d bytes, %d clients, %d connections, %d long bodies", c, sum, l.Clients, l.Attempt.Connections, l.Big)
 		}
 	}
 }
 
-// Long bodies wait for few places, and in vain while these are taken; short ones pass by them.
-func TestLongBodiesWait(t *testing.T) {
-	in := &takeIn{lim: &Limits{Small: 4, Body: 16, ClientRead: 20 * time.Millisecond}, big: make(chan struct{}, 1)}
+// Large bodies wait for one of a few places and fail while these stay taken. Small ones need no place.
+func TestLargeBodiesWait(t *testing.T) {
+	in := &scanTransport{limits: &Limits{Small: 4, Body: 16, ClientRead: 20 * time.Millisecond}, largeBodies: make(chan struct{}, 1)}
 	read := func(text string) (int, func(), error) {
-		b, free, err := in.body(&http.Request{Body: io.NopCloser(strings.NewReader(text))})
-		return len(b), free, err
+		b, release, err := in.readBody(&http.Request{Body: io.NopCloser(strings.NewReader(text))})
+		return len(b), release, err
 	}
-	n, free, err := read(strings.Repeat("x", 12))
+	n, release, err := read(strings.Repeat("x", 12))
 	if n != 12 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
@@ -256,7 +258,7 @@
 	if n, _, err := read("1234"); n != 4 || err != nil {
 		t.Errorf("short: %d bytes, %v", n, err)
 	}
-	free()
+	release()
 	if n, _, err := read(strings.Repeat("x", 99)); n != 17 || err != nil {
 		t.Errorf("too long: %d bytes, %v", n, err)
 	}
--- a/mixer/duties.go
+++ b/mixer/duties.go
@@ -21,12 +21,12 @@
 	"peathollow/policy"
 )
 
-// Duties shared with other instances, where the settings file turns them on: package duty decides, package member
-// carries what is said, probes go out on the mixer's own connections. Beside the stages of a scan, and off the
-// owner's way: the core stands behind a lock of its own that is held for microseconds, and whatever may wait is done
-// outside it.
+// Duties shared with other instances, if the settings file enables them: package duty decides, package member carries
+// the messages, and probes are sent on the mixer's own connections. This runs outside the stages of a scan and never
+// blocks the owner: the scheduler has a lock of its own that is held for microseconds, and all work that may block is
+// done outside it.
 
-// The kinds of duty, in the core's order.
+// The kinds of duty, in the scheduler's order.
 const (
 	probeDuty = iota
 	auditDuty
@@ -34,236 +34,239 @@
 
 const listTarget = "list"
 
-// minder drives the core.
-type minder struct {
-	lim   *Limits
-	log   *zap.Logger
-	o     *owner
-	watch *discovery.Watcher
-	say   func(to string, b []byte)
-	load  bool
-	start time.Time
-	kick  chan struct{}
+// dutyRunner drives the duty scheduler with the clock, messages and results, and carries out its actions.
+type dutyRunner struct {
+	limits      *Limits
+	log         *zap.Logger
+	owner       *owner
+	watch       *discovery.Watcher
+	send        func(to string, b []byte)
+	loadReports bool
+	start       time.Time
+	wake        chan struct{}
 
-	mu   sync.Mutex
-	core *duty.Scheduler
-	acts []func() // to be done once the lock is free
+	mu        sync.Mutex
+	scheduler *duty.Scheduler
+	actions   []func() // to be run after the lock is released
 }
 
-func newMinder(c *Config, lim *Limits, log *zap.Logger, o *owner, w *discovery.Watcher, inc uint64,
-	say func(to string, b []byte)) (*minder, error) {
-	d := &c.Ours.Duties
-	m := &minder{lim: lim, log: log.Named("duties"), o: o, watch: w, say: say, load: d.Load, start: time.Now(),
-		kick: make(chan struct{}, 1)}
+func newDutyRunner(c *Config, limits *Limits, log *zap.Logger, o *owner, w *discovery.Watcher, incarnation uint64,
+	send func(to string, b []byte)) (*dutyRunner, error) {
+	settings := &c.Ours.Duties
+	d := &dutyRunner{limits: limits, log: log.Named("duties"), owner: o, watch: w, send: send, loadReports: settings.Load,
+		start: time.Now(), wake: make(chan struct{}, 1)}
 	var err error
-	m.core, err = duty.New(duty.Settings{Name: c.Name, Incarnation: inc, Instances: d.Instances, Shares: lim.Shares, Lease: d.Lease,
-		MaxConcurrent: d.Running, WriteTimeout: min(lim.Link.Write, d.Lease/4), Kinds: []duty.Kind{
-			probeDuty: {Name: "probe", Interval: d.Interval, StartupPeriod: d.Young, StartupFactor: d.Gentle},
-			auditDuty: {Name: "audit", Interval: d.Audit, StartupFactor: 1},
-		}}, m, 0)
+	d.scheduler, err = duty.New(duty.Settings{Name: c.Name, Incarnation: incarnation, Instances: settings.Instances,
+		Shares: limits.Shares, Lease: settings.Lease, MaxConcurrent: settings.Running,
+		WriteTimeout: min(limits.Link.Write, settings.Lease/4), Kinds: []duty.Kind{
+			probeDuty: {Name: "probe", Interval: settings.Interval, StartupPeriod: settings.Young, StartupFactor: settings.Gentle},
+			auditDuty: {Name: "audit", Interval: settings.Audit, StartupFactor: 1},
+		}}, d, 0)
 	if err != nil {
 		return nil, fmt.Errorf("duties: %w", err)
 	}
-	m.core.SetTargets(auditDuty, []duty.Target{{Name: listTarget}})
-	return m, nil
+	d.scheduler.SetTargets(auditDuty, []duty.Target{{Name: listTarget}})
+	return d, nil
 }
 
-func (m *minder) now() time.Duration { return time.Since(m.start) }
+func (d *dutyRunner) now() time.Duration { return time.Since(d.start) }
 
-// event hands something to the core, then does what that wants done.
-func (m *minder) event(f func(c *duty.Scheduler)) {
-	m.mu.Lock()
-	m.core.Advance(m.now())
-	f(m.core)
-	m.mu.Unlock()
+// update applies a change to the scheduler and wakes run, which carries out the resulting actions.
+func (d *dutyRunner) update(f func(s *duty.Scheduler)) {
+	d.mu.Lock()
+	d.scheduler.Advance(d.now())
+	f(d.scheduler)
+	d.mu.Unlock()
 	select {
-	case m.kick <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run looks after what is due until the context ends.
-func (m *minder) run(ctx context.Context) {
-	clock := time.NewTimer(0)
-	defer clock.Stop()
+// run advances the scheduler and carries out its actions until the context ends.
+func (d *dutyRunner) run(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.kick:
-		case <-clock.C:
+		case <-d.wake:
+		case <-timer.C:
 		}
-		m.mu.Lock()
-		m.core.Advance(m.now())
-		next := m.core.Wake()
-		acts := m.acts
-		m.acts = nil
-		m.mu.Unlock()
-		for _, f := range acts {
+		d.mu.Lock()
+		d.scheduler.Advance(d.now())
+		next := d.scheduler.Wake()
+		actions := d.actions
+		d.actions = nil
+		d.mu.Unlock()
+		for _, f := range actions {
 			f()
 		}
-		clock.Reset(max(0, next-m.now()))
+		timer.Reset(max(0, next-d.now()))
 	}
 }
 
-// Run, Send, ObserveResult and Record are the core's actions; the lock is held.
-func (m *minder) Run(token uint64, kind int, target string) {
+// Run, Send, ObserveResult and Record implement the actions of the scheduler. They are called with the lock held.
+func (d *dutyRunner) Run(token uint64, kind int, target string) {
 	switch kind {
 	case probeDuty:
-		m.acts = append(m.acts, func() { m.probe(token, target) })
+		d.actions = append(d.actions, func() { d.probe(token, target) })
 	case auditDuty:
-		m.acts = append(m.acts, func() { go m.audit(token) })
+		d.actions = append(d.actions, func() { go d.audit(token) })
 	}
 }
 
-func (m *minder) Send(to string, msg duty.Message) {
+func (d *dutyRunner) Send(to string, msg duty.Message) {
 	b := msg.Append(nil)
-	m.acts = append(m.acts, func() { m.say(to, b) })
+	d.actions = append(d.actions, func() { d.send(to, b) })
 }
 
-func (m *minder) ObserveResult(target string, r duty.Result, who string) {
+func (d *dutyRunner) ObserveResult(target string, r duty.Result, peer string) {
 	if r.Kind != probeDuty {
 		return
 	}
 	answered := r.Outcome == duty.Reached
-	// The module may miss one: it decides without them for the most part, and the owner must not be waited for.
-	m.acts = append(m.acts, func() {
-		m.o.try(func() {
-			m.o.Probed(target, r.Age, answered)
+	// The result may be lost: the policy mostly decides without probes, and this goroutine must not wait for the owner.
+	d.actions = append(d.actions, func() {
+		d.owner.tryPost(func() {
+			d.owner.Probed(target, r.Age, answered)
 		})
 	})
-	m.log.Debug("probed", zap.String("searcher", target), zap.Stringer("outcome", r.Outcome), zap.Duration("took", r.Took),
-		zap.String("load", r.Load), zap.String("peer", who), zap.Duration("age", r.Age))
+	d.log.Debug("probed", zap.String("searcher", target), zap.Stringer("outcome", r.Outcome), zap.Duration("took", r.Took),
+		zap.String("load", r.Load), zap.String("peer", peer), zap.Duration("age", r.Age))
 }
 
-func (m *minder) Record(n duty.EventRecord) {
+func (d *dutyRunner) Record(n duty.EventRecord) {
 	level := zap.DebugLevel
 	if n.Event == duty.ClockJumped || n.Event == duty.MessageRejected {
 		level = zap.WarnLevel
 	}
-	m.log.Log(level, n.Event.String(), zap.Int("share", n.Share), zap.String("peer", n.Peer))
+	d.log.Log(level, n.Event.String(), zap.Int("share", n.Share), zap.String("peer", n.Peer))
 }
 
-// View and Message come from the group.
-func (m *minder) View(others map[string]uint64) {
-	m.event(func(c *duty.Scheduler) { c.SetMembers(others) })
+// View and Message are called by the member group.
+func (d *dutyRunner) View(others map[string]uint64) {
+	d.update(func(s *duty.Scheduler) { s.SetMembers(others) })
 }
 
-func (m *minder) Message(b []byte) {
+func (d *dutyRunner) Message(b []byte) {
 	msg, err := duty.DecodeMessage(b)
 	if err != nil {
-		m.log.Warn("message not believed", zap.Error(err))
-		m.event(func(c *duty.Scheduler) { c.CountUndecodable() })
+		d.log.Warn("message not believed", zap.Error(err))
+		d.update(func(s *duty.Scheduler) { s.CountUndecodable() })
 		return
 	}
-	m.event(func(c *duty.Scheduler) { c.Receive(msg) })
+	d.update(func(s *duty.Scheduler) { s.Receive(msg) })
 }
 
-// targets sets which searchers there are; the owner calls it with each list.
-func (m *minder) targets(hosts []proto.Host) {
-	var ts []duty.Target
+// setTargets sets the searchers to be probed. The owner calls it with each list.
+func (d *dutyRunner) setTargets(hosts []proto.Host) {
+	var targets []duty.Target
 	for _, h := range hosts {
 		t := duty.Target{Name: h.Name}
 		if !h.Born.IsZero() {
 			t.Age, t.AgeKnown = max(0, time.Since(h.Born)), true
 		}
-		ts = append(ts, t)
+		targets = append(targets, t)
 	}
-	m.event(func(c *duty.Scheduler) { c.SetTargets(probeDuty, ts) })
+	d.update(func(s *duty.Scheduler) { s.SetTargets(probeDuty, targets) })
 }
 
-func (m *minder) done(token uint64, out duty.Outcome, took time.Duration, load string) {
-	m.event(func(c *duty.Scheduler) { c.Done(token, out, took, load) })
+func (d *dutyRunner) reportResult(token uint64, outcome duty.Outcome, took time.Duration, load string) {
+	d.update(func(s *duty.Scheduler) { s.Done(token, outcome, took, load) })
 }
 
-// probe has the owner put a probe on one of the searcher's connections. The permit is asked as its bytes are written.
-func (m *minder) probe(token uint64, target string) {
-	p := link.Probe{Load: m.load, Wait: m.lim.Probe,
+// probe asks the owner to send a probe on one of the searcher's connections. Permit is checked when its bytes are
+// written.
+func (d *dutyRunner) probe(token uint64, target string) {
+	p := link.Probe{Load: d.loadReports, Wait: d.limits.Probe,
 		Permit: func() bool {
-			m.mu.Lock()
-			defer m.mu.Unlock()
-			return m.core.Permit(token, m.now())
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			return d.scheduler.Permit(token, d.now())
 		},
 		Done: func(r link.Probed) {
-			out := duty.Failed
+			outcome := duty.Failed
 			switch {
 			case !r.Sent:
-				out = duty.NotSent
+				outcome = duty.NotSent
 			case r.Answered && r.Word == "500":
-				out = duty.Refused
+				outcome = duty.Refused
 			case r.Answered:
-				out = duty.Reached
+				outcome = duty.Reached
 			}
 			load := ""
-			if m.load && len(r.Word) <= m.lim.Load {
+			if d.loadReports && len(r.Word) <= d.limits.Load {
 				load = r.Word
 			}
-			m.done(token, out, r.Took, load)
+			d.reportResult(token, outcome, r.Took, load)
 		}}
-	if !m.o.try(func() {
-		if !m.o.SendOutOfBand(target, func(c attempt.TransportConn) bool { return c.(*link.Conn).Probe(p) }) {
-			m.done(token, duty.NotSent, 0, "")
+	if !d.owner.tryPost(func() {
+		if !d.owner.SendOutOfBand(target, func(c attempt.TransportConn) bool { return c.(*link.Conn).Probe(p) }) {
+			d.reportResult(token, duty.NotSent, 0, "")
 		}
 	}) {
-		m.done(token, duty.NotSent, 0, "")
+		d.reportResult(token, duty.NotSent, 0, "")
 	}
 }
 
-// audit compares the whole list with the one watched. It is the second kind of duty: one instance asks what all would
-// have to, and where its own watch has gone astray it begins anew.
-func (m *minder) audit(token uint64) {
-	m.mu.Lock()
-	may := m.core.Permit(token, m.now())
-	m.mu.Unlock()
-	if !may {
-		m.done(token, duty.NotSent, 0, "")
+// audit compares the whole list with the watched one. It is the second kind of duty: one instance requests the list on
+// behalf of all, and restarts its own watch if that has diverged.
+func (d *dutyRunner) audit(token uint64) {
+	d.mu.Lock()
+	permitted := d.scheduler.Permit(token, d.now())
+	d.mu.Unlock()
+	if !permitted {
+		d.reportResult(token, duty.NotSent, 0, "")
 		return
 	}
-	ctx, end := context.WithTimeout(m.o.ctx, m.lim.Audit)
-	defer end()
-	began := time.Now()
-	whole, err := m.watch.Whole(ctx)
-	took := time.Since(began)
+	ctx, cancel := context.WithTimeout(d.owner.ctx, d.limits.Audit)
+	defer cancel()
+	started := time.Now()
+	whole, err := d.watch.Whole(ctx)
+	took := time.Since(started)
 	if err != nil {
-		m.log.Warn("audit: no list", zap.Error(err))
-		m.done(token, duty.Failed, took, "")
+		d.log.Warn("audit: cannot fetch the list", zap.Error(err))
+		d.reportResult(token, duty.Failed, took, "")
 		return
 	}
-	m.o.post(func() {
-		wrong, same := differs(m.o.Coordinator, whole)
-		word := fmt.Sprintf("entries=%d,differ=%d", len(whole.Hosts), wrong)
-		if wrong > 0 {
-			m.log.Warn("audit: the list watched differs", zap.Int("entries", wrong), zap.Bool("sameVersion", same))
+	d.owner.post(func() {
+		differing, sameVersion := countDifferences(d.owner.Coordinator, whole)
+		summary := fmt.Sprintf("entries=%d,differ=%d", len(whole.Hosts), differing)
+		if differing > 0 {
+			d.log.Warn("audit: the list watched differs", zap.Int("entries", differing), zap.Bool("sameVersion", sameVersion))
 		}
-		if wrong > 0 && same {
-			m.watch.Anew() // not merely behind
+		if differing > 0 && sameVersion {
+			d.watch.Anew() // the versions are equal, so the watch is wrong and not only behind
 		}
-		m.done(token, duty.Reached, took, word)
+		d.reportResult(token, duty.Reached, took, summary)
 	})
 }
 
-// leave hands duties over before the process ends.
-func (m *minder) leave() {
-	m.mu.Lock()
-	m.core.Advance(m.now())
-	m.core.Leave()
-	acts := m.acts
-	m.acts = nil
-	m.mu.Unlock()
-	for _, f := range acts {
+// leave hands the duties over before the process ends.
+func (d *dutyRunner) leave() {
+	d.mu.Lock()
+	d.scheduler.Advance(d.now())
+	d.scheduler.Leave()
+	actions := d.actions
+	d.actions = nil
+	d.mu.Unlock()
+	for _, f := range actions {
 		f()
 	}
 }
 
-// shown is what `duties show` prints.
-type shown struct {
+// dutyStatus is the JSON document that `duties show` prints.
+type dutyStatus struct {
 	Name   string
 	Counts duty.Counts
 	Rows   []duty.Status
 }
 
-// show answers at a socket of the file system, for operators on the same machine only.
-func (m *minder) show(path, name string) (func(), error) {
+// serveStatus serves the status on a Unix socket that only the same user can open, for operators on the same machine.
+// It returns a function that closes the socket.
+func (d *dutyRunner) serveStatus(path, name string) (func(), error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("duties.show: %w", err)
 	}
@@ -275,21 +278,22 @@
 		ln.Close()
 		return nil, fmt.Errorf("duties.show: %w", err)
 	}
-	srv := &http.Server{ReadTimeout: m.lim.Audit, WriteTimeout: m.lim.Audit, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		m.mu.Lock()
-		m.core.Advance(m.now())
-		s := shown{Name: name, Counts: m.core.Counts(), Rows: m.core.Statuses()}
-		m.mu.Unlock()
-		if err := json.NewEncoder(w).Encode(s); err != nil {
-			m.log.Debug("show", zap.Error(err))
-		}
-	})}
+	srv := &http.Server{ReadTimeout: d.limits.Audit, WriteTimeout: d.limits.Audit,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			d.mu.Lock()
+			d.scheduler.Advance(d.now())
+			s := dutyStatus{Name: name, Counts: d.scheduler.Counts(), Rows: d.scheduler.Statuses()}
+			d.mu.Unlock()
+			if err := json.NewEncoder(w).Encode(s); err != nil {
+				d.log.Debug("show", zap.Error(err))
+			}
+		})}
 	go srv.Serve(ln)
 	return func() { srv.Close() }, nil
 }
 
-// try hands an event over if there is room for it.
-func (o *owner) try(f func()) bool {
+// tryPost queues an event for the owner unless the queue is full.
+func (o *owner) tryPost(f func()) bool {
 	select {
 	case o.events <- f:
 		return true
@@ -298,17 +302,18 @@
 	}
 }
 
-// differs counts the entries in which a whole list differs from the one held, and whether both are of one version.
-func differs(o *attempt.Coordinator, l proto.List) (n int, same bool) {
-	held := map[string]proto.Host{}
+// countDifferences counts the entries that differ between a whole list and the stored one, and reports whether both have
+// the same version.
+func countDifferences(o *attempt.Coordinator, l proto.List) (n int, sameVersion bool) {
+	stored := map[string]proto.Host{}
 	for _, h := range o.Hosts() {
-		held[h.Name] = h
+		stored[h.Name] = h
 	}
 	for _, h := range l.Hosts {
-		if was, ok := held[h.Name]; h.State != policy.Gone && (!ok || was.State != h.State || was.Addr != h.Addr) {
+		if old, ok := stored[h.Name]; h.State != policy.Gone && (!ok || old.State != h.State || old.Addr != h.Addr) {
 			n++
 		}
-		delete(held, h.Name)
+		delete(stored, h.Name)
 	}
-	return n + len(held), l.Version == o.Version()
+	return n + len(stored), l.Version == o.Version()
 }
--- a/mixer/duties_test.go
+++ b/mixer/duties_test.go
@@ -21,14 +21,14 @@
 	"peathollow/internal/standin"
 )
 
-// probes counts what readers read, by reader.
-type probes struct {
+// probeLog records the times of the probes that each searcher read.
+type probeLog struct {
 	mu sync.Mutex
 	at map[int][]time.Time
 }
 
-func watchProbes(f *standin.Fleet) *probes {
-	p := &probes{at: map[int][]time.Time{}}
+func recordProbes(f *standin.Fleet) *probeLog {
+	p := &probeLog{at: map[int][]time.Time{}}
 	for i, s := range f.Searchers {
 		s.Probed(func(byte) {
 			p.mu.Lock()
@@ -39,13 +39,13 @@
 	return p
 }
 
-// until waits till each reader was probed so often since a time.
-func (p *probes) until(t *testing.T, n, readers int, since time.Time) {
+// waitFor waits until each of the searchers has been probed n times after a point in time.
+func (p *probeLog) waitFor(t *testing.T, n, searchers int, since time.Time) {
 	t.Helper()
-	for over := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) { // polls, decides nothing
+	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) { // polling interval only
 		p.mu.Lock()
-		good := 0
-		for i := range readers {
+		satisfied := 0
+		for i := range searchers {
 			k := 0
 			for _, at := range p.at[i] {
 				if at.After(since) {
@@ -53,29 +53,29 @@
 				}
 			}
 			if k >= n {
-				good++
+				satisfied++
 			}
 		}
 		p.mu.Unlock()
-		if good == readers {
+		if satisfied == searchers {
 			return
 		}
-		if time.Now().After(over) {
-			t.Fatalf("%d of %d readers probed %d times", good, readers, n)
+		if time.Now().After(deadline) {
+			t.Fatalf("%d of %d searchers probed %d times", satisfied, searchers, n)
 		}
 	}
 }
 
-// sharing starts mixers that share duties beside one fleet.
-type sharing struct {
-	mix  []*Mixer
-	base []string
-	stop []context.CancelFunc
-	end  []chan error
-	show []string
+// mixerGroup is several mixers that share duties for one fleet of searchers.
+type mixerGroup struct {
+	mixers      []*Mixer
+	base        []string
+	stop        []context.CancelFunc
+	end         []chan error
+	statusPaths []string
 }
 
-func share(t *testing.T, f *standin.Fleet, n int, interval string) *sharing {
+func startGroup(t *testing.T, f *standin.Fleet, n int, interval string) *mixerGroup {
 	t.Helper()
 	dir := t.TempDir()
 	keys := filepath.Join(dir, "keys")
@@ -91,11 +91,11 @@
 		binds = append(binds, ln.Addr().String())
 		ln.Close()
 	}
-	s := &sharing{}
+	s := &mixerGroup{}
 	for i := range n {
-		show := filepath.Join(dir, fmt.Sprint("show", i))
+		statusPath := filepath.Join(dir, fmt.Sprint("show", i))
 		text := fmt.Sprintf("[members]\nbind = %s\nseeds = %s\nkeys = %s\n[duties]\non = yes\ninstances = %d\ninterval = %s\naudit = 1s\nyoung = 0s\nload = yes\nshow = %s\n",
-			binds[i], strings.Join(binds, ","), keys, n, interval, show)
+			binds[i], strings.Join(binds, ","), keys, n, interval, statusPath)
 		cfg, err := Load(func(k string) string { return map[string]string{"ROUTER_CONFIG": "c", "PEATHOLLOW_SETTINGS": "s"}[k] },
 			func(path string) ([]byte, error) {
 				if path == "s" {
@@ -117,13 +117,14 @@
 		ctx, stop := context.WithCancel(context.Background())
 		end := make(chan error, 1)
 		go func() { end <- m.Serve(ctx, ln) }()
-		s.mix, s.base, s.stop, s.end = append(s.mix, m), append(s.base, ln.Addr().String()), append(s.stop, stop), append(s.end, end)
-		s.show = append(s.show, show)
+		s.mixers, s.base, s.stop, s.end = append(s.mixers, m), append(s.base, ln.Addr().String()),
+			append(s.stop, stop), append(s.end, end)
+		s.statusPaths = append(s.statusPaths, statusPath)
 	}
 	return s
 }
 
-func (s *sharing) leave(t *testing.T, i int) {
+func (s *mixerGroup) leave(t *testing.T, i int) {
 	t.Helper()
 	s.stop[i]()
 	if err := <-s.end[i]; err != nil {
@@ -131,40 +132,40 @@
 	}
 }
 
-// Three mixers probe each reader once between them; one leaves in good order and the others go on. Probes are never
-// parts, and a probe is no word of a part's end.
+// Three mixers together probe each searcher once per interval. After one leaves in an orderly way, the others continue.
+// Probes are never counted as parts, and an answer to a probe does not confirm the end of a part.
 func TestThreeMixersShareProbes(t *testing.T) {
 	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{End: 200} }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	book := standin.NewLedger()
-	f.Book(book)
-	p := watchProbes(f)
-	s := share(t, f, 3, "400ms")
-	p.until(t, 6, 4, time.Time{})
-	rows := shownAt(t, s.show[0])
-	if len(rows.Rows) != 5 || rows.Name != "n0" {
-		t.Errorf("%+v", rows)
+	ledger := standin.NewLedger()
+	f.Book(ledger)
+	p := recordProbes(f)
+	s := startGroup(t, f, 3, "400ms")
+	p.waitFor(t, 6, 4, time.Time{})
+	status := dutyStatusAt(t, s.statusPaths[0])
+	if len(status.Rows) != 5 || status.Name != "n0" {
+		t.Errorf("%+v", status)
 	}
 	loads := 0
-	for _, r := range rows.Rows {
+	for _, r := range status.Rows {
 		if strings.HasPrefix(r.Load, "inflight=") || strings.HasPrefix(r.Load, "entries=4,differ=0") {
 			loads++
 		}
 	}
 	if loads == 0 {
-		t.Errorf("no load is shown: %+v", rows.Rows)
+		t.Errorf("no load is shown: %+v", status.Rows)
 	}
 	s.leave(t, 1)
-	p.until(t, 4, 4, time.Now())
+	p.waitFor(t, 4, 4, time.Now())
 	s.leave(t, 0)
 	s.leave(t, 2)
-	if _, most := book.Copies(); most != 0 {
-		t.Errorf("%d parts out", most)
+	if _, maxInFlight := ledger.Copies(); maxInFlight != 0 {
+		t.Errorf("%d parts in flight", maxInFlight)
 	}
-	// In no window of 2(N+1) intervals twice as often as intended, over all three.
+	// Over all three mixers, no window of 2(N+1) intervals has twice the intended number of probes.
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, at := range p.at {
@@ -174,13 +175,13 @@
 				n++
 			}
 			if n >= 16 {
-				t.Errorf("reader %d probed %d times in eight intervals", i, n)
+				t.Errorf("searcher %d probed %d times in eight intervals", i, n)
 			}
 		}
 	}
 }
 
-func shownAt(t *testing.T, path string) (s shown) {
+func dutyStatusAt(t *testing.T, path string) (s dutyStatus) {
 	t.Helper()
 	h := http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		var d net.Dialer
@@ -200,14 +201,15 @@
 	return s
 }
 
-// What is off costs nothing: no listener, no goroutine, no probe.
+// Disabled duties and fleet start no listener, no goroutine and no probe.
 func TestDutiesAreOff(t *testing.T) {
 	f, err := standin.NewFleet(2, func(int, proto.Call) standin.Reply { return standin.Reply{End: 200} }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if m := made(t, f, nil); m.cfg.Ours.Duties.On || m.crowd.Load() != nil || m.cfg.Ours.Fleet.On || m.cfg.Ours.Duties != config.Defaults().Duties {
+	if m := newMixer(t, f, nil); m.cfg.Ours.Duties.On || m.peers.Load() != nil || m.cfg.Ours.Fleet.On ||
+		m.cfg.Ours.Duties != config.Defaults().Duties {
 		t.Errorf("%+v", m.cfg.Ours)
 	}
 }
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -1,5 +1,5 @@
-// Package mixer is the service on sockets: it takes scans over HTTP, has the module of package policy decide, and
-// speaks frames with searchers. Others embed it by New and Run.
+// Package mixer implements the mixer service on real sockets. It accepts scans over HTTP, lets package policy decide
+// where their parts go, and exchanges frames with searchers. Other programs embed it with New and Run.
 package mixer
 
 import (
@@ -23,46 +23,46 @@
 	"peathollow/policy"
 )
 
-// Config is what a mixer is told at its start.
+// Config is the configuration that a mixer is started with.
 type Config = config.Config
 
-// Load reads a configuration as the platform hands it over.
+// Load reads the configuration from the environment and the files that the environment names.
 func Load(env func(string) string, read func(string) ([]byte, error)) (Config, error) {
 	return config.Load(env, read)
 }
 
-// Mixer is one service.
+// Mixer is one instance of the mixer service.
 type Mixer struct {
-	cfg      Config
-	lim      Limits
-	log      *zap.Logger
-	watch    *discovery.Watcher
-	ready    atomic.Bool
-	crowd    atomic.Pointer[crowd] // nil where nothing is wanted of other mixers
-	stopping atomic.Bool           // /ready says so, all else goes on
-	leaving  atomic.Bool           // clients are told to go
+	cfg          Config
+	limits       Limits
+	log          *zap.Logger
+	watch        *discovery.Watcher
+	ready        atomic.Bool
+	peers        atomic.Pointer[peerGroup] // nil if neither duties nor the fleet are enabled
+	stopping     atomic.Bool               // /ready fails, all other requests are still served
+	closeClients atomic.Bool               // responses ask clients to close their connections
 }
 
-// New makes a mixer; nothing is opened before Run.
+// New creates a mixer. It opens no sockets before Run or Serve is called.
 func New(c Config, log *zap.Logger) (*Mixer, error) {
 	if len(c.Settings.Types) == 0 {
 		return nil, errors.New("configuration without table types")
 	}
-	lim := newLimits(c)
-	// A searcher that is down for long would say so at every dispatch, and the log counts as memory.
+	limits := newLimits(c)
+	// A searcher that stays down would log at every dispatch, and the log counts towards the memory limit.
 	log = log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(core, time.Second, lim.LogFirst, lim.LogThereafter)
+		return zapcore.NewSamplerWithOptions(core, time.Second, limits.LogFirst, limits.LogThereafter)
 	}))
-	return &Mixer{cfg: c, lim: lim, log: log, watch: discovery.New(c.Discovery, lim.Discovery)}, nil
+	return &Mixer{cfg: c, limits: limits, log: log, watch: discovery.New(c.Discovery, limits.Discovery)}, nil
 }
 
-// Confine sets the process's own bounds from the limits; a program that embeds a mixer may set its own.
+// Confine sets the processor and memory limits of the whole process. A program that embeds a mixer may set its own.
 func (m *Mixer) Confine() {
-	runtime.GOMAXPROCS(m.lim.Processors)
-	debug.SetMemoryLimit(m.lim.Memory)
+	runtime.GOMAXPROCS(m.limits.Processors)
+	debug.SetMemoryLimit(m.limits.Memory)
 }
 
-// Run serves at the configured address until the context ends, then answers all that was taken and returns.
+// Run serves at the configured address until the context ends, then answers all accepted requests and returns.
 func (m *Mixer) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp", m.cfg.Listen)
 	if err != nil {
@@ -71,46 +71,47 @@
 	return m.Serve(ctx, ln)
 }
 
-// Serve is Run on a listener that the caller opened; it closes it.
+// Serve does the same as Run on a listener opened by the caller, and closes the listener.
 func (m *Mixer) Serve(ctx context.Context, ln net.Listener) error {
 	links, closeLinks := context.WithCancel(context.Background())
-	o := newOwner(links, &m.cfg, m.lim, m.log, m.watch.Ask)
+	o := newOwner(links, &m.cfg, m.limits, m.log, m.watch.Ask)
 	first := make(chan struct{})
 	var once sync.Once
-	told := func(mode policy.ListMode, l proto.List) {
+	onList := func(mode policy.ListMode, l proto.List) {
 		o.post(func() { o.ApplyList(mode, l) })
 		if mode != policy.Unavailable {
 			o.post(func() { once.Do(func() { close(first) }) })
 		}
 	}
-	unshow, err := m.share(o)
+	closeStatus, err := m.joinPeers(o)
 	if err != nil {
 		closeLinks()
 		return err
 	}
-	defer unshow()
+	defer closeStatus()
 	o.ApplyList(policy.Cached, m.cfg.Known)
 	o.Start()
 
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() { o.run(done) })
-	all.Go(func() { m.watch.Run(links, told) })
-	if c := m.crowd.Load(); c != nil {
+	all.Go(func() { m.watch.Run(links, onList) })
+	if c := m.peers.Load(); c != nil {
 		all.Go(func() { c.run(links) })
 	}
 	defer all.Wait()
 	defer close(done)
 	defer closeLinks()
 
-	t := &takeIn{o: o, lim: &m.lim, log: m.log, leaving: m.leaving.Load, big: make(chan struct{}, m.lim.Big)}
-	gate := newGate(ln, &m.lim)
-	srv := &http.Server{Handler: m.routes(gate, t.front()), ConnState: gate.state, ConnContext: withClient,
-		ReadHeaderTimeout: m.lim.ClientHead, ReadTimeout: m.lim.ClientRead, WriteTimeout: m.lim.ClientWrite,
-		IdleTimeout: m.lim.ClientIdle, MaxHeaderBytes: m.lim.Head, ErrorLog: zap.NewStdLog(m.log),
-		DisableGeneralOptionsHandler: true} // each request must pass the gate, see heads
+	t := &scanTransport{owner: o, limits: &m.limits, log: m.log, closeClients: m.closeClients.Load,
+		largeBodies: make(chan struct{}, m.limits.Big)}
+	limiter := newConnLimiter(ln, &m.limits)
+	srv := &http.Server{Handler: m.routes(limiter, t.handler()), ConnState: limiter.state, ConnContext: withClient,
+		ReadHeaderTimeout: m.limits.ClientHead, ReadTimeout: m.limits.ClientRead, WriteTimeout: m.limits.ClientWrite,
+		IdleTimeout: m.limits.ClientIdle, MaxHeaderBytes: m.limits.Head, ErrorLog: zap.NewStdLog(m.log),
+		DisableGeneralOptionsHandler: true} // each request must pass connLimiter.admit, see framing
 	failed := make(chan error, 1)
-	all.Go(func() { failed <- srv.Serve(gate) })
+	all.Go(func() { failed <- srv.Serve(limiter) })
 	all.Go(func() { m.whenReady(links, first) })
 	select {
 	case err := <-failed:
@@ -120,27 +121,27 @@
 	return m.finish(srv, o)
 }
 
-// share begins to do with other instances what the settings want done with them.
-func (m *Mixer) share(o *owner) (unshow func(), err error) {
-	c, err := m.gather(o)
+// joinPeers starts the work that the settings share with other instances. It returns a function that closes the status socket.
+func (m *Mixer) joinPeers(o *owner) (closeStatus func(), err error) {
+	c, err := m.newPeerGroup(o)
 	if c == nil {
 		return func() {}, err
 	}
-	m.crowd.Store(c)
-	if d := c.minder; d != nil {
-		o.targets = d.targets
+	m.peers.Store(c)
+	if d := c.duties; d != nil {
+		o.onHosts = d.setTargets
 		if path := m.cfg.Ours.Duties.Show; path != "" {
-			return d.show(path, m.cfg.Name)
+			return d.serveStatus(path, m.cfg.Name)
 		}
 	}
 	return func() {}, nil
 }
 
-// whenReady waits for discovery's first list; one known from before will do if that does not come.
+// whenReady waits for the first list from discovery, or for a limited time if the configuration contains a list.
 func (m *Mixer) whenReady(ctx context.Context, first <-chan struct{}) {
 	var wait <-chan time.Time
 	if len(m.cfg.Known.Hosts) > 0 {
-		t := time.NewTimer(m.lim.ReadyWait)
+		t := time.NewTimer(m.limits.ReadyWait)
 		defer t.Stop()
 		wait = t.C
 	}
@@ -154,15 +155,15 @@
 	m.log.Info("ready", zap.String("name", m.cfg.Name), zap.String("listen", m.cfg.Listen))
 }
 
-func (m *Mixer) routes(gate *gate, front http.Handler) http.Handler {
+func (m *Mixer) routes(limiter *connLimiter, scans http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := gate.pass(r); err != nil {
+		if err := limiter.admit(r); err != nil {
 			w.Header().Set("Connection", "close")
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		if r.Method != http.MethodGet || r.URL.Path != "/ready" {
-			front.ServeHTTP(w, r)
+			scans.ServeHTTP(w, r)
 			return
 		}
 		if !m.ready.Load() || m.stopping.Load() {
@@ -171,26 +172,26 @@
 	})
 }
 
-// finish answers what still comes for a while, then what is in hand, and leaves.
+// finish keeps accepting requests for a while, then answers those in flight and shuts the server down.
 func (m *Mixer) finish(srv *http.Server, o *owner) error {
 	m.stopping.Store(true)
 	m.log.Info("stopping")
-	o.post(func() { o.Stop(m.lim.StopFinish) })
-	left := make(chan struct{})
+	o.post(func() { o.Stop(m.limits.StopFinish) })
+	peersLeft := make(chan struct{})
 	go func() {
-		defer close(left)
-		if c := m.crowd.Load(); c != nil {
+		defer close(peersLeft)
+		if c := m.peers.Load(); c != nil {
 			c.leave()
 		}
 	}()
-	defer func() { <-left }()
-	time.Sleep(m.lim.StopTell)
-	m.leaving.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), m.lim.StopFinish-m.lim.StopTell+m.lim.Slack)
+	defer func() { <-peersLeft }()
+	time.Sleep(m.limits.StopTell)
+	m.closeClients.Store(true)
+	ctx, cancel := context.WithTimeout(context.Background(), m.limits.StopFinish-m.limits.StopTell+m.limits.Slack)
 	defer cancel()
 	if err := srv.Shutdown(ctx); err != nil {
-		// By now every scan is answered: what is left are connections that never sent a whole request.
-		m.log.Warn("clients cut off", zap.Error(err))
+		// Every scan has been answered by now: only connections that never sent a whole request are left.
+		m.log.Warn("client connections closed by force", zap.Error(err))
 		return srv.Close()
 	}
 	m.log.Info("stopped")
--- a/mixer/mixer_test.go
+++ b/mixer/mixer_test.go
@@ -24,17 +24,18 @@
 	"peathollow/policy"
 )
 
-// Rules on sockets, after random troubles: one whole answer each, in time; honest values; no repeat and no
-// refusal of what may have run; nothing sent after the end; what is repeated was given up or came back before.
-func TestRulesUnderRandomTroubles(t *testing.T) {
+// Invariants on sockets under random faults: each scan gets one whole answer in time with values that a searcher
+// returned; a non-idempotent part that may have run is neither sent again nor refused; nothing is dispatched after the
+// final answer; a retry starts only after the earlier attempt was cancelled or had returned.
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	classes := []string{"wide", "narrow", "keyed", "once"}
 	run := func(seed int64) bool {
-		dice := rand.New(rand.NewSource(seed))
-		bad, fate := dice.Float64()*0.4, rand.New(rand.NewSource(seed+1)) // fate is used under the world's lock
-		w := start(t, 4, func(_, _ int, c proto.Call) standin.Reply {
-			r := standin.Reply{End: 200, After: time.Duration(fate.Intn(15)) * time.Millisecond}
-			if fate.Float64() < bad {
-				switch fate.Intn(8) {
+		rng := rand.New(rand.NewSource(seed))
+		faultRate, faultRng := rng.Float64()*0.4, rand.New(rand.NewSource(seed+1)) // faultRng is used under the environment's lock
+		env := startEnv(t, 4, func(_, _ int, c proto.Call) standin.Reply {
+			r := standin.Reply{End: 200, After: time.Duration(faultRng.Intn(15)) * time.Millisecond}
+			if faultRng.Float64() < faultRate {
+				switch faultRng.Intn(8) {
 				case 0, 1:
 					r.Silent = true
 				case 2:
@@ -46,19 +47,19 @@
 				case 6:
 					r.End = 500
 				case 7:
-					r.Junk = []byte("\xff\xff\xff\xffO") // longer than allowed
+					r.Junk = []byte("\xff\xff\xff\xffO") // length above the limit
 				}
 			}
 			return r
 		}, nil)
-		defer w.close()
+		defer env.close()
 		var all sync.WaitGroup
 		for i := range 24 {
 			id, class := fmt.Sprintf("q%d-%d", uint32(seed), i), classes[i%4]
-			shards := dice.Perm(8)[:1+dice.Intn(6)]
+			shards := rng.Perm(8)[:1+rng.Intn(6)]
 			all.Go(func() {
-				g, err := w.ask(id, class, "400m", body(shards...))
-				if msg := w.judge(id, class, shards, g, err, time.Now()); msg != "" {
+				g, err := env.ask(id, class, "400m", body(shards...))
+				if msg := env.checkAnswer(id, class, shards, g, err, time.Now()); msg != "" {
 					t.Errorf("seed %d, %s %s: %s", seed, class, id, msg)
 				}
 			})
@@ -71,85 +72,86 @@
 	}
 }
 
-func TestAnAnswerThereAndBack(t *testing.T) {
-	w := start(t, 4, sound, patient)
-	defer w.close()
-	g, err := w.ask("a", "narrow", "500000u", body(3, 5))
+func TestScanRoundTrip(t *testing.T) {
+	env := startEnv(t, 4, answerOK, longDeadlines)
+	defer env.close()
+	g, err := env.ask("a", "narrow", "500000u", body(3, 5))
 	if err != nil || g.status != 200 || !g.Exact || len(g.Rows) != 2 {
 		t.Errorf("%+v %v", g, err)
 	}
-	// The second step goes to the best scores and tells what was in and whether the first step was whole.
-	if g, err = w.ask("b", "wide", "30000m", body(0, 1, 2, 3)); err != nil || g.status != 200 || !g.Exact || len(g.Rows) != 2 {
+	// The second step goes to the shards with the best scores and states which shards were in the first step and whether it
+	// was whole.
+	if g, err = env.ask("b", "wide", "30000m", body(0, 1, 2, 3)); err != nil || g.status != 200 || !g.Exact || len(g.Rows) != 2 {
 		t.Fatalf("%+v %v", g, err)
 	}
 	for _, r := range g.Rows {
-		c := w.seen[fmt.Sprintf("b.%d.fetch", r.Shard)][0].call
+		c := env.seen[fmt.Sprintf("b.%d.fetch", r.Shard)][0].call
 		if !c.Whole || fmt.Sprint(c.From) != "[0 1 2 3]" {
 			t.Errorf("second step %+v", c)
 		}
 		for s := range 4 {
-			if x := w.seen[fmt.Sprintf("b.%d", s)][0].call; standin.Score(x) > standin.Score(w.seen[fmt.Sprintf("b.%d", r.Shard)][0].call) &&
-				w.seen[fmt.Sprintf("b.%d.fetch", s)] == nil {
-				t.Errorf("shard %d was passed over", s)
+			if x := env.seen[fmt.Sprintf("b.%d", s)][0].call; standin.Score(x) > standin.Score(env.seen[fmt.Sprintf("b.%d", r.Shard)][0].call) &&
+				env.seen[fmt.Sprintf("b.%d.fetch", s)] == nil {
+				t.Errorf("shard %d has a better score but was skipped", s)
 			}
 		}
 	}
 }
 
-// Two dispatches of a part are never out at once: the searcher that said nothing is told before another is asked.
-func TestAPartIsGivenUpBeforeItGoesAgain(t *testing.T) {
-	w := start(t, 4, func(_, try int, c proto.Call) standin.Reply {
-		return standin.Reply{End: 200, Silent: try == 0 && strings.HasPrefix(c.ID, "stuck")}
-	}, patient)
-	defer w.close()
-	w.warm()
-	if g, err := w.ask("stuck", "narrow", "30000m", body(1)); err != nil || g.status != 200 {
+// Two attempts of a part are never in flight at once: a silent searcher reads the cancellation before another is asked.
+func TestPartIsCancelledBeforeRetry(t *testing.T) {
+	env := startEnv(t, 4, func(_, attemptIndex int, c proto.Call) standin.Reply {
+		return standin.Reply{End: 200, Silent: attemptIndex == 0 && strings.HasPrefix(c.ID, "stuck")}
+	}, longDeadlines)
+	defer env.close()
+	env.warm()
+	if g, err := env.ask("stuck", "narrow", "30000m", body(1)); err != nil || g.status != 200 {
 		t.Fatalf("%+v %v", g, err)
 	}
 	for deadline := time.Now().Add(5 * time.Second); ; runtime.Gosched() {
-		w.mu.Lock()
-		seen := slices.Clone(w.seen["stuck.1"])
-		w.mu.Unlock()
-		if len(seen) > 1 && seen[0].gaveUp {
-			if seen[1].at.Before(seen[0].gaveAt) {
-				t.Errorf("asked again %v before the first was given up", seen[0].gaveAt.Sub(seen[1].at))
+		env.mu.Lock()
+		seen := slices.Clone(env.seen["stuck.1"])
+		env.mu.Unlock()
+		if len(seen) > 1 && seen[0].cancelled {
+			if seen[1].at.Before(seen[0].cancelledAt) {
+				t.Errorf("second attempt %v before the first was cancelled", seen[0].cancelledAt.Sub(seen[1].at))
 			}
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d tries, the first given up: %v", len(seen), seen[0].gaveUp)
+			t.Fatalf("%d attempts, the first cancelled: %v", len(seen), seen[0].cancelled)
 		}
 	}
 }
 
-// A part at a searcher that reads and says nothing, not even to a receipt, goes elsewhere soon after it is given
-// up: the connection is made, so the wait is a fifth of the connect time (0.5 s here), not half (1.25 s). At full
-// size each mixer meets such a searcher first and alone, and pays this wait in a scan's target each time.
-func TestASilentSearcherIsLeftSoon(t *testing.T) {
-	w := start(t, 4, func(_, try int, c proto.Call) standin.Reply {
-		first := try == 0 && strings.HasPrefix(c.ID, "mute")
+// A part at a searcher that reads but answers nothing, not even a receipt, is retried elsewhere soon after it is
+// cancelled: the connection is up, so the wait is a fifth of the connect timeout (0.5 s here), not half (1.25 s). In a
+// full-size system each mixer detects such a searcher by itself, and each time a scan's latency target pays this wait.
+func TestUnresponsiveSearcherIsAbandonedSoon(t *testing.T) {
+	env := startEnv(t, 4, func(_, attemptIndex int, c proto.Call) standin.Reply {
+		first := attemptIndex == 0 && strings.HasPrefix(c.ID, "mute")
 		return standin.Reply{End: 200, Silent: first, Mute: first}
-	}, patient)
-	defer w.close()
-	w.warm()
-	if g, err := w.ask("mute", "narrow", "30000m", body(1)); err != nil || g.status != 200 {
+	}, longDeadlines)
+	defer env.close()
+	env.warm()
+	if g, err := env.ask("mute", "narrow", "30000m", body(1)); err != nil || g.status != 200 {
 		t.Fatalf("%+v %v", g, err)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.seen["mute.1"]
-	if len(s) != 2 || !s[0].gaveUp {
-		t.Fatalf("%d tries, the first given up: %v", len(s), len(s) > 0 && s[0].gaveUp)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	s := env.seen["mute.1"]
+	if len(s) != 2 || !s[0].cancelled {
+		t.Fatalf("%d attempts, the first cancelled: %v", len(s), len(s) > 0 && s[0].cancelled)
 	}
-	if gap := s[1].at.Sub(s[0].gaveAt); gap > time.Second {
-		t.Errorf("the part went elsewhere %v after it was given up at a silent searcher", gap)
+	if gap := s[1].at.Sub(s[0].cancelledAt); gap > time.Second {
+		t.Errorf("the part was retried %v after it was cancelled at an unresponsive searcher", gap)
 	}
 }
 
-// SIGTERM: what is in hand is finished, what still comes is served, and told to close.
-func TestStopFinishesWhatWasTaken(t *testing.T) {
+// After SIGTERM requests in flight are finished, and new ones are served and asked to close their connections.
+func TestStopFinishesAcceptedRequests(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	w := start(t, 4, func(_, _ int, c proto.Call) standin.Reply {
+	env := startEnv(t, 4, func(_, _ int, c proto.Call) standin.Reply {
 		if strings.HasPrefix(c.ID, "held") {
 			select {
 			case arrived <- struct{}{}:
@@ -158,70 +160,70 @@
 			return standin.Reply{End: 200, After: 200 * time.Millisecond}
 		}
 		return standin.Reply{End: 200}
-	}, patient)
-	held := make(chan got, 1)
+	}, longDeadlines)
+	held := make(chan response, 1)
 	go func() {
-		g, err := w.ask("held", "narrow", "30000m", body(1))
+		g, err := env.ask("held", "narrow", "30000m", body(1))
 		if err != nil {
 			t.Error(err)
 		}
 		held <- g
 	}()
 	<-arrived
-	w.stop()
-	for !w.mix.stopping.Load() {
+	env.stop()
+	for !env.mixer.stopping.Load() {
 		runtime.Gosched()
 	}
-	// Connections stay for a while: the mixer that is to take over may not be back itself.
-	g, err := w.ask("new", "narrow", "30000m", body(2))
-	if err != nil || g.status != 200 || g.closes {
+	// Connections stay for a while: the mixer that takes over may still be restarting itself.
+	g, err := env.ask("new", "narrow", "30000m", body(2))
+	if err != nil || g.status != 200 || g.close {
 		t.Errorf("after the signal: %+v %v", g, err)
 	}
 	if g := <-held; g.status != 200 {
-		t.Errorf("in hand at the signal: %+v", g)
+		t.Errorf("in flight at the signal: %+v", g)
 	}
-	for i := 0; err == nil && !g.closes; i++ {
-		if g, err = w.ask(fmt.Sprint("last", i), "narrow", "30000m", body(2)); err == nil && g.status != 200 {
+	for i := 0; err == nil && !g.close; i++ {
+		if g, err = env.ask(fmt.Sprint("last", i), "narrow", "30000m", body(2)); err == nil && g.status != 200 {
 			t.Errorf("before it leaves: %+v", g)
 		}
 	}
-	w.close()
-	if _, err := net.Dial("tcp", w.base); err == nil {
+	env.close()
+	if _, err := net.Dial("tcp", env.base); err == nil {
 		t.Error("still listening")
 	}
 }
 
-// SIGHUP: discovery moves to the address in the new file while scans go on; a file that can't be used changes nothing.
+// SIGHUP moves discovery to the address in the new file while scans continue. An invalid file changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
-	w := start(t, 4, sound, patient)
-	defer w.close()
+	env := startEnv(t, 4, answerOK, longDeadlines)
+	defer env.close()
 	to, err := standin.NewDiscovery("127.0.0.1:0", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer to.Close()
-	for i := range w.fleet.Searchers {
-		to.Tell(w.fleet.Host(i, "draining"))
+	for i := range env.fleet.Searchers {
+		to.Tell(env.fleet.Host(i, "draining"))
 	}
-	good := string(w.fleet.Config(nil))
+	good := string(env.fleet.Config(nil))
 	again, read := make(chan os.Signal), make(chan string, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go w.mix.Follow(ctx, again, func() (Config, error) {
-		return Load(here, func(string) ([]byte, error) { return []byte(<-read), nil })
+	go env.mixer.Follow(ctx, again, func() (Config, error) {
+		return Load(configEnv, func(string) ([]byte, error) { return []byte(<-read), nil })
 	})
-	for _, text := range []string{"no json", strings.Replace(good, w.fleet.Discovery.Addr(), "nowhere", 1), good} {
+	for _, text := range []string{"no json", strings.Replace(good, env.fleet.Discovery.Addr(), "nowhere", 1), good} {
 		again <- syscall.SIGHUP
 		read <- text
-		if g, err := w.ask(fmt.Sprint("before", len(text)), "narrow", "30000m", body(1, 2)); err != nil || g.status != 200 {
+		if g, err := env.ask(fmt.Sprint("before", len(text)), "narrow", "30000m", body(1, 2)); err != nil || g.status != 200 {
 			t.Errorf("%+v %v", g, err)
 		}
 	}
 	again <- syscall.SIGHUP
-	read <- strings.Replace(good, w.fleet.Discovery.Addr(), to.Addr(), 1)
-	w.fleet.Discovery.Silence(true)
-	for i := 0; ; i++ { // all drain in the new list: nothing new goes there
-		g, err := w.ask(fmt.Sprint("after", i), "narrow", "30000m", body(1, 2))
+	read <- strings.Replace(good, env.fleet.Discovery.Addr(), to.Addr(), 1)
+	env.fleet.Discovery.Silence(true)
+	for i := 0; ; i++ { // all searchers drain in the new list, so nothing new is sent to them
+		g, err := env.ask(fmt.Sprint("after", i), "narrow", "30000m", body(1, 2))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -231,9 +233,9 @@
 	}
 }
 
-// A panic in a step answers all that is in hand and ends nothing else.
-func TestAPanicIsAnswered(t *testing.T) {
-	o := newOwner(context.Background(), &w0(t).cfg, w0(t).lim, zap.NewNop(), nil)
+// A panic in an event answers all scans in flight and does not end the process.
+func TestPanicAnswersScans(t *testing.T) {
+	o := newOwner(context.Background(), &idleMixer(t).cfg, idleMixer(t).limits, zap.NewNop(), nil)
 	got := make(chan attempt.Answer, 1)
 	s := &attempt.Scan{Query: proto.Query{ID: "x", Class: "narrow", Wait: time.Second, Parts: []proto.Part{{Shard: 1, Weight: 1}}},
 		Reply: func(a attempt.Answer) { got <- a }}
@@ -247,50 +249,51 @@
 	default:
 		t.Error("not answered")
 	}
-	// The book is anew: the same request may come again.
+	// The state is reset, so the same request is accepted again.
 	o.guard(func() { o.Admit(s, 0) })
 	if a := <-got; a.Kind == attempt.Invalid {
 		t.Errorf("answered %+v", a)
 	}
 }
 
-// A part goes elsewhere once its searcher is known to have heard that it is given up, not once that was written: a
-// searcher that reads late would count it as out beside the copy.
-func TestAPartGoesElsewhereOnceItsEndIsKnown(t *testing.T) {
-	w := start(t, 4, func(_, try int, c proto.Call) standin.Reply {
+// A part is retried elsewhere once its searcher has confirmed the cancellation, not once the cancellation was written:
+// a searcher that reads late would still have the first attempt in flight beside the second.
+func TestPartIsRetriedAfterConfirmedCancel(t *testing.T) {
+	env := startEnv(t, 4, func(_, attemptIndex int, c proto.Call) standin.Reply {
 		r := standin.Reply{End: 200}
-		if try == 0 && strings.HasPrefix(c.ID, "stuck") {
+		if attemptIndex == 0 && strings.HasPrefix(c.ID, "stuck") {
 			r.Silent, r.Late = true, 150*time.Millisecond
 		}
 		return r
-	}, patient)
-	defer w.close()
-	w.warm()
-	if g, err := w.ask("stuck", "narrow", "30000m", body(1)); err != nil || g.status != 200 {
+	}, longDeadlines)
+	defer env.close()
+	env.warm()
+	if g, err := env.ask("stuck", "narrow", "30000m", body(1)); err != nil || g.status != 200 {
 		t.Errorf("%+v %v", g, err)
 	}
-	if _, most := w.book.Copies(); most != 1 {
-		t.Errorf("%d of one part out at once", most)
+	if _, maxInFlight := env.ledger.Copies(); maxInFlight != 1 {
+		t.Errorf("%d attempts of one part in flight at once", maxInFlight)
 	}
 }
 
-// The same in many seeded orders: searchers that read late, not at all, stop in the midst of an answer, answer no
-// probes, break, are slow, all at once, with dozens of scans in hand. Each world's close looks for second copies.
-func TestNoSecondCopyInAnyOrder(t *testing.T) {
-	const worlds, scans = 20, 50
+// The same under many seeded orders of events: searchers that read late or never, stop in the middle of an answer, answer
+// no probes, break connections or are slow, with dozens of scans in flight. Each environment checks for overlapping
+// attempts when it is closed.
+func TestNoOverlappingAttemptsInAnyOrder(t *testing.T) {
+	const envs, scans = 20, 50
 	var all sync.WaitGroup
-	for seed := range worlds {
+	for seed := range envs {
 		all.Go(func() {
-			dice := rand.New(rand.NewSource(int64(seed)))
-			fate := rand.New(rand.NewSource(int64(seed) + 1000)) // used under the world's lock
-			bad := dice.Float64() * 0.3
-			w := start(t, 5, func(int, int, proto.Call) standin.Reply {
-				ms := func(n int) time.Duration { return time.Duration(fate.Intn(n)) * time.Millisecond }
+			rng := rand.New(rand.NewSource(int64(seed)))
+			faultRng := rand.New(rand.NewSource(int64(seed) + 1000)) // used under the environment's lock
+			faultRate := rng.Float64() * 0.3
+			env := startEnv(t, 5, func(int, int, proto.Call) standin.Reply {
+				ms := func(n int) time.Duration { return time.Duration(faultRng.Intn(n)) * time.Millisecond }
 				r := standin.Reply{End: 200, After: ms(15)}
-				if fate.Float64() >= bad {
+				if faultRng.Float64() >= faultRate {
 					return r
 				}
-				switch fate.Intn(8) {
+				switch faultRng.Intn(8) {
 				case 0:
 					r.Silent, r.Late = true, ms(200)
 				case 1:
@@ -299,10 +302,10 @@
 					r.Silent, r.Mute = true, true
 				case 3: // never reads again
 					r.Silent, r.Late = true, time.Hour
-				case 4: // stops in the midst of an answer, and may read on later
+				case 4: // stops in the middle of an answer, and may continue to read later
 					r.Junk, r.Late = []byte("\x40\x00\x00\x00Ox.1"), ms(400)
 				case 5:
-					r.Reset, r.Half = true, fate.Intn(2) == 0
+					r.Reset, r.Half = true, faultRng.Intn(2) == 0
 				case 6:
 					r.Junk, r.Late = []byte("\xff\xff\xff\xffO"), ms(100)
 				case 7:
@@ -310,36 +313,36 @@
 				}
 				return r
 			}, nil)
-			var asks sync.WaitGroup
+			var requests sync.WaitGroup
 			for i := range scans {
 				id, class := fmt.Sprintf("w%d-%d", seed, i), []string{"wide", "narrow", "keyed", "once"}[i%4]
-				shards := dice.Perm(10)[:1+dice.Intn(4)]
-				asks.Go(func() {
-					g, err := w.ask(id, class, "500m", body(shards...))
-					if msg := w.judge(id, class, shards, g, err, time.Now()); msg != "" {
+				shards := rng.Perm(10)[:1+rng.Intn(4)]
+				requests.Go(func() {
+					g, err := env.ask(id, class, "500m", body(shards...))
+					if msg := env.checkAnswer(id, class, shards, g, err, time.Now()); msg != "" {
 						t.Errorf("seed %d, %s %s: %s", seed, class, id, msg)
 					}
 				})
 			}
-			asks.Wait()
-			w.close()
+			requests.Wait()
+			env.close()
 		})
 	}
 	all.Wait()
 }
 
-// Nothing is left after a stop.
+// No goroutine is left after a stop.
 func TestNoGoroutineIsLeft(t *testing.T) {
 	before := runtime.NumGoroutine()
-	w := start(t, 4, func(_, try int, c proto.Call) standin.Reply {
-		return standin.Reply{End: 200, Silent: try == 0 && strings.HasSuffix(c.ID, ".1")}
+	env := startEnv(t, 4, func(_, attemptIndex int, c proto.Call) standin.Reply {
+		return standin.Reply{End: 200, Silent: attemptIndex == 0 && strings.HasSuffix(c.ID, ".1")}
 	}, nil)
 	for i := range 5 {
-		if _, err := w.ask(fmt.Sprint("a", i), "narrow", "300m", body(1, 2)); err != nil {
+		if _, err := env.ask(fmt.Sprint("a", i), "narrow", "300m", body(1, 2)); err != nil {
 			t.Error(err)
 		}
 	}
-	w.close()
+	env.close()
 	deadline := time.Now().Add(5 * time.Second)
 	for runtime.NumGoroutine() > before {
 		if time.Now().After(deadline) {
@@ -358,18 +361,18 @@
 		b.Fatal(err)
 	}
 	defer f.Close()
-	m := made(b, f, nil)
+	m := newMixer(b, f, nil)
 	ctx, stop := context.WithCancel(context.Background())
-	o := newOwner(ctx, &m.cfg, m.lim, m.log, nil)
-	list, err := proto.ReadList([]byte(hosts(f)))
+	o := newOwner(ctx, &m.cfg, m.limits, m.log, nil)
+	list, err := proto.ReadList([]byte(hostList(f)))
 	if err != nil {
 		b.Fatal(err)
 	}
 	o.ApplyList(policy.Full, list)
 	done := make(chan struct{})
 	go o.run(done)
-	defer func() { stop(); close(done); <-o.gone }()
-	t := &takeIn{o: o, lim: &m.lim, log: m.log}
+	defer func() { stop(); close(done); <-o.ended }()
+	t := &scanTransport{owner: o, limits: &m.limits, log: m.log}
 	parts := []proto.Part{{Shard: 1, Weight: 0.5}, {Shard: 5, Weight: 0.5}}
 	b.ReportAllocs()
 	for i := range b.N {
--- a/mixer/owner.go
+++ b/mixer/owner.go
@@ -14,74 +14,74 @@
 	"peathollow/policy"
 )
 
-// owner is the one goroutine that drives the life of all that is in hand, and the module with it. Others hand it
-// closures through post; what is wanted done on sockets is queued and never waited for.
+// owner is the event loop: the one goroutine that drives the coordinator of all scans in flight, and with it the policy.
+// Other goroutines pass it closures through post. Work on sockets is queued and never waited for.
 type owner struct {
 	*attempt.Coordinator
-	lim   Limits
-	log   *zap.Logger
-	ctx   context.Context // its end closes all connections to searchers
-	start time.Time
-	ask   func()
-	step  func(func()) // guard, made into a value once
+	limits      Limits
+	log         *zap.Logger
+	ctx         context.Context // all connections to searchers close when it ends
+	start       time.Time
+	requestList func()
+	guardFunc   func(func()) // o.guard as a func value, allocated once
 
 	events  chan func()
-	gone    chan struct{}      // closed when the owner has ended
-	targets func([]proto.Host) // nil where no duties are shared
+	ended   chan struct{}      // closed when run has returned
+	onHosts func([]proto.Host) // receives the hosts of each list; nil if no duties are shared
 }
 
-func newOwner(ctx context.Context, c *config.Config, lim Limits, log *zap.Logger, ask func()) *owner {
-	o := &owner{lim: lim, log: log, ctx: ctx, start: time.Now(), ask: ask,
-		events: make(chan func(), lim.Events), gone: make(chan struct{})}
-	o.step = o.guard
-	o.Coordinator = attempt.New(&c.Settings, lim.Attempt, outside{o}, o.start)
+func newOwner(ctx context.Context, c *config.Config, limits Limits, log *zap.Logger, requestList func()) *owner {
+	o := &owner{limits: limits, log: log, ctx: ctx, start: time.Now(), requestList: requestList,
+		events: make(chan func(), limits.Events), ended: make(chan struct{})}
+	o.guardFunc = o.guard
+	o.Coordinator = attempt.New(&c.Settings, limits.Attempt, transport{o}, o.start)
 	return o
 }
 
-// post hands an event to the owner; it waits while the owner is behind, and gives up once that has ended.
+// post queues an event for the owner. It blocks while the queue is full, and returns false once the owner has ended.
 func (o *owner) post(f func()) bool {
 	select {
 	case o.events <- f:
 		return true
-	case <-o.gone:
+	case <-o.ended:
 		return false
 	}
 }
 
 func (o *owner) run(done <-chan struct{}) {
-	defer close(o.gone)
-	clock := time.NewTimer(0)
-	defer clock.Stop()
+	defer close(o.ended)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		var first func()
 		if wait := o.NextDelay(time.Since(o.start)); wait > 0 {
-			clock.Reset(wait)
+			timer.Reset(wait)
 			select {
 			case first = <-o.events:
-			case <-clock.C:
+			case <-timer.C:
 			case <-done:
 				return
 			}
 		}
-		if o.lim.Gather > 0 {
-			clock.Reset(max(0, o.Now()+o.lim.Gather-time.Since(o.start)))
+		if o.limits.Gather > 0 {
+			timer.Reset(max(0, o.Now()+o.limits.Gather-time.Since(o.start)))
 			select {
-			case <-clock.C:
+			case <-timer.C:
 			case <-done:
 				return
 			}
 		}
-		o.batch(first)
+		o.runBatch(first)
 	}
 }
 
-// batch handles what has come in under one reading of the clock, then sends what the module wants sent.
-func (o *owner) batch(first func()) {
-	o.BeginBatch(time.Since(o.start), o.step)
+// runBatch handles the queued events under one clock reading, then sends the messages that the policy decided on.
+func (o *owner) runBatch(first func()) {
+	o.BeginBatch(time.Since(o.start), o.guardFunc)
 	if first != nil {
 		o.guard(first)
 	}
-	for range o.lim.Batch {
+	for range o.limits.Batch {
 		select {
 		case f := <-o.events:
 			o.guard(f)
@@ -90,10 +90,10 @@
 		}
 		break
 	}
-	o.EndBatch(o.step)
+	o.EndBatch(o.guardFunc)
 }
 
-// guard keeps a panic from ending the process: every scan in hand is answered, and the module starts anew.
+// guard recovers from a panic in f: every scan in flight is answered, and the policy restarts with empty state.
 func (o *owner) guard(f func()) {
 	defer func() {
 		e := recover()
@@ -106,65 +106,66 @@
 	f()
 }
 
-// outside is the port of what is in hand: sockets and the log.
-type outside struct{ o *owner }
+// transport implements attempt.Transport with sockets and the log.
+type transport struct{ owner *owner }
 
-func (p outside) Open(addr string, l *attempt.Connection) attempt.TransportConn {
-	return link.Open(p.o.ctx, addr, p.o.lim.Link, lane{p.o, l})
+func (t transport) Open(addr string, conn *attempt.Connection) attempt.TransportConn {
+	return link.Open(t.owner.ctx, addr, t.owner.limits.Link, connEvents{t.owner, conn})
 }
 
-func (p outside) RequestList() {
-	if p.o.ask != nil {
-		p.o.ask()
+func (t transport) RequestList() {
+	if t.owner.requestList != nil {
+		t.owner.requestList()
 	}
 }
 
-func (p outside) PartsLost(searcher string, parts int, why error) {
-	p.o.log.Warn("connection lost", zap.String("searcher", searcher), zap.Int("parts", parts), zap.Error(why))
+func (t transport) PartsLost(searcher string, parts int, why error) {
+	t.owner.log.Warn("connection lost", zap.String("searcher", searcher), zap.Int("parts", parts), zap.Error(why))
 }
 
-func (p outside) PartsUnconfirmed(searcher string, parts int) {
-	p.o.log.Warn("no word of what was out", zap.String("searcher", searcher), zap.Int("parts", parts))
+func (t transport) PartsUnconfirmed(searcher string, parts int) {
+	t.owner.log.Warn("no word of what was out", zap.String("searcher", searcher), zap.Int("parts", parts))
 }
 
-func (p outside) ListApplied(l proto.List) {
-	p.o.log.Info("list", zap.Int64("version", l.Version), zap.Bool("whole", l.Whole), zap.Int("entries", len(l.Hosts)))
-	if p.o.targets != nil {
-		p.o.targets(p.o.Hosts())
+func (t transport) ListApplied(l proto.List) {
+	t.owner.log.Info("list", zap.Int64("version", l.Version), zap.Bool("whole", l.Whole), zap.Int("entries", len(l.Hosts)))
+	if t.owner.onHosts != nil {
+		t.owner.onHosts(t.owner.Hosts())
 	}
 }
 
-func (p outside) ListUnavailable() { p.o.log.Warn("discovery does not answer") }
+func (t transport) ListUnavailable() { t.owner.log.Warn("discovery does not answer") }
 
-// LogCounters writes one line however much ended: the log counts as memory.
-func (p outside) LogCounters(t attempt.Counters) {
-	ends := map[string]int{}
+// LogCounters writes one line for any number of ended scans, since the log counts towards the memory limit.
+func (t transport) LogCounters(counters attempt.Counters) {
+	outcomes := map[string]int{}
 	for i, name := range []string{"pass", "fault", "no room", "too slow", "no route", "cut", "undone", "stale"} {
-		if n := t.Parts[policy.Outcome(i)]; n > 0 {
-			ends[name] = n
+		if n := counters.Parts[policy.Outcome(i)]; n > 0 {
+			outcomes[name] = n
 		}
 	}
-	p.o.log.Info("tally", zap.Int("completed", t.Scans[attempt.Completed]), zap.Int("throttled", t.Scans[attempt.Throttled]),
-		zap.Int("abandoned", t.Scans[attempt.Abandoned]), zap.Int("left", t.ClientsLeft), zap.Int("full", t.Rejected),
-		zap.Int("unfit", t.Scans[attempt.Invalid]), zap.Int("doubt", t.Unconfirmed), zap.Int("open", t.Open),
-		zap.Int("connections", t.Connections), zap.Any("dispatches", ends))
+	t.owner.log.Info("tally", zap.Int("completed", counters.Scans[attempt.Completed]),
+		zap.Int("throttled", counters.Scans[attempt.Throttled]), zap.Int("abandoned", counters.Scans[attempt.Abandoned]),
+		zap.Int("left", counters.ClientsLeft),
+		zap.Int("full", counters.Rejected), zap.Int("unfit", counters.Scans[attempt.Invalid]), zap.Int("doubt", counters.Unconfirmed),
+		zap.Int("open", counters.Open), zap.Int("connections", counters.Connections), zap.Any("dispatches", outcomes))
 }
 
-// lane hands the owner what comes from a connection's goroutines.
-type lane struct {
-	o *owner
-	l *attempt.Connection
+// connEvents passes the events from a connection's goroutines to the owner.
+type connEvents struct {
+	owner *owner
+	conn  *attempt.Connection
 }
 
-func (l lane) Answered(_ *link.Conn, a proto.Answer, more bool) {
-	l.o.post(func() { l.o.Coordinator.AnswerReceived(l.l, a, more) })
+func (e connEvents) Answered(_ *link.Conn, a proto.Answer, more bool) {
+	e.owner.post(func() { e.owner.Coordinator.AnswerReceived(e.conn, a, more) })
 }
-func (l lane) Told(_ *link.Conn, seqs []uint64) {
-	l.o.post(func() { l.o.Coordinator.CancelsConfirmed(l.l, seqs) })
+func (e connEvents) Told(_ *link.Conn, seqs []uint64) {
+	e.owner.post(func() { e.owner.Coordinator.CancelsConfirmed(e.conn, seqs) })
 }
-func (l lane) Closing(_ *link.Conn, why error) {
-	l.o.post(func() { l.o.Coordinator.ConnectionClosing(l.l, why) })
+func (e connEvents) Closing(_ *link.Conn, why error) {
+	e.owner.post(func() { e.owner.Coordinator.ConnectionClosing(e.conn, why) })
 }
-func (l lane) Closed(_ *link.Conn, heard bool) {
-	l.o.post(func() { l.o.Coordinator.ConnectionClosed(l.l, heard) })
+func (e connEvents) Closed(_ *link.Conn, heard bool) {
+	e.owner.post(func() { e.owner.Coordinator.ConnectionClosed(e.conn, heard) })
 }
--- a/mixer/reload.go
+++ b/mixer/reload.go
@@ -7,14 +7,14 @@
 	"go.uber.org/zap"
 )
 
-// Follow reads the configuration again at each signal, until the context ends. One that cannot be used leaves the
-// old one in force. Signals that come during a reading may be one in the channel: what is read then is the latest.
-func (m *Mixer) Follow(ctx context.Context, again <-chan os.Signal, load func() (Config, error)) {
+// Follow reloads the configuration at each signal, until the context ends. If the new one is invalid, the old one stays
+// in force. Signals that arrive during a reload may be merged in the channel: the next reload reads the latest file.
+func (m *Mixer) Follow(ctx context.Context, signals <-chan os.Signal, load func() (Config, error)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-signals:
 		}
 		c, err := load()
 		if err != nil {
@@ -25,14 +25,14 @@
 	}
 }
 
-// Reload puts into force what can change while scans are in hand: where discovery is. What else differs from the
-// configuration of the start waits for the next one, and the log names it.
+// Reload applies what can change while scans are in flight: the address of discovery and the members' keys. Other
+// differences from the configuration at start are logged, and take effect at the next start.
 func (m *Mixer) Reload(c Config) {
 	if keys := m.cfg.Differs(c); len(keys) > 0 {
 		m.log.Warn("changed keys that take effect only at a start", zap.Strings("keys", keys))
 	}
 	m.watch.Move(c.Discovery)
-	if c := m.crowd.Load(); c != nil {
+	if c := m.peers.Load(); c != nil {
 		if g := c.joined(); g != nil {
 			if err := g.Rotate(); err != nil {
 				m.log.Error("keys not read again, the old ones stay in force", zap.Error(err))
