--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link keeps one connection to a searcher: frames go out in order, answers come back in any order. It
-// reports what happened and decides nothing.
+// Package link manages one connection to a searcher. Frames are sent in order, answers arrive in any order. The package
+// reports events and takes no decisions about them.
 package link
 
 import (
@@ -18,97 +18,99 @@
 	"peathollow/internal/proto"
 )
 
-// Limits are the sizes and times of a connection.
+// Limits contains the size limits and timeouts of a connection.
 type Limits struct {
-	Receipt time.Duration // for a searcher to say anything once it is asked for a receipt
-	Linger  time.Duration // for the searcher's end of a connection that this mixer has ended
-	Frame   int           // bytes of a frame from a searcher
-	Queue   int           // frames that wait to be written
-	Connect time.Duration // for a connection to come up
-	Write   time.Duration // for the searcher to take what is written
-	Rest    time.Duration // for a frame from a searcher that has begun
-	Word    int           // bytes of the answer to a probe
-	Keep    int           // bytes of a buffer that are kept for the next frame
+	Receipt time.Duration // for a searcher to send anything after it was asked for a receipt
+	Linger  time.Duration // for the searcher to close a connection that this mixer has closed
+	Frame   int           // largest frame from a searcher, in bytes
+	Queue   int           // frames waiting to be written
+	Connect time.Duration // for a connection to be established
+	Write   time.Duration // for one write to the searcher
+	Rest    time.Duration // for the rest of a frame from a searcher, once its first byte has arrived
+	Word    int           // largest answer to a probe, in bytes
+	Keep    int           // largest buffer kept for the next frame, in bytes
 }
 
-// Events are told from the connection's own goroutines: Answered and Told as they happen, then Closing once, when
-// nothing more is sent or believed, then Closed once, when the connection is gone.
+// Events receives the events of a connection, on the connection's own goroutines: Answered and Told as they happen, then
+// Closing once, after which nothing more is sent or accepted, then Closed once, after the connection has ended.
 type Events interface {
-	Answered(c *Conn, a proto.Answer, more bool) // more: there are bytes right behind
-	Told(c *Conn, seqs []uint64)                 // these frames, which give up a part each, ended together, see Cancel
-	Closing(c *Conn, why error)
-	Closed(c *Conn, heard bool) // heard: the searcher ended it too, or it never came up, so nothing on it is out there
+	Answered(c *Conn, a proto.Answer, more bool) // more: further bytes have already been received
+	Told(c *Conn, seqs []uint64)                 // the frames with these numbers, each a cancellation, took effect, see Cancel
+	Closing(c *Conn, reason error)
+	// peerClosed: the searcher closed the connection too, or it was never established, so that nothing on it is in flight.
+	Closed(c *Conn, peerClosed bool)
 }
 
-// frame is encoded only when it is written: till then parts may be taken out of it, and time passes.
+// frame is encoded only when it is written, because until then parts can be withdrawn and remaining times shrink.
 type frame struct {
-	seq   uint64
-	calls []proto.Call
-	stop  string // the id of a part that is given up, in place of calls
-	proof bool   // and the searcher is to say that it has read so
-	probe *Probe // in place of both
-	end   int    // where it ends among the bytes being written
+	seq      uint64
+	calls    []proto.Call
+	cancelID string // the ID of a cancelled part, instead of calls
+	confirm  bool   // the searcher must confirm that it has read the cancellation
+	probe    *Probe // instead of calls and a cancellation
+	end      int    // offset of its end in the bytes being written
 }
 
-// Conn is one connection, perhaps still coming up.
+// Conn is one connection to a searcher, which may still be connecting.
 type Conn struct {
-	addr  string
-	lim   Limits
-	ev    Events
-	all   context.Context
-	stop  context.CancelCauseFunc
-	wake  chan struct{}
-	heard atomic.Uint64 // frames read
+	addr       string
+	limits     Limits
+	events     Events
+	parent     context.Context
+	cancel     context.CancelCauseFunc
+	wake       chan struct{}
+	framesRead atomic.Uint64
 
-	mu      sync.Mutex
-	queue   []frame
-	asked   []ask  // not answered yet, oldest first
-	last    uint64 // the last frame taken in
-	begun   uint64 // the last frame taken up to be written
-	written uint64 // the last frame whose last byte was written
-	shut    bool
+	mu            sync.Mutex
+	queue         []frame
+	pendingProbes []sentProbe // not answered yet, oldest first
+	lastSeq       uint64      // number of the last queued frame
+	startedSeq    uint64      // number of the last frame whose write has started
+	writtenSeq    uint64      // number of the last frame that was written completely
+	closing       bool
 }
 
 var (
-	errShut  = errors.New("closed by this mixer")
-	errFrame = errors.New("searcher could not use a frame")
-	errProbe = errors.New("answer to a probe never sent")
+	errClosed           = errors.New("closed by this mixer")
+	errFrameRejected    = errors.New("searcher could not use a frame")
+	errUnexpectedAnswer = errors.New("answer to a probe that was not sent")
 )
 
-// Open starts a connection; what is sent before it is up waits.
-func Open(ctx context.Context, addr string, lim Limits, ev Events) *Conn {
-	c := &Conn{addr: addr, lim: lim, ev: ev, all: ctx, wake: make(chan struct{}, 1)}
-	ctx, c.stop = context.WithCancelCause(ctx)
+// Open starts a connection. Frames sent before it is established wait in the queue.
+func Open(ctx context.Context, addr string, limits Limits, events Events) *Conn {
+	c := &Conn{addr: addr, limits: limits, events: events, parent: ctx, wake: make(chan struct{}, 1)}
+	ctx, c.cancel = context.WithCancelCause(ctx)
 	go c.run(ctx)
 	return c
 }
 
-// Send queues one call and gives its frame's number; false if the connection takes no more.
-func (c *Conn) Send(calls []proto.Call) (uint64, bool) { return c.put(frame{calls: calls}) }
+// Send queues the calls as one frame and returns its number, or false if the connection accepts no more frames.
+func (c *Conn) Send(calls []proto.Call) (uint64, bool) { return c.enqueue(frame{calls: calls}) }
 
-// Cancel queues word that a part is given up. Told follows once that is written or, with proof, once the searcher
-// has said that it has read it. A connection that says nothing at all when asked ends.
-func (c *Conn) Cancel(id string, proof bool) (uint64, bool) {
-	return c.put(frame{stop: id, proof: proof})
+// Cancel queues the cancellation of a part. Told follows once the cancellation is written or, with confirm, once the
+// searcher has confirmed that it has read it. If the searcher sends nothing at all when asked, the connection ends.
+func (c *Conn) Cancel(id string, confirm bool) (uint64, bool) {
+	return c.enqueue(frame{cancelID: id, confirm: confirm})
 }
 
-func (c *Conn) put(f frame) (uint64, bool) {
+func (c *Conn) enqueue(f frame) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut || len(c.queue) >= c.lim.Queue {
+	if c.closing || len(c.queue) >= c.limits.Queue {
 		return 0, false
 	}
-	c.last++
-	f.seq = c.last
+	c.lastSeq++
+	f.seq = c.lastSeq
 	c.queue = append(c.queue, f)
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
-	return c.last, true
+	return c.lastSeq, true
 }
 
-// Withdraw takes a part back out of a frame that has not begun to be written: it never ran, and never will.
+// Withdraw removes a part from a frame whose write has not started, so that the part never runs. It returns false if the
+// frame is no longer queued.
 func (c *Conn) Withdraw(seq uint64, id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +119,7 @@
 		if f.seq != seq {
 			continue
 		}
-		f.calls = slices.DeleteFunc(f.calls, func(k proto.Call) bool { return k.ID == id })
+		f.calls = slices.DeleteFunc(f.calls, func(call proto.Call) bool { return call.ID == id })
 		if len(f.calls) == 0 {
 			c.queue = slices.Delete(c.queue, i, i+1)
 		}
@@ -126,100 +128,100 @@
 	return false
 }
 
-// Written tells whether a frame's last byte was written, so that it may have run.
+// Written reports whether a frame was written completely, so that its calls may have run.
 func (c *Conn) Written(seq uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return seq <= c.written
+	return seq <= c.writtenSeq
 }
 
-// WriteStarted tells whether a frame was taken up to be written. Its answer may be read before the write has returned, and so
-// before Written tells of it.
+// WriteStarted reports whether the write of a frame has started. Its answer may be read before the write has returned,
+// and so before Written reports it.
 func (c *Conn) WriteStarted(seq uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return seq <= c.begun
+	return seq <= c.startedSeq
 }
 
 // Close ends the connection; Closing and Closed follow.
-func (c *Conn) Close() { c.Fail(errShut) }
+func (c *Conn) Close() { c.Fail(errClosed) }
 
-// Fail ends it for a reason.
-func (c *Conn) Fail(why error) {
+// Fail ends the connection for a reason, which Closing passes on.
+func (c *Conn) Fail(reason error) {
 	c.mu.Lock()
-	c.shut = true
+	c.closing = true
 	c.mu.Unlock()
-	c.stop(why)
+	c.cancel(reason)
 }
 
-// Closing tells that it takes nothing more.
+// Closing reports whether the connection has begun to end and accepts no more frames.
 func (c *Conn) Closing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.shut
+	return c.closing
 }
 
 func (c *Conn) run(ctx context.Context) {
-	d := net.Dialer{Timeout: c.lim.Connect, KeepAlive: -1}
+	d := net.Dialer{Timeout: c.limits.Connect, KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", c.addr)
 	if err != nil {
 		c.end(ctx, fmt.Errorf("connect: %w", err))
-		c.ev.Closed(c, true)
+		c.events.Closed(c, true)
 		return
 	}
 	defer nc.Close()
-	// A deadline is what ends a blocked read or write.
-	cut := make(chan struct{})
-	context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)); close(cut) })
-	peer := make(chan bool, 1)
+	// A deadline in the past ends a blocked read or write.
+	deadlineSet := make(chan struct{})
+	context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)); close(deadlineSet) })
+	peerClosed := make(chan bool, 1)
 	go func() {
 		err := guard(func() error { return c.read(nc) })
 		c.Fail(err)
-		peer <- ended(err)
+		peerClosed <- closedByPeer(err)
 	}()
 	c.end(ctx, guard(func() error { return c.write(ctx, nc) }))
-	<-cut
-	c.ev.Closed(c, <-peer || c.linger(nc))
+	<-deadlineSet
+	c.events.Closed(c, <-peerClosed || c.linger(nc))
 }
 
-// end stops both directions. What the searcher said before still counts, and comes before Closing.
+// end stops both directions. What the searcher sent before still counts, and is reported before Closing.
 func (c *Conn) end(ctx context.Context, err error) {
 	c.Fail(err)
 	c.mu.Lock()
-	asked, queue := c.asked, c.queue
-	c.asked, c.queue = nil, nil
+	pendingProbes, queue := c.pendingProbes, c.queue
+	c.pendingProbes, c.queue = nil, nil
 	c.mu.Unlock()
-	for i := range asked {
-		asked[i].clock.Stop()
-		asked[i].tell(Probed{Sent: true})
+	for i := range pendingProbes {
+		pendingProbes[i].timer.Stop()
+		pendingProbes[i].report(Probed{Sent: true})
 	}
 	for _, f := range queue {
 		if f.probe != nil {
 			f.probe.Done(Probed{})
 		}
 	}
-	c.ev.Closing(c, context.Cause(ctx))
+	c.events.Closing(c, context.Cause(ctx))
 }
 
-// ended tells that a read failed since the searcher has ended the connection, and not since this mixer has.
-func ended(err error) bool {
+// closedByPeer reports whether a read failed because the searcher, and not this mixer, closed the connection.
+func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// linger ends this side and waits for the searcher's end. Closing alone says nothing of when the searcher hears of
-// it: it may yet read what was written here, after what went out elsewhere. Where all is ended at once, nothing
-// goes out any more and nobody waits.
+// linger closes the write side, waits for the searcher to close its side, and reports whether it did. Closing alone does
+// not show when the searcher notices it: it may still read what was written here after a retry was sent elsewhere. If
+// the whole mixer stops, nothing more is sent and there is no wait.
 func (c *Conn) linger(nc net.Conn) bool {
 	tc, ok := nc.(*net.TCPConn)
-	if !ok || tc.CloseWrite() != nil || nc.SetReadDeadline(time.Now().Add(c.lim.Linger)) != nil {
+	if !ok || tc.CloseWrite() != nil || nc.SetReadDeadline(time.Now().Add(c.limits.Linger)) != nil {
 		return false
 	}
-	defer context.AfterFunc(c.all, func() { nc.Close() })()
+	defer context.AfterFunc(c.parent, func() { nc.Close() })()
 	_, err := io.Copy(io.Discard, nc)
-	return err == nil || ended(err)
+	return err == nil || closedByPeer(err)
 }
 
-// guard makes a panic the end of this connection alone.
+// guard turns a panic into an error, so that it ends this connection only.
 func guard(f func() error) (err error) {
 	defer func() {
 		if e := recover(); e != nil {
@@ -235,11 +237,11 @@
 	for {
 		c.mu.Lock()
 		batch = batch[:0]
-		if !c.shut { // else its deadline may not be set yet, and what waits would still leave
+		if !c.closing { // else its deadline may not be set yet, and queued frames would still be written
 			batch, c.queue = append(batch, c.queue...), c.queue[:0]
 		}
 		if n := len(batch); n > 0 {
-			c.begun = batch[n-1].seq
+			c.startedSeq = batch[n-1].seq
 		}
 		c.mu.Unlock()
 		if len(batch) == 0 {
@@ -252,44 +254,44 @@
 		}
 		buf = buf[:0]
 		now := time.Now()
-		var proof []uint64
+		var toConfirm []uint64
 		for i := range batch {
 			f := &batch[i]
 			switch {
 			case f.probe != nil:
-				buf = c.probe(buf, f.probe)
-			case f.stop == "":
+				buf = c.appendProbe(buf, f.probe)
+			case f.cancelID == "":
 				buf = proto.AppendCalls(buf, now, f.calls...)
 			default:
-				if buf = proto.AppendGiveUp(buf, f.stop); f.proof {
-					proof = append(proof, f.seq)
+				if buf = proto.AppendGiveUp(buf, f.cancelID); f.confirm {
+					toConfirm = append(toConfirm, f.seq)
 				}
 			}
 			f.end = len(buf)
 		}
-		if len(proof) > 0 {
+		if len(toConfirm) > 0 {
 			buf = proto.AppendProbe(buf, proto.LetterProbe)
-			// Before it is written: the answer may be read at once.
-			c.expect(ask{letter: proto.LetterProbe, seqs: proof}, 0)
+			// This precedes the write because the answer may be read at once.
+			c.expect(sentProbe{letter: proto.LetterProbe, seqs: toConfirm}, 0)
 		}
-		if err := nc.SetWriteDeadline(now.Add(c.lim.Write)); err != nil {
+		if err := nc.SetWriteDeadline(now.Add(c.limits.Write)); err != nil {
 			return err
 		}
 		n, err := nc.Write(buf)
-		var told []uint64
+		var confirmed []uint64
 		for i := range batch {
 			if n < batch[i].end {
 				break
 			}
 			c.mu.Lock()
-			c.written = batch[i].seq
+			c.writtenSeq = batch[i].seq
 			c.mu.Unlock()
-			if batch[i].stop != "" && !batch[i].proof {
-				told = append(told, batch[i].seq)
+			if batch[i].cancelID != "" && !batch[i].confirm {
+				confirmed = append(confirmed, batch[i].seq)
 			}
 		}
-		if len(told) > 0 {
-			c.ev.Told(c, told)
+		if len(confirmed) > 0 {
+			c.events.Told(c, confirmed)
 		}
 		if err != nil {
 			return fmt.Errorf("write: %w", err)
@@ -304,56 +306,56 @@
 		if _, err := r.Peek(1); err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		// Noise that reads as a length would swallow all answers to come and look like a silent searcher: a frame
-		// that has begun ends soon. Most come whole, and need no clock.
-		part := !proto.HoldsFrame(r)
-		if part {
-			if err := c.until(nc, time.Now().Add(c.lim.Rest)); err != nil {
+		// Garbage that reads as a length would swallow all later answers, and the searcher would look unresponsive.
+		// So a frame that has begun must end soon. Most frames arrive whole and need no deadline.
+		partial := !proto.HoldsFrame(r)
+		if partial {
+			if err := c.setReadDeadline(nc, time.Now().Add(c.limits.Rest)); err != nil {
 				return err
 			}
 		}
 		var letter byte
 		var err error
-		if letter, rest, buf, err = proto.ReadFrame(r, buf, c.lim.Frame); err != nil {
+		if letter, rest, buf, err = proto.ReadFrame(r, buf, c.limits.Frame); err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		if part {
-			if err := c.until(nc, time.Time{}); err != nil {
+		if partial {
+			if err := c.setReadDeadline(nc, time.Time{}); err != nil {
 				return err
 			}
 		}
-		c.heard.Add(1)
+		c.framesRead.Add(1)
 		switch letter {
 		case proto.LetterAnswer:
 			a, err := proto.ReadAnswer(rest)
 			if err != nil {
 				return err
 			}
-			c.ev.Answered(c, a, r.Buffered() > 0)
+			c.events.Answered(c, a, r.Buffered() > 0)
 		case proto.LetterEnd:
-			return fmt.Errorf("%w: %.100q", errFrame, rest)
+			return fmt.Errorf("%w: %.100q", errFrameRejected, rest)
 		case proto.LetterProbe, proto.LetterLoad:
-			if len(rest) > c.lim.Word {
-				return fmt.Errorf("answer of %d bytes to a probe", len(rest))
+			if len(rest) > c.limits.Word {
+				return fmt.Errorf("probe answer of %d bytes is too long", len(rest))
 			}
-			if !c.receipt(letter, string(rest)) {
-				return errProbe
+			if !c.answered(letter, string(rest)) {
+				return errUnexpectedAnswer
 			}
 		default:
 			return fmt.Errorf("frame with letter %q", letter)
 		}
-		if cap(buf) > c.lim.Keep {
+		if cap(buf) > c.limits.Keep {
 			buf = nil
 		}
 	}
 }
 
-// until sets when a read ends, unless the connection ends: that is not to be undone.
-func (c *Conn) until(nc net.Conn, at time.Time) error {
+// setReadDeadline sets the deadline of reads, unless the connection is ending, whose deadline must not be reset.
+func (c *Conn) setReadDeadline(nc net.Conn, at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut {
-		return errShut
+	if c.closing {
+		return errClosed
 	}
 	return nc.SetReadDeadline(at)
 }
