--- a/internal/fleettest/doc.go
+++ b/internal/fleettest/doc.go
@@ -1,5 +1,6 @@
-// Package fleettest starts several processes of the program on loopback, with stand-in searchers and discovery, and does
-// to them what happens to processes: killed, stopped and continued, told to end, restarted, and cut off from each other.
-// A cut is made with keys: two sides that seal with keys of their own hear nothing of each other, as if no packet passed,
-// and no proxy has to stand between each pair. It is proving code, bounded in time; what it started it ends, by id.
+// Package fleettest starts several processes of the program on loopback, with stand-in searchers and discovery, and
+// exposes them to faults: they can be killed, stopped and continued, terminated, restarted and partitioned. A partition is
+// made with keys: groups that seal their messages with different keys receive nothing from each other, as if every packet
+// were lost, without a proxy between each pair. The package is test code. All its waits are bounded, and it ends the
+// processes it started, by their process IDs.
 package fleettest
--- a/internal/fleettest/harness.go
+++ b/internal/fleettest/harness.go
@@ -20,29 +20,29 @@
 	"peathollow/internal/standin"
 )
 
-// Options are what is to be started.
+// Options describes the processes to start.
 type Options struct {
 	Mixers  int
-	Program []string // and its first arguments; the settings file is named behind them
-	Env     []string
+	Program []string // the command and its first arguments; the path of the settings file is appended
+	Env     []string // additional environment variables
 	Fleet   *standin.Fleet
-	Edit    func(settings map[string]any)
-	Ini     string // sections beside [members], which the harness writes
-	Dir     string // for files
+	Edit    func(settings map[string]any) // changes the settings in the configuration; may be nil
+	Ini     string                        // sections of the settings file besides [members], which the harness writes
+	Dir     string                        // directory for the files of the processes
 }
 
-// Harness is the processes of one run.
+// Harness manages the processes of one run.
 type Harness struct {
-	opt   Options
-	binds []string
-	Procs []*Process
+	options Options
+	binds   []string
+	Procs   []*Process
 }
 
-// Process is one mixer's place; the process in it may change.
+// Process is one mixer. Its operating system process is replaced at each restart.
 type Process struct {
 	h     *Harness
 	Name  string
-	Addr  string // where clients connect
+	Addr  string // address for clients
 	ini   string
 	conf  string
 	keys  string
@@ -50,28 +50,28 @@
 	ended chan error
 
 	mu    sync.Mutex
-	lines []map[string]any // of its log
+	lines []map[string]any // parsed lines of its log
 }
 
-// free finds addresses on loopback that nobody listens at.
-func free(n int) ([]string, error) {
+// freeAddrs finds addresses on loopback with unused ports.
+func freeAddrs(n int) ([]string, error) {
 	var addrs []string
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("fleettest: %w", err)
 		}
-		defer ln.Close() // all are held till the last is found, lest one be found twice
+		defer ln.Close() // held until all are found, so that none is found twice
 		addrs = append(addrs, ln.Addr().String())
 	}
 	return addrs, nil
 }
 
-// Start starts all of them and waits till they take scans; End is to be called whether it fails or not. An address found
-// free may be somebody else's by the time it is listened at: then all are started anew.
-func Start(opt Options) (h *Harness, err error) {
+// Start starts all processes and waits until they accept scans. End must be called even if it fails. Another program may
+// take an address between the search for a free one and its use: then a process exits, and all are started again.
+func Start(options Options) (h *Harness, err error) {
 	for range 3 {
-		if h, err = start(opt); err == nil || !errors.Is(err, errEnded) {
+		if h, err = start(options); err == nil || !errors.Is(err, errEnded) {
 			return h, err
 		}
 		h.End()
@@ -79,23 +79,25 @@
 	return h, err
 }
 
-var errEnded = errors.New("a process ended by itself")
+var errEnded = errors.New("process ended unexpectedly")
 
-func start(opt Options) (*Harness, error) {
-	h := &Harness{opt: opt}
-	addrs, err := free(2 * opt.Mixers)
+func start(options Options) (*Harness, error) {
+	h := &Harness{options: options}
+	addrs, err := freeAddrs(2 * options.Mixers)
 	if err != nil {
 		return h, err
 	}
-	h.binds = addrs[opt.Mixers:]
-	for i := range opt.Mixers {
+	h.binds = addrs[options.Mixers:]
+	for i := range options.Mixers {
 		p := &Process{h: h, Name: fmt.Sprint("m", i), Addr: addrs[i]}
-		at := func(ending string) string { return filepath.Join(opt.Dir, p.Name+ending) }
-		p.ini, p.conf, p.keys = at(".ini"), at(".json"), at(".keys")
-		text := bytes.Replace(opt.Fleet.Config(opt.Edit), []byte(`"name": "n0"`), []byte(`"name": "`+p.Name+`"`), 1)
+		path := func(ending string) string { return filepath.Join(options.Dir, p.Name+ending) }
+		p.ini, p.conf, p.keys = path(".ini"), path(".json"), path(".keys")
+		text := bytes.Replace(options.Fleet.Config(options.Edit), []byte(`"name": "n0"`), []byte(`"name": "`+p.Name+`"`), 1)
 		text = bytes.Replace(text, []byte(`"listen": "127.0.0.1:0"`), []byte(`"listen": "`+p.Addr+`"`), 1)
-		ini := fmt.Sprintf("[members]\nbind = %s\nseeds = %s\nkeys = %s\n%s\n", h.binds[i], strings.Join(h.binds, ","), p.keys, opt.Ini)
-		if err := errors.Join(os.WriteFile(p.conf, text, 0o600), os.WriteFile(p.ini, []byte(ini), 0o600), p.seal(common)); err != nil {
+		ini := fmt.Sprintf("[members]\nbind = %s\nseeds = %s\nkeys = %s\n%s\n", h.binds[i],
+			strings.Join(h.binds, ","), p.keys, options.Ini)
+		if err := errors.Join(os.WriteFile(p.conf, text, 0o600), os.WriteFile(p.ini, []byte(ini), 0o600),
+			p.writeKeys(commonKey)); err != nil {
 			return h, fmt.Errorf("fleettest: %w", err)
 		}
 		h.Procs = append(h.Procs, p)
@@ -126,10 +128,10 @@
 	return h, nil
 }
 
-// common is the key that all have; a side's own is another.
-const common = 0
+// commonKey is the key of all processes without a partition. Each side of a partition has a key of its own.
+const commonKey = 0
 
-func (p *Process) seal(keys ...byte) error {
+func (p *Process) writeKeys(keys ...byte) error {
 	var b strings.Builder
 	for _, k := range keys {
 		b.WriteString(base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{k}, 32)) + "\n")
@@ -137,11 +139,11 @@
 	return os.WriteFile(p.keys, []byte(b.String()), 0o600)
 }
 
-// Start starts a process in its place.
+// Start starts the process, or a new one after the previous one has ended.
 func (p *Process) Start() error {
-	args := append(p.h.opt.Program[1:len(p.h.opt.Program):len(p.h.opt.Program)], p.ini)
-	p.cmd = exec.Command(p.h.opt.Program[0], args...)
-	p.cmd.Env = append(append(os.Environ(), p.h.opt.Env...), "ROUTER_CONFIG="+p.conf)
+	args := append(p.h.options.Program[1:len(p.h.options.Program):len(p.h.options.Program)], p.ini)
+	p.cmd = exec.Command(p.h.options.Program[0], args...)
+	p.cmd.Env = append(append(os.Environ(), p.h.options.Env...), "ROUTER_CONFIG="+p.conf)
 	log, err := p.cmd.StderrPipe()
 	if err != nil {
 		return fmt.Errorf("fleettest: %w", err)
@@ -168,21 +170,21 @@
 // Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Kill ends it outright.
+// Kill ends the process with SIGKILL and waits for its end.
 func (p *Process) Kill() error {
 	err := p.Signal(syscall.SIGKILL)
-	p.Wait() // the signal's own doing
+	p.Wait() // the error only states that the process was killed
 	return err
 }
 
-// Wait waits for its end, after a signal that asks for it.
+// Wait waits for the process to end, and returns its exit error.
 func (p *Process) Wait() error {
 	err := <-p.ended
 	p.ended <- nil
 	return err
 }
 
-// Last is the newest value that its log gives a field, in lines with a message.
+// Last returns the value of a field in the newest log line that has the message and the field.
 func (p *Process) Last(msg, field string) (any, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,7 +196,7 @@
 	return nil, false
 }
 
-// Count is how many lines of its log have a message, and a field with a value.
+// Count returns the number of log lines with a message and, unless field is empty, with a value of that field.
 func (p *Process) Count(msg, field string, value any) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,7 +208,7 @@
 	return n
 }
 
-// Ready tells whether it takes scans.
+// Ready reports whether the process accepts scans.
 func (p *Process) Ready() bool {
 	res, err := http.Get("http://" + p.Addr + "/ready")
 	if err != nil {
@@ -216,7 +218,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Cut has the mixers of different sides hear nothing of each other any more; no sides at all heal it.
+// Cut partitions the mixers: those of different sides receive nothing from each other. Without sides it heals a partition.
 func (h *Harness) Cut(sides ...[]*Process) error {
 	if len(sides) == 0 {
 		sides = [][]*Process{h.Procs}
@@ -224,10 +226,10 @@
 	for i, side := range sides {
 		key := byte(i + 1)
 		if len(sides) == 1 {
-			key = common
+			key = commonKey
 		}
 		for _, p := range side {
-			if err := errors.Join(p.seal(key), p.Signal(syscall.SIGHUP)); err != nil {
+			if err := errors.Join(p.writeKeys(key), p.Signal(syscall.SIGHUP)); err != nil {
 				return fmt.Errorf("fleettest: %s: %w", p.Name, err)
 			}
 		}
@@ -235,17 +237,17 @@
 	return nil
 }
 
-// Until waits till something is so, and tells what of if it never is.
-func Until(most time.Duration, what string, so func() bool) error {
-	for over := time.Now().Add(most); !so(); time.Sleep(10 * time.Millisecond) { // polls, decides nothing
-		if time.Now().After(over) {
-			return fmt.Errorf("not in %v: %s", most, what)
+// Until waits until a condition holds, and returns an error with its description if it does not hold in time.
+func Until(timeout time.Duration, description string, condition func() bool) error {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(10 * time.Millisecond) { // polling interval only
+		if time.Now().After(deadline) {
+			return fmt.Errorf("condition not met within %v: %s", timeout, description)
 		}
 	}
 	return nil
 }
 
-// End ends all that runs, and tells of any process that is left.
+// End kills all processes, and returns the number of those that are still there afterwards.
 func (h *Harness) End() (left int) {
 	for _, p := range h.Procs {
 		if p.cmd == nil || p.cmd.Process == nil {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Host is an entry of the list, in discovery's own form.
+// Host is one entry of the searcher list, in the JSON form of the discovery service.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -25,30 +25,30 @@
 	Born   int64   `json:"born_ms"`
 }
 
-// Discovery is a toy discovery service.
+// Discovery is a stand-in for the discovery service.
 type Discovery struct {
 	ln  net.Listener
 	srv *http.Server
 
-	waiting atomic.Int32 // watches that wait for news
+	waiting atomic.Int32 // watches that wait for updates
 
-	mu     sync.Mutex
-	seq    int
-	hosts  []Host
-	at     []int         // the version that last changed each of them
-	moved  chan struct{} // closed at a change
-	silent chan struct{} // not nil while it says nothing; closed when it speaks again
-	strand chan struct{} // closed when the calls in hand fall silent
-	junk   string
+	mu        sync.Mutex
+	seq       int
+	hosts     []Host
+	changedAt []int         // the version that last changed each host
+	changed   chan struct{} // closed at each change and replaced
+	silent    chan struct{} // not nil while no call is answered; closed when answering resumes
+	stranded  chan struct{} // closed when the calls in flight are to stay unanswered
+	garbage   string
 }
 
-// NewDiscovery listens at an address and tells of these searchers.
+// NewDiscovery starts a discovery service at an address with a list of searchers.
 func NewDiscovery(addr string, hosts []Host) (*Discovery, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in discovery: %w", err)
 	}
-	d := &Discovery{ln: ln, moved: make(chan struct{}), strand: make(chan struct{})}
+	d := &Discovery{ln: ln, changed: make(chan struct{}), stranded: make(chan struct{})}
 	for _, h := range hosts {
 		d.Tell(h)
 	}
@@ -57,27 +57,27 @@
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the service listens.
 func (d *Discovery) Addr() string { return d.ln.Addr().String() }
 
-// Close ends it.
+// Close stops the service.
 func (d *Discovery) Close() { d.srv.Close() }
 
-// Tell changes or adds one entry.
+// Tell adds or replaces one entry of the list.
 func (d *Discovery) Tell(h Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seq++
 	if i := slices.IndexFunc(d.hosts, func(x Host) bool { return x.Host == h.Host }); i >= 0 {
-		d.hosts[i], d.at[i] = h, d.seq
+		d.hosts[i], d.changedAt[i] = h, d.seq
 	} else {
-		d.hosts, d.at = append(d.hosts, h), append(d.at, d.seq)
+		d.hosts, d.changedAt = append(d.hosts, h), append(d.changedAt, d.seq)
 	}
-	close(d.moved)
-	d.moved = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Silence makes it take calls and answer none, till it is told otherwise.
+// Silence sets whether the service accepts calls without answering them.
 func (d *Discovery) Silence(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,27 +90,28 @@
 	}
 }
 
-// Strand has the calls that wait fall silent for good; later ones are answered.
+// Strand leaves the watches that wait now unanswered for good. Later calls are answered.
 func (d *Discovery) Strand() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.strand)
-	d.strand = make(chan struct{})
+	close(d.stranded)
+	d.stranded = make(chan struct{})
 }
 
-// Garble makes it answer each call with this text, till it is empty.
+// Garble makes the service answer each call with this text. An empty text restores normal answers.
 func (d *Discovery) Garble(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.junk = text
+	d.garbage = text
 }
 
+// ServeHTTP answers a request for the whole list, or a watch for the changes after a version.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
 	whole := err != nil
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	d.mu.Lock()
-	moved, silent, strand := d.moved, d.silent, d.strand
+	changed, silent, stranded := d.changed, d.silent, d.stranded
 	current := d.seq > after
 	d.mu.Unlock()
 	if silent != nil {
@@ -121,18 +122,18 @@
 		}
 	}
 	if !whole && !current {
-		t := time.NewTimer(time.Duration(wait) * time.Millisecond)
-		defer t.Stop()
+		timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+		defer timeout.Stop()
 		d.waiting.Add(1)
 		select {
-		case <-strand:
-		case <-moved:
-		case <-t.C:
+		case <-stranded:
+		case <-changed:
+		case <-timeout.C:
 		case <-r.Context().Done():
 		}
 		d.waiting.Add(-1)
 		select {
-		case <-strand:
+		case <-stranded:
 			<-r.Context().Done()
 			return
 		default:
@@ -140,20 +141,20 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.junk != "" {
-		fmt.Fprint(w, d.junk)
+	if d.garbage != "" {
+		fmt.Fprint(w, d.garbage)
 		return
 	}
 	hosts := []Host{}
 	for i, h := range d.hosts {
-		if whole && h.Health != "removed" || !whole && d.at[i] > after {
+		if whole && h.Health != "removed" || !whole && d.changedAt[i] > after {
 			hosts = append(hosts, h)
 		}
 	}
 	json.NewEncoder(w).Encode(map[string]any{"seq": d.seq, "whole": whole, "hosts": hosts})
 }
 
-// Awaited returns once a watch waits for news.
+// Awaited returns once a watch waits for updates.
 func (d *Discovery) Awaited() {
 	for d.waiting.Load() == 0 {
 		runtime.Gosched()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -7,20 +7,21 @@
 	"peathollow/internal/proto"
 )
 
-// Fleet is a discovery service and the searchers it tells of, on loopback.
+// Fleet is a stand-in discovery service and the searchers in its list, on loopback.
 type Fleet struct {
 	Discovery *Discovery
 	Searchers []*Searcher
 }
 
-// NewFleet starts n searchers, each in a cell of its own. reply and gaveUp are told which one they act for.
-func NewFleet(n int, reply func(srv int, c proto.Call) Reply, gaveUp func(srv int, id string)) (*Fleet, error) {
+// NewFleet starts n searchers, each in a place of its own. reply and cancelled receive the index of the searcher they are
+// called for.
+func NewFleet(n int, reply func(searcher int, c proto.Call) Reply, cancelled func(searcher int, id string)) (*Fleet, error) {
 	f := &Fleet{}
 	var hosts []Host
 	for i := range n {
 		s, err := NewSearcher("127.0.0.1:0", func(c proto.Call) Reply { return reply(i, c) }, func(id string) {
-			if gaveUp != nil {
-				gaveUp(i, id)
+			if cancelled != nil {
+				cancelled(i, id)
 			}
 		})
 		if err != nil {
@@ -38,20 +39,20 @@
 	return f, nil
 }
 
-// Book has all dispatches counted in one ledger.
+// Book makes all searchers record their dispatches in one ledger.
 func (f *Fleet) Book(l *Ledger) {
 	for _, s := range f.Searchers {
 		s.Book(l)
 	}
 }
 
-// Host is the list's entry of one searcher.
+// Host returns the list entry of one searcher with the given health.
 func (f *Fleet) Host(i int, health string) Host {
 	return Host{Host: fmt.Sprintf("toy-%d", i), Dial: f.Searchers[i].Addr(), Site: "here", Class: "toy", Block: i,
 		Health: health, Share: 1}
 }
 
-// Close ends all of it.
+// Close stops all searchers and discovery.
 func (f *Fleet) Close() {
 	for _, s := range f.Searchers {
 		s.Close()
@@ -61,8 +62,9 @@
 	}
 }
 
-// Config is what a mixer of this fleet is told. A shard is held by two searchers; the table types are wide (an
-// answer from part of it, a second step), narrow, keyed and once (non-replayable).
+// Config returns the configuration file of a mixer for this fleet; edit may change its settings. Each shard is served by
+// two searchers. The table types are wide (partial answers allowed, with a second step), narrow, keyed (idempotent by
+// key) and once (not idempotent).
 func (f *Fleet) Config(edit func(settings map[string]any)) []byte {
 	kind := func(name, semantics string, target, timeout float64) map[string]any {
 		return map[string]any{"name": name, "semantics": semantics, "objective": target, "deadline": timeout,
@@ -85,7 +87,7 @@
 		"discovery": f.Discovery.Addr(), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"settings": settings}, "", " ")
 	if err != nil {
-		panic(err) // figures and names always encode
+		panic(err) // numbers and strings can always be encoded
 	}
 	return b
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -5,40 +5,40 @@
 	"sync"
 )
 
-// Ledger knows, over all searchers of a fleet, which parts are out, as the protocol counts them: a dispatch is out
-// from the moment its frame was read until its answer leaves, a frame that gives it up is read, or the end of its
-// connection is. Each searcher books an end before its peer can see it, so that a second copy that the ledger tells
-// of was one in any order of events.
+// Ledger records the parts in flight at all searchers of a fleet, by the rules of the protocol: a dispatch is in flight
+// from the moment its frame was read until its answer is sent, or its cancellation or the end of its connection is read.
+// Each searcher records an end before its peer can see it. So any overlap of two attempts that the ledger reports is real,
+// whatever the order of events.
 type Ledger struct {
-	mu     sync.Mutex
-	out    map[string]map[any]int // by part and connection
-	copies []string
-	most   int
+	mu          sync.Mutex
+	inFlight    map[string]map[any]int // number of dispatches, by part and connection
+	copies      []string
+	maxInFlight int
 }
 
-// NewLedger makes an empty one.
-func NewLedger() *Ledger { return &Ledger{out: map[string]map[any]int{}} }
+// NewLedger returns an empty ledger.
+func NewLedger() *Ledger { return &Ledger{inFlight: map[string]map[any]int{}} }
 
-// Begin books a dispatch that was read whole on a connection.
+// Begin records a dispatch whose frame was read completely on a connection.
 func (l *Ledger) Begin(id string, conn any, where string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	on := l.out[id]
-	if on == nil {
-		on = map[any]int{}
-		l.out[id] = on
+	byConn := l.inFlight[id]
+	if byConn == nil {
+		byConn = map[any]int{}
+		l.inFlight[id] = byConn
 	}
-	on[conn]++
+	byConn[conn]++
 	n := 0
-	for _, k := range on {
+	for _, k := range byConn {
 		n += k
 	}
-	if l.most = max(l.most, n); n > 1 {
-		l.copies = append(l.copies, fmt.Sprintf("%s at %s: %d out", id, where, n))
+	if l.maxInFlight = max(l.maxInFlight, n); n > 1 {
+		l.copies = append(l.copies, fmt.Sprintf("%s at %s: %d in flight", id, where, n))
 	}
 }
 
-// End books that nothing of a part is out on a connection any more.
+// End records that no dispatch of a part is in flight on a connection any more.
 func (l *Ledger) End(id string, conn any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,23 +46,24 @@
 }
 
 func (l *Ledger) end(id string, conn any) {
-	if delete(l.out[id], conn); len(l.out[id]) == 0 {
-		delete(l.out, id)
+	if delete(l.inFlight[id], conn); len(l.inFlight[id]) == 0 {
+		delete(l.inFlight, id)
 	}
 }
 
-// Gone books that a connection has ended, and all that was out on it.
+// Gone records that a connection has ended, and with it all dispatches in flight on it.
 func (l *Ledger) Gone(conn any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id := range l.out {
+	for id := range l.inFlight {
 		l.end(id, conn)
 	}
 }
 
-// Copies are the second copies there were, and how many dispatches of one part were out at once at the most.
-func (l *Ledger) Copies() (found []string, most int) {
+// Copies returns a description of each dispatch of a part that overlapped another one, and the largest number of
+// dispatches of one part that were in flight at once.
+func (l *Ledger) Copies() (found []string, maxInFlight int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.copies...), l.most
+	return append([]string(nil), l.copies...), l.maxInFlight
 }
--- a/internal/standin/searcher.go
+++ b/internal/standin/searcher.go
@@ -1,5 +1,5 @@
-// Package standin holds toy peers of a mixer, for tests and examples: searchers that speak frames and a discovery
-// service. They stand in for outside systems and measure nothing.
+// Package standin provides stand-ins for the peers of a mixer, for tests and examples: searchers that implement the frame
+// protocol, and a discovery service. They replace external systems and measure nothing.
 package standin
 
 import (
@@ -14,54 +14,54 @@
 	"peathollow/internal/proto"
 )
 
-// Reply is what a searcher does with one part.
+// Reply describes how a searcher handles one part.
 type Reply struct {
-	After  time.Duration
-	End    int // 200, 500 or 503
-	Silent bool
-	Reset  bool   // the connection breaks
-	Half   bool   // and only after half of the answer
-	Junk   []byte // goes out in place of an answer
-	// Late is how long it reads nothing more on this connection; meanwhile it neither takes what is written there nor
-	// notices its end.
+	After  time.Duration // delay of the answer
+	End    int           // 200, 500 or 503
+	Silent bool          // no answer is sent
+	Reset  bool          // the connection is closed instead of an answer
+	Half   bool          // with Reset: half of the answer is sent before the close
+	Junk   []byte        // bytes sent instead of an answer
+	// Late is how long the searcher stops reading on this connection. Meanwhile it neither receives what is written
+	// there nor notices that it was closed.
 	Late time.Duration
-	Mute bool // it answers no probes on this connection from here on, though it reads
+	Mute bool // no probe on this connection is answered from here on, though frames are still read
 }
 
-// Searcher is a toy searcher on one address.
+// Searcher is a stand-in searcher on one address.
 type Searcher struct {
-	ln     net.Listener
-	reply  func(proto.Call) Reply
-	gaveUp func(id string)
-	ledger *Ledger           // may be nil
-	probed func(letter byte) // may be nil
-	mu     sync.Mutex
-	open   map[net.Conn]bool
-	all    sync.WaitGroup
-	shut   bool
-	done   chan struct{}
+	ln        net.Listener
+	reply     func(proto.Call) Reply
+	cancelled func(id string)
+	ledger    *Ledger           // may be nil
+	probed    func(letter byte) // may be nil
+	mu        sync.Mutex
+	open      map[net.Conn]bool
+	wait      sync.WaitGroup
+	closed    bool
+	done      chan struct{}
 }
 
-// NewSearcher listens at an address; reply is asked for each part and must be safe for use by many goroutines.
-// gaveUp, which may be nil, hears of parts that the mixer gives up.
-func NewSearcher(addr string, reply func(proto.Call) Reply, gaveUp func(id string)) (*Searcher, error) {
+// NewSearcher starts a searcher at an address. reply is called for each part and must be safe for concurrent use.
+// cancelled, which may be nil, is called for each part that the mixer cancels.
+func NewSearcher(addr string, reply func(proto.Call) Reply, cancelled func(id string)) (*Searcher, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in searcher: %w", err)
 	}
-	s := &Searcher{ln: ln, reply: reply, gaveUp: gaveUp, open: map[net.Conn]bool{}, done: make(chan struct{})}
-	s.all.Go(func() {
+	s := &Searcher{ln: ln, reply: reply, cancelled: cancelled, open: map[net.Conn]bool{}, done: make(chan struct{})}
+	s.wait.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			s.mu.Lock()
-			if s.shut {
+			if s.closed {
 				c.Close()
 			} else {
 				s.open[c] = true
-				s.all.Go(func() { s.serve(c) })
+				s.wait.Go(func() { s.serve(c) })
 			}
 			s.mu.Unlock()
 		}
@@ -69,24 +69,24 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the searcher listens.
 func (s *Searcher) Addr() string { return s.ln.Addr().String() }
 
-// Book has the searcher's dispatches counted, from the next connection on.
+// Book makes the searcher record its dispatches in a ledger, from the next connection on.
 func (s *Searcher) Book(l *Ledger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger = l
 }
 
-// Probed has probes told, each as it is read.
+// Probed sets a function that is called for each probe as it is read.
 func (s *Searcher) Probed(f func(letter byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probed = f
 }
 
-// Break ends all connections there are.
+// Break closes all open connections.
 func (s *Searcher) Break() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,49 +95,49 @@
 	}
 }
 
-// Close ends it.
+// Close stops the searcher and closes its connections.
 func (s *Searcher) Close() {
 	s.ln.Close()
 	s.mu.Lock()
-	if !s.shut {
-		s.shut = true
+	if !s.closed {
+		s.closed = true
 		close(s.done)
 	}
 	s.mu.Unlock()
 	s.Break()
-	s.all.Wait()
+	s.wait.Wait()
 }
 
 func (s *Searcher) serve(c net.Conn) {
 	var write sync.Mutex
-	var late []*time.Timer
+	var delayed []*time.Timer
 	s.mu.Lock()
-	book := s.ledger
+	ledger := s.ledger
 	s.mu.Unlock()
-	if book == nil {
-		book = NewLedger()
+	if ledger == nil {
+		ledger = NewLedger()
 	}
 	defer func() {
-		for _, t := range late {
+		for _, t := range delayed {
 			t.Stop()
 		}
-		book.Gone(c)
+		ledger.Gone(c)
 		c.Close()
 		s.mu.Lock()
 		delete(s.open, c)
 		s.mu.Unlock()
 	}()
-	say := func(b []byte) {
+	send := func(b []byte) {
 		write.Lock()
 		defer write.Unlock()
-		c.Write(b) // a mixer that has gone needs no answer
+		c.Write(b) // a mixer that has disconnected needs no answer
 	}
 	r := bufio.NewReader(c)
 	var buf []byte
 	var pause time.Duration
 	mute := false
 	for {
-		s.rest(pause)
+		s.sleep(pause)
 		pause = 0
 		letter, rest, grown, err := proto.ReadFrame(r, buf, 1<<20)
 		if buf = grown; err != nil {
@@ -147,39 +147,39 @@
 		case proto.LetterCall:
 			calls, err := proto.ReadCalls(rest, time.Now())
 			if err != nil {
-				say([]byte("\x04\x00\x00\x00Zbad"))
+				send([]byte("\x04\x00\x00\x00Zbad"))
 				return
 			}
-			for _, k := range calls {
-				book.Begin(k.ID, c, s.Addr())
-				p := s.reply(k)
-				pause, mute = max(pause, p.Late), mute || p.Mute
-				out := p.Junk
-				if out == nil {
-					out = proto.AppendAnswer(nil, k.ID, p.End, Score(k), Value(k))
+			for _, call := range calls {
+				ledger.Begin(call.ID, c, s.Addr())
+				reply := s.reply(call)
+				pause, mute = max(pause, reply.Late), mute || reply.Mute
+				answer := reply.Junk
+				if answer == nil {
+					answer = proto.AppendAnswer(nil, call.ID, reply.End, Score(call), Value(call))
 				}
 				switch {
-				case p.Silent:
-				case p.Reset:
-					book.Gone(c)
-					if p.Half {
-						say(out[:len(out)/2])
+				case reply.Silent:
+				case reply.Reset:
+					ledger.Gone(c)
+					if reply.Half {
+						send(answer[:len(answer)/2])
 					}
 					return
-				case p.After > 0:
-					late = append(late, time.AfterFunc(p.After, func() {
-						book.End(k.ID, c)
-						say(out)
+				case reply.After > 0:
+					delayed = append(delayed, time.AfterFunc(reply.After, func() {
+						ledger.End(call.ID, c)
+						send(answer)
 					}))
 				default:
-					book.End(k.ID, c)
-					say(out)
+					ledger.End(call.ID, c)
+					send(answer)
 				}
 			}
 		case proto.LetterProbe, proto.LetterLoad:
-			word := "200"
+			text := "200"
 			if letter == proto.LetterLoad {
-				word = "inflight=0,util=0.10"
+				text = "inflight=0,util=0.10"
 			}
 			s.mu.Lock()
 			probed := s.probed
@@ -188,19 +188,19 @@
 				probed(letter)
 			}
 			if !mute {
-				say(proto.AppendProbed(nil, letter, word))
+				send(proto.AppendProbed(nil, letter, text))
 			}
 		case proto.LetterGiveUp:
-			book.End(string(rest), c)
-			if s.gaveUp != nil {
-				s.gaveUp(string(rest))
+			ledger.End(string(rest), c)
+			if s.cancelled != nil {
+				s.cancelled(string(rest))
 			}
 		}
 	}
 }
 
-// rest passes time, unless the searcher ends.
-func (s *Searcher) rest(d time.Duration) {
+// sleep waits for a duration, or until the searcher stops.
+func (s *Searcher) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -212,14 +212,14 @@
 	}
 }
 
-// Value is what a sound searcher makes of a part: the same at each holder of its shard.
+// Value returns the value that a healthy searcher computes for a part. All searchers of a shard return the same one.
 func Value(c proto.Call) string {
 	h := fnv.New64a()
 	fmt.Fprint(h, c.Shard, c.Text, len(c.From) > 0)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Score ranks a part for a second step.
+// Score returns the score that ranks a part for the second step.
 func Score(c proto.Call) uint64 {
 	h := fnv.New32a()
 	io.WriteString(h, Value(c))
