--- a/cmd/peathollow/duties_test.go
+++ b/cmd/peathollow/duties_test.go
@@ -16,7 +16,7 @@
 // the readers' side; waits only end what would never come.
 func TestThreeProcessesKilledAndStopped(t *testing.T) {
 	const interval = 400 * time.Millisecond
-	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{End: 200} }, nil)
+	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{Status: 200} }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	var mu sync.Mutex
 	at := make([][]time.Time, 4)
 	for i, s := range f.Searchers {
-		s.Probed(func(byte) {
+		s.OnProbe(func(byte) {
 			mu.Lock()
 			defer mu.Unlock()
 			at[i] = append(at[i], time.Now())
@@ -55,7 +55,7 @@
 		}
 	}
 	h := started(t, 3, f, nil, fmt.Sprintf("[duties]\non = yes\ninterval = %v\nyoung = 0s\n", interval))
-	all := h.Procs
+	all := h.Processes
 	until("three", time.Time{}, 6)
 	all[0].Kill()
 	until("one killed", time.Now(), 3)
--- a/cmd/peathollow/fleet_test.go
+++ b/cmd/peathollow/fleet_test.go
@@ -26,9 +26,9 @@
 func started(t *testing.T, n int, f *standin.Fleet, edit func(map[string]any), ini string) *fleettest.Harness {
 	t.Helper()
 	h, err := fleettest.Start(fleettest.Options{Mixers: n, Program: []string{os.Args[0], "serve", "--settings"},
-		Env: []string{"PEATHOLLOW_TEST_PROGRAM=1"}, Fleet: f, Edit: edit, Dir: t.TempDir(), Ini: ini})
+		Env: []string{"PEATHOLLOW_TEST_PROGRAM=1"}, Fleet: f, EditSettings: edit, Dir: t.TempDir(), SettingsSections: ini})
 	t.Cleanup(func() {
-		if left := h.End(); left > 0 {
+		if left := h.KillAll(); left > 0 {
 			t.Errorf("%d processes are left", left)
 		}
 	})
@@ -39,14 +39,14 @@
 }
 
 func stands(p *fleettest.Process) string {
-	v, _ := p.Last("fleet", "stands")
+	v, _ := p.LastLogValue("fleet", "stands")
 	return fmt.Sprint(v)
 }
 
 func all(t *testing.T, standing string, ps ...*fleettest.Process) {
 	t.Helper()
 	for _, p := range ps {
-		if err := fleettest.Until(40*time.Second, p.Name+" stands "+standing, func() bool { return stands(p) == standing }); err != nil {
+		if err := fleettest.WaitUntil(40*time.Second, p.Name+" stands "+standing, func() bool { return stands(p) == standing }); err != nil {
 			t.Fatalf("%v; it stands %s", err, stands(p))
 		}
 	}
@@ -55,32 +55,32 @@
 // Five processes under what happens to processes: two against three, healed; one asleep; two killed, then a third, and all
 // back. Who is a majority, and who is not, is told from their logs.
 func TestFiveProcessesKnowHowTheyStand(t *testing.T) {
-	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{End: 200} }, nil)
+	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{Status: 200} }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	h := processes(t, 5, f, nil)
-	p := h.Procs
+	p := h.Processes
 	all(t, "majority", p...)
 
-	if err := h.Cut(p[:2], p[2:]); err != nil {
+	if err := h.Partition(p[:2], p[2:]); err != nil {
 		t.Fatal(err)
 	}
 	all(t, "minority", p[:2]...)
 	all(t, "majority", p[2:]...)
-	if err := h.Cut(); err != nil {
+	if err := h.Partition(); err != nil {
 		t.Fatal(err)
 	}
 	all(t, "majority", p...)
 
 	// A sleeper wakes and distrusts what it believed: it settles anew, with nobody else any the worse.
-	before := p[4].Count("fleet", "stands", "settling") + p[4].Count("fleet", "stands", "alone")
+	before := p[4].CountLogLines("fleet", "stands", "settling") + p[4].CountLogLines("fleet", "stands", "alone")
 	p[4].Signal(syscall.SIGSTOP)
 	time.Sleep(2 * time.Second) // it is to miss words for longer than a leap
 	p[4].Signal(syscall.SIGCONT)
-	if err := fleettest.Until(20*time.Second, "the sleeper distrusts its view", func() bool {
-		return p[4].Count("fleet", "stands", "settling")+p[4].Count("fleet", "stands", "alone") > before
+	if err := fleettest.WaitUntil(20*time.Second, "the sleeper distrusts its view", func() bool {
+		return p[4].CountLogLines("fleet", "stands", "settling")+p[4].CountLogLines("fleet", "stands", "alone") > before
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -116,10 +116,10 @@
 		at = now
 	}
 	if at.Sub(now) > c.room {
-		return standin.Reply{End: 503}
+		return standin.Reply{Status: 503}
 	}
 	c.next[srv] = at.Add(c.gap)
-	return standin.Reply{End: 200, After: at.Add(c.gap).Sub(now)}
+	return standin.Reply{Status: 200, Delay: at.Add(c.gap).Sub(now)}
 }
 
 // flood asks as a tenant at a rate, over mixers in turn, and counts what it got. A request that meets a process asleep may
@@ -138,7 +138,7 @@
 	for i := 0; time.Now().Before(until); i++ {
 		<-tick.C
 		out.Go(func() {
-			p := h.Procs[i%len(h.Procs)]
+			p := h.Processes[i%len(h.Processes)]
 			r, err := http.NewRequest(http.MethodPost, "http://"+p.Addr+"/narrow", strings.NewReader(fmt.Sprintf(`{"parts":[{"id":%d}],"expr":"x"}`, i%6)))
 			if err != nil {
 				return
@@ -176,7 +176,7 @@
 	}
 	defer f.Close()
 	book := standin.NewLedger()
-	f.Book(book)
+	f.SetLedger(book)
 	h := processes(t, 3, f, func(set map[string]any) {
 		for _, x := range set["requestClasses"].([]any) {
 			kind := x.(map[string]any)
@@ -185,23 +185,23 @@
 		set["balancers"] = 3
 		set["parties"] = []any{map[string]any{"name": "acme", "quotaPerS": 60.0, "share": 0.6}, map[string]any{"name": "bolt", "quotaPerS": 40.0, "share": 0.4}}
 	})
-	all(t, "majority", h.Procs...)
+	all(t, "majority", h.Processes...)
 	const calm, span = 3 * time.Second, 10 * time.Second
 	begin := time.Now()
-	acme, bolt, before := flood{asleep: h.Procs[2]}, flood{asleep: h.Procs[2]}, flood{}
+	acme, bolt, before := flood{asleep: h.Processes[2]}, flood{asleep: h.Processes[2]}, flood{}
 	var asks sync.WaitGroup
 	asks.Go(func() { before.run(h, "bolt", 50*time.Millisecond, begin.Add(calm), "c") })
 	asks.Wait()
 	asks.Go(func() { acme.run(h, "acme", 2*time.Millisecond, begin.Add(calm+span), "a") })
 	asks.Go(func() { bolt.run(h, "bolt", 50*time.Millisecond, begin.Add(calm+span), "b") })
-	for _, p := range h.Procs {
-		if err := fleettest.Until(span, p.Name+" notices the overload", func() bool { return p.Count("fleet", "mood", "overload") > 0 }); err != nil {
+	for _, p := range h.Processes {
+		if err := fleettest.WaitUntil(span, p.Name+" notices the overload", func() bool { return p.CountLogLines("fleet", "mood", "overload") > 0 }); err != nil {
 			t.Error(err)
 		}
 	}
-	h.Procs[2].Signal(syscall.SIGSTOP)
+	h.Processes[2].Signal(syscall.SIGSTOP)
 	time.Sleep(time.Until(begin.Add(calm + span/2)))
-	h.Procs[2].Signal(syscall.SIGCONT)
+	h.Processes[2].Signal(syscall.SIGCONT)
 	asks.Wait()
 	t.Logf("before: bolt %d of %d; in it: acme %d of %d, bolt %d of %d (no answer %d, %d)", before.done, before.asked, acme.done, acme.asked,
 		bolt.done, bolt.asked, acme.none, bolt.none)
@@ -214,7 +214,7 @@
 	if acme.none+bolt.none > 0 {
 		t.Errorf("%d and %d got no answer at all from those awake", acme.none, bolt.none)
 	}
-	if copies, _ := book.Copies(); len(copies) > 0 {
+	if copies, _ := book.Overlaps(); len(copies) > 0 {
 		t.Errorf("%d second copies", len(copies))
 	}
 }
--- a/cmd/peathollow/main_test.go
+++ b/cmd/peathollow/main_test.go
@@ -26,7 +26,7 @@
 // SIGHUP before the configuration is read, and again later: the process goes on and follows discovery where the last
 // reading says. The file is a pipe, so that the program is held up in the midst of its first reading.
 func TestHangUpFromTheFirstInstant(t *testing.T) {
-	f, err := standin.NewFleet(2, func(int, proto.Call) standin.Reply { return standin.Reply{End: 200} }, nil)
+	f, err := standin.NewFleet(2, func(int, proto.Call) standin.Reply { return standin.Reply{Status: 200} }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/peathollow/serve.go
+++ b/cmd/peathollow/serve.go
@@ -54,10 +54,10 @@
 	if err != nil {
 		return err
 	}
-	m.Confine()
+	m.SetProcessLimits()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	go m.Follow(ctx, again, load)
+	go m.ReloadOnSignal(ctx, again, load)
 	return m.Run(ctx)
 }
 
--- a/cmd/peathollow/try.go
+++ b/cmd/peathollow/try.go
@@ -64,7 +64,7 @@
 func (t *trial) run(ctx context.Context, out io.Writer) error {
 	t.ends = map[string]int{}
 	fleet, err := standin.NewFleet(4, func(srv int, _ proto.Call) standin.Reply {
-		return standin.Reply{End: 200, After: time.Duration(2+rand.IntN(20)) * time.Millisecond, Silent: t.trouble && srv == 3}
+		return standin.Reply{Status: 200, Delay: time.Duration(2+rand.IntN(20)) * time.Millisecond, Silent: t.trouble && srv == 3}
 	}, nil)
 	if err != nil {
 		return err
--- a/examples/toyfleet/main.go
+++ b/examples/toyfleet/main.go
@@ -32,9 +32,9 @@
 	var hosts []standin.Host
 	for i := range 4 {
 		s, err := standin.NewSearcher(fmt.Sprintf("127.0.0.1:%d", 3101+i), func(proto.Call) standin.Reply {
-			r := standin.Reply{End: 200, After: time.Duration(5+rand.IntN(20)) * time.Millisecond, Silent: mute && i == 3}
+			r := standin.Reply{Status: 200, Delay: time.Duration(5+rand.IntN(20)) * time.Millisecond, Silent: mute && i == 3}
 			if noise && i == 3 && rand.IntN(3) == 0 {
-				r.Junk = []byte("\x40\x00\x00\x00 not an answer")
+				r.Garbage = []byte("\x40\x00\x00\x00 not an answer")
 			}
 			return r
 		}, nil)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -46,11 +46,11 @@
 	if x := next(); x.mode != policy.Full || len(x.list.Hosts) != 1 {
 		t.Errorf("%+v", x)
 	}
-	d.Tell(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up"})
+	d.SetHost(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up"})
 	if x := next(); x.mode != policy.Changes || len(x.list.Hosts) != 1 || x.list.Hosts[0].Name != "b" {
 		t.Errorf("%+v", x)
 	}
-	d.Tell(standin.Host{Host: "a", Health: "removed"})
+	d.SetHost(standin.Host{Host: "a", Health: "removed"})
 	if x := next(); x.mode != policy.Changes || x.list.Hosts[0].State != policy.Gone {
 		t.Errorf("%+v", x)
 	}
@@ -60,12 +60,12 @@
 func TestASilentServiceIsAskedAgain(t *testing.T) {
 	d, w, next := follow(t, Limits{Body: 1 << 20, Call: 500 * time.Millisecond, Wait: time.Millisecond, Pause: time.Hour})
 	next()
-	d.Silence(true)
+	d.SetSilent(true)
 	if x := next(); x.mode != policy.Unavailable {
 		t.Errorf("%+v", x)
 	}
-	d.Silence(false)
-	d.Tell(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up"})
+	d.SetSilent(false)
+	d.SetHost(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up"})
 	for {
 		w.Ask()
 		if x := next(); x.mode == policy.Changes && x.list.Hosts[0].Name == "b" {
@@ -84,10 +84,10 @@
 	d, _, next := follow(t, lim)
 	next()
 	for i := range 3 {
-		d.Awaited() // the watch is open
-		d.Strand()
+		d.AwaitWatch() // the watch is open
+		d.StrandWatches()
 		at := time.Now()
-		d.Tell(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up", Born: int64(i)})
+		d.SetHost(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up", Born: int64(i)})
 		if x := next(); x.mode != policy.Unavailable {
 			t.Errorf("%+v", x)
 		}
@@ -104,7 +104,7 @@
 func TestAnIndentedList(t *testing.T) {
 	d, _, next := follow(t, Limits{Body: 1 << 10, Call: 5 * time.Second, Wait: time.Millisecond, Pause: time.Millisecond})
 	next()
-	d.Garble("{\n  \"seq\": 7,\n  \"whole\": true,\n  \"later\": {\"a\": [1]},\n  \"hosts\": [\n    {\n      \"host\": \"c\",\n" +
+	d.SetGarbage("{\n  \"seq\": 7,\n  \"whole\": true,\n  \"later\": {\"a\": [1]},\n  \"hosts\": [\n    {\n      \"host\": \"c\",\n" +
 		"      \"dial\": \"127.0.0.1:3\",\n      \"health\": \"up\",\n      \"share\": 1\n    }\n  ]\n}\n")
 	for x := next(); x.mode != policy.Full || x.list.Version != 7 || x.list.Hosts[0].Name != "c"; x = next() {
 		if x.mode == policy.Unavailable {
@@ -117,16 +117,16 @@
 	d, _, next := follow(t, Limits{Body: 1 << 10, Call: 5 * time.Second, Wait: time.Millisecond, Pause: time.Millisecond})
 	next()
 	for _, junk := range []string{"no json", `{"whole":true}`, `{"seq":99,"hosts":[{"host":""}]}`} {
-		d.Garble(junk)
+		d.SetGarbage(junk)
 		for x := next(); x.mode != policy.Unavailable; x = next() {
 			t.Errorf("%q: told %+v", junk, x)
 		}
 	}
 	// An older version makes the list held worthless: the whole one is asked for.
-	d.Garble(`{"seq":0,"whole":true,"hosts":[]}`)
+	d.SetGarbage(`{"seq":0,"whole":true,"hosts":[]}`)
 	for x := next(); x.mode != policy.Full; x = next() {
 	}
-	d.Garble("")
+	d.SetGarbage("")
 	for x := next(); x.mode != policy.Changes && (x.mode != policy.Full || len(x.list.Hosts) != 1); x = next() {
 	}
 }
@@ -136,12 +136,12 @@
 func TestAMoveStartsAnew(t *testing.T) {
 	d, w, next := follow(t, Limits{Body: 1 << 20, Call: time.Hour, Wait: time.Hour, Pause: time.Hour})
 	for range 5 {
-		d.Tell(standin.Host{Host: "a", Dial: "127.0.0.1:1", Health: "up"})
+		d.SetHost(standin.Host{Host: "a", Dial: "127.0.0.1:1", Health: "up"})
 	}
 	for x := next(); x.list.Version < 6; x = next() {
 	}
 	for _, silent := range []bool{false, true} {
-		d.Silence(silent)
+		d.SetSilent(silent)
 		to, err := standin.NewDiscovery("127.0.0.1:0", []standin.Host{{Host: "b", Dial: "127.0.0.1:2", Health: "up"}})
 		if err != nil {
 			t.Fatal(err)
@@ -151,7 +151,7 @@
 		if x := next(); x.mode != policy.Full || x.list.Version != 1 || x.list.Hosts[0].Name != "b" {
 			t.Errorf("%+v", x)
 		}
-		to.Tell(standin.Host{Host: "c", Dial: "127.0.0.1:3", Health: "up"})
+		to.SetHost(standin.Host{Host: "c", Dial: "127.0.0.1:3", Health: "up"})
 		if x := next(); x.mode != policy.Changes || x.list.Hosts[0].Name != "c" {
 			t.Errorf("%+v", x)
 		}
--- a/internal/fleettest/harness.go
+++ b/internal/fleettest/harness.go
@@ -22,20 +22,20 @@
 
 // Options describes the processes to start.
 type Options struct {
-	Mixers  int
-	Program []string // the command and its first arguments; the path of the settings file is appended
-	Env     []string // additional environment variables
-	Fleet   *standin.Fleet
-	Edit    func(settings map[string]any) // changes the settings in the configuration; may be nil
-	Ini     string                        // sections of the settings file besides [members], which the harness writes
-	Dir     string                        // directory for the files of the processes
+	Mixers           int
+	Program          []string // the command and its first arguments; the path of the settings file is appended
+	Env              []string // additional environment variables
+	Fleet            *standin.Fleet
+	EditSettings     func(settings map[string]any) // changes the settings in the configuration; may be nil
+	SettingsSections string                        // sections of the settings file besides [members], which the harness writes
+	Dir              string                        // directory for the files of the processes
 }
 
 // Harness manages the processes of one run.
 type Harness struct {
-	options Options
-	binds   []string
-	Procs   []*Process
+	options   Options
+	binds     []string
+	Processes []*Process
 }
 
 // Process is one mixer. Its operating system process is replaced at each restart.
@@ -67,14 +67,14 @@
 	return addrs, nil
 }
 
-// Start starts all processes and waits until they accept scans. End must be called even if it fails. Another program may
-// take an address between the search for a free one and its use: then a process exits, and all are started again.
+// Start starts all processes and waits until they accept scans. KillAll must be called even if it fails. Another program
+// may take an address between the search for a free one and its use: then a process exits, and all are started again.
 func Start(options Options) (h *Harness, err error) {
 	for range 3 {
 		if h, err = start(options); err == nil || !errors.Is(err, errEnded) {
 			return h, err
 		}
-		h.End()
+		h.KillAll()
 	}
 	return h, err
 }
@@ -92,24 +92,24 @@
 		p := &Process{h: h, Name: fmt.Sprint("m", i), Addr: addrs[i]}
 		path := func(ending string) string { return filepath.Join(options.Dir, p.Name+ending) }
 		p.ini, p.conf, p.keys = path(".ini"), path(".json"), path(".keys")
-		text := bytes.Replace(options.Fleet.Config(options.Edit), []byte(`"name": "n0"`), []byte(`"name": "`+p.Name+`"`), 1)
+		text := bytes.Replace(options.Fleet.Config(options.EditSettings), []byte(`"name": "n0"`), []byte(`"name": "`+p.Name+`"`), 1)
 		text = bytes.Replace(text, []byte(`"listen": "127.0.0.1:0"`), []byte(`"listen": "`+p.Addr+`"`), 1)
 		ini := fmt.Sprintf("[members]\nbind = %s\nseeds = %s\nkeys = %s\n%s\n", h.binds[i],
-			strings.Join(h.binds, ","), p.keys, options.Ini)
+			strings.Join(h.binds, ","), p.keys, options.SettingsSections)
 		if err := errors.Join(os.WriteFile(p.conf, text, 0o600), os.WriteFile(p.ini, []byte(ini), 0o600),
 			p.writeKeys(commonKey)); err != nil {
 			return h, fmt.Errorf("fleettest: %w", err)
 		}
-		h.Procs = append(h.Procs, p)
+		h.Processes = append(h.Processes, p)
 	}
-	for _, p := range h.Procs {
+	for _, p := range h.Processes {
 		if err := p.Start(); err != nil {
 			return h, err
 		}
 	}
-	for _, p := range h.Procs {
+	for _, p := range h.Processes {
 		ended := false
-		err := Until(30*time.Second, p.Name+" is ready", func() bool {
+		err := WaitUntil(30*time.Second, p.Name+" is ready", func() bool {
 			select {
 			case err := <-p.ended:
 				p.ended <- err
@@ -184,8 +184,8 @@
 	return err
 }
 
-// Last returns the value of a field in the newest log line that has the message and the field.
-func (p *Process) Last(msg, field string) (any, bool) {
+// LastLogValue returns the value of a field in the newest log line that has the message and the field.
+func (p *Process) LastLogValue(msg, field string) (any, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.lines) - 1; i >= 0; i-- {
@@ -196,8 +196,8 @@
 	return nil, false
 }
 
-// Count returns the number of log lines with a message and, unless field is empty, with a value of that field.
-func (p *Process) Count(msg, field string, value any) (n int) {
+// CountLogLines returns the number of log lines with a message and, unless field is empty, with a value of that field.
+func (p *Process) CountLogLines(msg, field string, value any) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.lines {
@@ -218,10 +218,11 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Cut partitions the mixers: those of different sides receive nothing from each other. Without sides it heals a partition.
-func (h *Harness) Cut(sides ...[]*Process) error {
+// Partition partitions the mixers: those of different sides receive nothing from each other. Without sides it
+// heals a partition.
+func (h *Harness) Partition(sides ...[]*Process) error {
 	if len(sides) == 0 {
-		sides = [][]*Process{h.Procs}
+		sides = [][]*Process{h.Processes}
 	}
 	for i, side := range sides {
 		key := byte(i + 1)
@@ -237,8 +238,8 @@
 	return nil
 }
 
-// Until waits until a condition holds, and returns an error with its description if it does not hold in time.
-func Until(timeout time.Duration, description string, condition func() bool) error {
+// WaitUntil waits until a condition holds, and returns an error with its description if it does not hold in time.
+func WaitUntil(timeout time.Duration, description string, condition func() bool) error {
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(10 * time.Millisecond) { // polling interval only
 		if time.Now().After(deadline) {
 			return fmt.Errorf("condition not met within %v: %s", timeout, description)
@@ -247,9 +248,9 @@
 	return nil
 }
 
-// End kills all processes, and returns the number of those that are still there afterwards.
-func (h *Harness) End() (left int) {
-	for _, p := range h.Procs {
+// KillAll kills all processes, and returns the number of those that are still there afterwards.
+func (h *Harness) KillAll() (left int) {
+	for _, p := range h.Processes {
 		if p.cmd == nil || p.cmd.Process == nil {
 			continue
 		}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -20,22 +20,23 @@
 
 // Limits contains the size limits and timeouts of a connection.
 type Limits struct {
-	Receipt time.Duration // for a searcher to send anything after it was asked for a receipt
-	Linger  time.Duration // for the searcher to close a connection that this mixer has closed
-	Frame   int           // largest frame from a searcher, in bytes
-	Queue   int           // frames waiting to be written
-	Connect time.Duration // for a connection to be established
-	Write   time.Duration // for one write to the searcher
-	Rest    time.Duration // for the rest of a frame from a searcher, once its first byte has arrived
-	Word    int           // largest answer to a probe, in bytes
-	Keep    int           // largest buffer kept for the next frame, in bytes
+	ReceiptTimeout time.Duration // for a searcher to send anything after it was asked for a receipt
+	LingerTimeout  time.Duration // for the searcher to close a connection that this mixer has closed
+	MaxFrameBytes  int           // largest frame from a searcher, in bytes
+	QueueLength    int           // frames waiting to be written
+	ConnectTimeout time.Duration // for a connection to be established
+	WriteTimeout   time.Duration // for one write to the searcher
+	FrameTimeout   time.Duration // for the rest of a frame from a searcher, once its first byte has arrived
+	MaxProbeAnswer int           // largest answer to a probe, in bytes
+	MaxKeptBuffer  int           // largest buffer kept for the next frame, in bytes
 }
 
-// Events receives the events of a connection, on the connection's own goroutines: Answered and Told as they happen, then
-// Closing once, after which nothing more is sent or accepted, then Closed once, after the connection has ended.
+// Events receives the events of a connection, on the connection's own goroutines: AnswerReceived and CancelsConfirmed as
+// they happen, then Closing once, after which nothing more is sent or accepted, then Closed once, after the connection has
+// ended.
 type Events interface {
-	Answered(c *Conn, a proto.Answer, more bool) // more: further bytes have already been received
-	Told(c *Conn, seqs []uint64)                 // the frames with these numbers, each a cancellation, took effect, see Cancel
+	AnswerReceived(c *Conn, a proto.Answer, more bool) // more: further bytes have already been received
+	CancelsConfirmed(c *Conn, seqs []uint64)           // the frames with these numbers, each a cancellation, took effect, see Cancel
 	Closing(c *Conn, reason error)
 	// peerClosed: the searcher closed the connection too, or it was never established, so that nothing on it is in flight.
 	Closed(c *Conn, peerClosed bool)
@@ -87,8 +88,9 @@
 // Send queues the calls as one frame and returns its number, or false if the connection accepts no more frames.
 func (c *Conn) Send(calls []proto.Call) (uint64, bool) { return c.enqueue(frame{calls: calls}) }
 
-// Cancel queues the cancellation of a part. Told follows once the cancellation is written or, with confirm, once the
-// searcher has confirmed that it has read it. If the searcher sends nothing at all when asked, the connection ends.
+// Cancel queues the cancellation of a part. CancelsConfirmed follows once the cancellation is written or, with confirm,
+// once the searcher has confirmed that it has read it. If the searcher sends nothing at all when asked, the connection
+// ends.
 func (c *Conn) Cancel(id string, confirm bool) (uint64, bool) {
 	return c.enqueue(frame{cancelID: id, confirm: confirm})
 }
@@ -96,7 +98,7 @@
 func (c *Conn) enqueue(f frame) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || len(c.queue) >= c.limits.Queue {
+	if c.closing || len(c.queue) >= c.limits.QueueLength {
 		return 0, false
 	}
 	c.lastSeq++
@@ -162,7 +164,7 @@
 }
 
 func (c *Conn) run(ctx context.Context) {
-	d := net.Dialer{Timeout: c.limits.Connect, KeepAlive: -1}
+	d := net.Dialer{Timeout: c.limits.ConnectTimeout, KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", c.addr)
 	if err != nil {
 		c.end(ctx, fmt.Errorf("connect: %w", err))
@@ -193,11 +195,11 @@
 	c.mu.Unlock()
 	for i := range pendingProbes {
 		pendingProbes[i].timer.Stop()
-		pendingProbes[i].report(Probed{Sent: true})
+		pendingProbes[i].report(ProbeResult{Sent: true})
 	}
 	for _, f := range queue {
 		if f.probe != nil {
-			f.probe.Done(Probed{})
+			f.probe.Done(ProbeResult{})
 		}
 	}
 	c.events.Closing(c, context.Cause(ctx))
@@ -213,7 +215,7 @@
 // the whole mixer stops, nothing more is sent and there is no wait.
 func (c *Conn) linger(nc net.Conn) bool {
 	tc, ok := nc.(*net.TCPConn)
-	if !ok || tc.CloseWrite() != nil || nc.SetReadDeadline(time.Now().Add(c.limits.Linger)) != nil {
+	if !ok || tc.CloseWrite() != nil || nc.SetReadDeadline(time.Now().Add(c.limits.LingerTimeout)) != nil {
 		return false
 	}
 	defer context.AfterFunc(c.parent, func() { nc.Close() })()
@@ -274,7 +276,7 @@
 			// This precedes the write because the answer may be read at once.
 			c.expect(sentProbe{letter: proto.LetterProbe, seqs: toConfirm}, 0)
 		}
-		if err := nc.SetWriteDeadline(now.Add(c.limits.Write)); err != nil {
+		if err := nc.SetWriteDeadline(now.Add(c.limits.WriteTimeout)); err != nil {
 			return err
 		}
 		n, err := nc.Write(buf)
@@ -291,7 +293,7 @@
 			}
 		}
 		if len(confirmed) > 0 {
-			c.events.Told(c, confirmed)
+			c.events.CancelsConfirmed(c, confirmed)
 		}
 		if err != nil {
 			return fmt.Errorf("write: %w", err)
@@ -310,13 +312,13 @@
 		// So a frame that has begun must end soon. Most frames arrive whole and need no deadline.
 		partial := !proto.HoldsFrame(r)
 		if partial {
-			if err := c.setReadDeadline(nc, time.Now().Add(c.limits.Rest)); err != nil {
+			if err := c.setReadDeadline(nc, time.Now().Add(c.limits.FrameTimeout)); err != nil {
 				return err
 			}
 		}
 		var letter byte
 		var err error
-		if letter, rest, buf, err = proto.ReadFrame(r, buf, c.limits.Frame); err != nil {
+		if letter, rest, buf, err = proto.ReadFrame(r, buf, c.limits.MaxFrameBytes); err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
 		if partial {
@@ -331,11 +333,11 @@
 			if err != nil {
 				return err
 			}
-			c.events.Answered(c, a, r.Buffered() > 0)
+			c.events.AnswerReceived(c, a, r.Buffered() > 0)
 		case proto.LetterEnd:
 			return fmt.Errorf("%w: %.100q", errFrameRejected, rest)
 		case proto.LetterProbe, proto.LetterLoad:
-			if len(rest) > c.limits.Word {
+			if len(rest) > c.limits.MaxProbeAnswer {
 				return fmt.Errorf("probe answer of %d bytes is too long", len(rest))
 			}
 			if !c.answered(letter, string(rest)) {
@@ -344,7 +346,7 @@
 		default:
 			return fmt.Errorf("frame with letter %q", letter)
 		}
-		if cap(buf) > c.limits.Keep {
+		if cap(buf) > c.limits.MaxKeptBuffer {
 			buf = nil
 		}
 	}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -24,9 +24,9 @@
 	reason     chan error
 }
 
-func (r recorder) Answered(_ *Conn, a proto.Answer, _ bool) { r.answers <- a }
-func (r recorder) Told(_ *Conn, seqs []uint64)              { r.confirmed <- seqs }
-func (r recorder) Closing(_ *Conn, reason error)            { r.reason <- reason }
+func (r recorder) AnswerReceived(_ *Conn, a proto.Answer, _ bool) { r.answers <- a }
+func (r recorder) CancelsConfirmed(_ *Conn, seqs []uint64)        { r.confirmed <- seqs }
+func (r recorder) Closing(_ *Conn, reason error)                  { r.reason <- reason }
 func (r recorder) Closed(_ *Conn, peerClosed bool) {
 	r.peerClosed <- peerClosed
 	r.closed <- <-r.reason
@@ -40,8 +40,9 @@
 	return c, r
 }
 
-var defaultLimits = Limits{Frame: 1 << 10, Queue: 10, Connect: 5 * time.Second, Write: 5 * time.Second, Rest: 5 * time.Second,
-	Receipt: 5 * time.Second, Linger: 5 * time.Second, Word: 256}
+var defaultLimits = Limits{MaxFrameBytes: 1 << 10, QueueLength: 10, ConnectTimeout: 5 * time.Second,
+	WriteTimeout: 5 * time.Second, FrameTimeout: 5 * time.Second,
+	ReceiptTimeout: 5 * time.Second, LingerTimeout: 5 * time.Second, MaxProbeAnswer: 256}
 
 func call(id string) []proto.Call {
 	return []proto.Call{{ID: id, Until: time.Now().Add(time.Second), Text: "x"}}
@@ -86,7 +87,8 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c, r := open(t, ln.Addr().String(), Limits{Frame: 1 << 10, Queue: 3, Connect: 5 * time.Second, Write: 50 * time.Millisecond})
+	c, r := open(t, ln.Addr().String(), Limits{MaxFrameBytes: 1 << 10, QueueLength: 3, ConnectTimeout: 5 * time.Second,
+		WriteTimeout: 50 * time.Millisecond})
 	large := []proto.Call{{ID: "a", Text: string(make([]byte, 32<<20))}}
 	first, _ := c.Send(large)
 	n := 1
@@ -119,7 +121,7 @@
 	n := 0
 	s := searcher(t, func(proto.Call) standin.Reply {
 		n++
-		return standin.Reply{End: 200, Reset: n == 3}
+		return standin.Reply{Status: 200, Reset: n == 3}
 	})
 	c, r := open(t, s.Addr(), defaultLimits)
 	for _, id := range []string{"a", "b", "c"} {
@@ -135,18 +137,18 @@
 // a frame that has begun must end soon. There is no limit on the time before a frame begins.
 func TestFrameThatNeverEnds(t *testing.T) {
 	for _, noise := range []string{"\x10", "\x10\x00\x00\x00", "\xf0\x01\x00\x00Oa 200 7 -\nvalue and no more"} {
-		s := searcher(t, func(proto.Call) standin.Reply { return standin.Reply{Junk: []byte(noise)} })
+		s := searcher(t, func(proto.Call) standin.Reply { return standin.Reply{Garbage: []byte(noise)} })
 		limits := defaultLimits
-		limits.Rest = 30 * time.Millisecond
+		limits.FrameTimeout = 30 * time.Millisecond
 		c, r := open(t, s.Addr(), limits)
 		seq, _ := c.Send(call("a"))
 		if err := <-r.closed; !errors.Is(err, os.ErrDeadlineExceeded) || !c.Written(seq) || len(r.answers) > 0 {
 			t.Errorf("%q: %v", noise, err)
 		}
 	}
-	s := searcher(t, func(c proto.Call) standin.Reply { return standin.Reply{End: 200, After: 100 * time.Millisecond} })
+	s := searcher(t, func(c proto.Call) standin.Reply { return standin.Reply{Status: 200, Delay: 100 * time.Millisecond} })
 	limits := defaultLimits
-	limits.Rest = time.Nanosecond
+	limits.FrameTimeout = time.Nanosecond
 	c, r := open(t, s.Addr(), limits)
 	c.Send(call("slow"))
 	select {
@@ -159,7 +161,7 @@
 // A frame whose length claims gigabytes is not allocated, and ends its connection at once.
 func TestFrameOfThreeGigabytes(t *testing.T) {
 	s := searcher(t, func(proto.Call) standin.Reply {
-		return standin.Reply{Junk: append([]byte("\x00\x00\x00\xc0Oa 200 7 -\n"), make([]byte, 1<<20)...)}
+		return standin.Reply{Garbage: append([]byte("\x00\x00\x00\xc0Oa 200 7 -\n"), make([]byte, 1<<20)...)}
 	})
 	c, r := open(t, s.Addr(), defaultLimits)
 	c.Send(call("a"))
@@ -172,7 +174,7 @@
 func TestCancelIsConfirmedOnceRead(t *testing.T) {
 	var read atomic.Int32
 	s, err := standin.NewSearcher("127.0.0.1:0", func(proto.Call) standin.Reply {
-		return standin.Reply{Silent: true, Late: 30 * time.Millisecond}
+		return standin.Reply{Silent: true, ReadPause: 30 * time.Millisecond}
 	}, func(string) { read.Add(1) })
 	if err != nil {
 		t.Fatal(err)
@@ -200,9 +202,9 @@
 
 // The connection of a searcher that sends nothing when asked for a receipt ends. Anything that it sends keeps it open.
 func TestUnresponsiveConnectionEnds(t *testing.T) {
-	s := searcher(t, func(c proto.Call) standin.Reply { return standin.Reply{Silent: true, Mute: true} })
+	s := searcher(t, func(c proto.Call) standin.Reply { return standin.Reply{Silent: true, IgnoreProbes: true} })
 	limits := defaultLimits
-	limits.Receipt = 30 * time.Millisecond
+	limits.ReceiptTimeout = 30 * time.Millisecond
 	c, r := open(t, s.Addr(), limits)
 	c.Send(call("a"))
 	c.Cancel("a", true)
@@ -215,10 +217,10 @@
 func TestCloseByPeerIsReported(t *testing.T) {
 	s := searcher(t, func(c proto.Call) standin.Reply {
 		return standin.Reply{Reset: c.ID == "reset", Silent: c.ID != "reset",
-			Late: map[string]time.Duration{"deaf": time.Minute}[c.ID]}
+			ReadPause: map[string]time.Duration{"deaf": time.Minute}[c.ID]}
 	})
 	limits := defaultLimits
-	limits.Linger = 50 * time.Millisecond
+	limits.LingerTimeout = 50 * time.Millisecond
 	for _, id := range []string{"usual", "reset", "deaf"} {
 		c, r := open(t, s.Addr(), limits)
 		seq, _ := c.Send(call(id))
@@ -237,7 +239,7 @@
 // An answer to a probe that was never sent is a protocol error.
 func TestAnswerToNoProbe(t *testing.T) {
 	s := searcher(t, func(proto.Call) standin.Reply {
-		return standin.Reply{Junk: proto.AppendProbed(nil, proto.LetterProbe, "200")}
+		return standin.Reply{Garbage: proto.AppendProbed(nil, proto.LetterProbe, "200")}
 	})
 	c, r := open(t, s.Addr(), defaultLimits)
 	c.Send(call("a"))
@@ -248,29 +250,29 @@
 
 // A probe is sent only if it is permitted at the write, matches answers with its own letter, and has exactly one result.
 func TestProbeResultsAreReportedOnce(t *testing.T) {
-	s := searcher(t, func(c proto.Call) standin.Reply { return standin.Reply{Silent: true, Mute: true} })
+	s := searcher(t, func(c proto.Call) standin.Reply { return standin.Reply{Silent: true, IgnoreProbes: true} })
 	limits := defaultLimits
-	limits.Receipt = 20 * time.Millisecond
+	limits.ReceiptTimeout = 20 * time.Millisecond
 	for _, tc := range []struct {
 		name      string
 		load      bool
 		permitted bool
 		mute      bool
-		want      Probed
+		want      ProbeResult
 	}{
-		{"life", false, true, false, Probed{Sent: true, Answered: true, Word: "200"}},
-		{"load", true, true, false, Probed{Sent: true, Answered: true, Word: "inflight=0,util=0.10"}},
-		{"not allowed", false, false, false, Probed{}},
-		{"mute", false, true, true, Probed{Sent: true}},
+		{"life", false, true, false, ProbeResult{Sent: true, Answered: true, Text: "200"}},
+		{"load", true, true, false, ProbeResult{Sent: true, Answered: true, Text: "inflight=0,util=0.10"}},
+		{"not allowed", false, false, false, ProbeResult{}},
+		{"mute", false, true, true, ProbeResult{Sent: true}},
 	} {
 		c, _ := open(t, s.Addr(), limits)
 		if tc.mute {
 			c.Send(call("a"))
 		}
-		done := make(chan Probed, 2)
+		done := make(chan ProbeResult, 2)
 		permitCalls := make(chan bool, 2)
 		if !c.Probe(Probe{Load: tc.load, Permit: func() bool { permitCalls <- true; return tc.permitted },
-			Done: func(p Probed) { done <- p }}) {
+			Done: func(p ProbeResult) { done <- p }}) {
 			t.Fatalf("%s: not accepted", tc.name)
 		}
 		got := <-done
--- a/internal/link/probe.go
+++ b/internal/link/probe.go
@@ -20,17 +20,17 @@
 // Probe is one health check of a searcher. Permit is called just before its bytes are written, and false keeps them from
 // being written. Done is called once with the result, on a goroutine of the connection. Neither may block.
 type Probe struct {
-	Load   bool          // asks for a load report instead of a health status
-	Wait   time.Duration // for the answer
-	Permit func() bool
-	Done   func(Probed)
+	Load    bool          // asks for a load report instead of a health status
+	Timeout time.Duration // for the answer
+	Permit  func() bool
+	Done    func(ProbeResult)
 }
 
-// Probed is the result of a probe.
-type Probed struct {
+// ProbeResult is the result of a probe.
+type ProbeResult struct {
 	Sent, Answered bool
 	Took           time.Duration // from the write to the answer or the timeout
-	Word           string        // the answer as received: 200 or 500, a load report, or -
+	Text           string        // the answer as received: 200 or 500, a load report, or -
 }
 
 // Probe queues a probe. It returns false, and Done is not called, if the connection accepts no more frames.
@@ -42,14 +42,14 @@
 // appendProbe appends the bytes of a probe, if it is still permitted.
 func (c *Conn) appendProbe(b []byte, p *Probe) []byte {
 	if !p.Permit() {
-		p.Done(Probed{})
+		p.Done(ProbeResult{})
 		return b
 	}
 	letter := byte(proto.LetterProbe)
 	if p.Load {
 		letter = proto.LetterLoad
 	}
-	c.expect(sentProbe{letter: letter, probe: p}, p.Wait)
+	c.expect(sentProbe{letter: letter, probe: p}, p.Timeout)
 	return proto.AppendProbe(b, letter)
 }
 
@@ -61,7 +61,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := a.probe
-	a.timer = time.AfterFunc(max(wait, c.limits.Receipt), func() {
+	a.timer = time.AfterFunc(max(wait, c.limits.ReceiptTimeout), func() {
 		if c.framesRead.Load() == before {
 			c.Fail(proto.ErrMute)
 		}
@@ -76,16 +76,16 @@
 		}
 		c.mu.Unlock()
 		if i >= 0 {
-			p.Done(Probed{Sent: true, Took: max(wait, c.limits.Receipt)})
+			p.Done(ProbeResult{Sent: true, Took: max(wait, c.limits.ReceiptTimeout)})
 		}
 	})
-	if c.pendingProbes = append(c.pendingProbes, a); len(c.pendingProbes) > c.limits.Queue {
+	if c.pendingProbes = append(c.pendingProbes, a); len(c.pendingProbes) > c.limits.QueueLength {
 		go c.Fail(proto.ErrMute) // the lock is held here
 	}
 }
 
 // report calls Done with the result, unless that was done already.
-func (a *sentProbe) report(r Probed) {
+func (a *sentProbe) report(r ProbeResult) {
 	if a.probe == nil {
 		return
 	}
@@ -105,9 +105,9 @@
 	c.pendingProbes = slices.Delete(c.pendingProbes, i, i+1)
 	c.mu.Unlock()
 	a.timer.Stop()
-	a.report(Probed{Sent: true, Answered: true, Word: word})
+	a.report(ProbeResult{Sent: true, Answered: true, Text: word})
 	if len(a.seqs) > 0 {
-		c.events.Told(c, a.seqs)
+		c.events.CancelsConfirmed(c, a.seqs)
 	}
 	return true
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -50,7 +50,7 @@
 	}
 	d := &Discovery{ln: ln, changed: make(chan struct{}), stranded: make(chan struct{})}
 	for _, h := range hosts {
-		d.Tell(h)
+		d.SetHost(h)
 	}
 	d.srv = &http.Server{Handler: d}
 	go d.srv.Serve(ln)
@@ -63,8 +63,8 @@
 // Close stops the service.
 func (d *Discovery) Close() { d.srv.Close() }
 
-// Tell adds or replaces one entry of the list.
-func (d *Discovery) Tell(h Host) {
+// SetHost adds or replaces one entry of the list.
+func (d *Discovery) SetHost(h Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seq++
@@ -77,8 +77,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Silence sets whether the service accepts calls without answering them.
-func (d *Discovery) Silence(on bool) {
+// SetSilent sets whether the service accepts calls without answering them.
+func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -90,16 +90,16 @@
 	}
 }
 
-// Strand leaves the watches that wait now unanswered for good. Later calls are answered.
-func (d *Discovery) Strand() {
+// StrandWatches leaves the watches that wait now unanswered for good. Later calls are answered.
+func (d *Discovery) StrandWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(d.stranded)
 	d.stranded = make(chan struct{})
 }
 
-// Garble makes the service answer each call with this text. An empty text restores normal answers.
-func (d *Discovery) Garble(text string) {
+// SetGarbage makes the service answer each call with this text. An empty text restores normal answers.
+func (d *Discovery) SetGarbage(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.garbage = text
@@ -154,8 +154,8 @@
 	json.NewEncoder(w).Encode(map[string]any{"seq": d.seq, "whole": whole, "hosts": hosts})
 }
 
-// Awaited returns once a watch waits for updates.
-func (d *Discovery) Awaited() {
+// AwaitWatch returns once a watch waits for updates.
+func (d *Discovery) AwaitWatch() {
 	for d.waiting.Load() == 0 {
 		runtime.Gosched()
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -39,10 +39,10 @@
 	return f, nil
 }
 
-// Book makes all searchers record their dispatches in one ledger.
-func (f *Fleet) Book(l *Ledger) {
+// SetLedger makes all searchers record their dispatches in one ledger.
+func (f *Fleet) SetLedger(l *Ledger) {
 	for _, s := range f.Searchers {
-		s.Book(l)
+		s.SetLedger(l)
 	}
 }
 
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Gone records that a connection has ended, and with it all dispatches in flight on it.
-func (l *Ledger) Gone(conn any) {
+// ConnectionEnded records that a connection has ended, and with it all dispatches in flight on it.
+func (l *Ledger) ConnectionEnded(conn any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id := range l.inFlight {
@@ -60,9 +60,9 @@
 	}
 }
 
-// Copies returns a description of each dispatch of a part that overlapped another one, and the largest number of
+// Overlaps returns a description of each dispatch of a part that overlapped another one, and the largest number of
 // dispatches of one part that were in flight at once.
-func (l *Ledger) Copies() (found []string, maxInFlight int) {
+func (l *Ledger) Overlaps() (found []string, maxInFlight int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.copies...), l.maxInFlight
--- a/internal/standin/searcher.go
+++ b/internal/standin/searcher.go
@@ -16,16 +16,16 @@
 
 // Reply describes how a searcher handles one part.
 type Reply struct {
-	After  time.Duration // delay of the answer
-	End    int           // 200, 500 or 503
-	Silent bool          // no answer is sent
-	Reset  bool          // the connection is closed instead of an answer
-	Half   bool          // with Reset: half of the answer is sent before the close
-	Junk   []byte        // bytes sent instead of an answer
-	// Late is how long the searcher stops reading on this connection. Meanwhile it neither receives what is written
+	Delay   time.Duration // time before the answer is sent
+	Status  int           // 200, 500 or 503
+	Silent  bool          // no answer is sent
+	Reset   bool          // the connection is closed instead of an answer
+	Half    bool          // with Reset: half of the answer is sent before the close
+	Garbage []byte        // bytes sent instead of an answer
+	// ReadPause is how long the searcher stops reading on this connection. Meanwhile it neither receives what is written
 	// there nor notices that it was closed.
-	Late time.Duration
-	Mute bool // no probe on this connection is answered from here on, though frames are still read
+	ReadPause    time.Duration
+	IgnoreProbes bool // no probe on this connection is answered from here on, though frames are still read
 }
 
 // Searcher is a stand-in searcher on one address.
@@ -72,22 +72,22 @@
 // Addr returns the address at which the searcher listens.
 func (s *Searcher) Addr() string { return s.ln.Addr().String() }
 
-// Book makes the searcher record its dispatches in a ledger, from the next connection on.
-func (s *Searcher) Book(l *Ledger) {
+// SetLedger makes the searcher record its dispatches in a ledger, from the next connection on.
+func (s *Searcher) SetLedger(l *Ledger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger = l
 }
 
-// Probed sets a function that is called for each probe as it is read.
-func (s *Searcher) Probed(f func(letter byte)) {
+// OnProbe sets a function that is called for each probe as it is read.
+func (s *Searcher) OnProbe(f func(letter byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probed = f
 }
 
-// Break closes all open connections.
-func (s *Searcher) Break() {
+// CloseConnections closes all open connections.
+func (s *Searcher) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.open {
@@ -104,7 +104,7 @@
 		close(s.done)
 	}
 	s.mu.Unlock()
-	s.Break()
+	s.CloseConnections()
 	s.wait.Wait()
 }
 
@@ -121,7 +121,7 @@
 		for _, t := range delayed {
 			t.Stop()
 		}
-		ledger.Gone(c)
+		ledger.ConnectionEnded(c)
 		c.Close()
 		s.mu.Lock()
 		delete(s.open, c)
@@ -153,21 +153,21 @@
 			for _, call := range calls {
 				ledger.Begin(call.ID, c, s.Addr())
 				reply := s.reply(call)
-				pause, mute = max(pause, reply.Late), mute || reply.Mute
-				answer := reply.Junk
+				pause, mute = max(pause, reply.ReadPause), mute || reply.IgnoreProbes
+				answer := reply.Garbage
 				if answer == nil {
-					answer = proto.AppendAnswer(nil, call.ID, reply.End, Score(call), Value(call))
+					answer = proto.AppendAnswer(nil, call.ID, reply.Status, Score(call), Value(call))
 				}
 				switch {
 				case reply.Silent:
 				case reply.Reset:
-					ledger.Gone(c)
+					ledger.ConnectionEnded(c)
 					if reply.Half {
 						send(answer[:len(answer)/2])
 					}
 					return
-				case reply.After > 0:
-					delayed = append(delayed, time.AfterFunc(reply.After, func() {
+				case reply.Delay > 0:
+					delayed = append(delayed, time.AfterFunc(reply.Delay, func() {
 						ledger.End(call.ID, c)
 						send(answer)
 					}))
--- a/mixer/client_test.go
+++ b/mixer/client_test.go
@@ -142,7 +142,7 @@
 		case arrived <- true:
 		default:
 		}
-		return standin.Reply{End: 200, Silent: strings.HasPrefix(c.ID, "gone")}
+		return standin.Reply{Status: 200, Silent: strings.HasPrefix(c.ID, "gone")}
 	}, func(s map[string]any) { s["limits"].(map[string]any)["maxOpen"] = 2 })
 	defer env.close()
 	ctx, leave := context.WithCancel(context.Background())
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newConnLimiter(ln, &Limits{Clients: 3, ClientYoung: time.Hour})
+	g := newConnLimiter(ln, &Limits{MaxClients: 3, NewConnGrace: time.Hour})
 	server := &http.Server{ConnState: g.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {})}
 	go server.Serve(g)
 	defer server.Close()
@@ -233,17 +233,19 @@
 		cfg := idleMixer(t).cfg
 		cfg.MemoryMB, cfg.Sockets = c.mb, c.sockets
 		l := newLimits(cfg)
-		sum := l.Clients*clientCost + l.Attempt.Connections*connCost + l.Big*largeBodyCost + int(l.Discovery.Body)
-		if sum > c.mb<<20*2/3 || l.Clients+l.Attempt.Connections+reservedSockets > c.sockets ||
-			l.Clients < c.sockets/3 && c.mb > 32 || l.Attempt.Connections < 64 {
-			t.Errorf("%+v: %d bytes, %d clients, %d connections, %d long bodies", c, sum, l.Clients, l.Attempt.Connections, l.Big)
+		sum := l.MaxClients*clientCost + l.Attempt.Connections*connCost + l.MaxLargeBodies*largeBodyCost + int(l.Discovery.Body)
+		if sum > c.mb<<20*2/3 || l.MaxClients+l.Attempt.Connections+reservedSockets > c.sockets ||
+			l.MaxClients < c.sockets/3 && c.mb > 32 || l.Attempt.Connections < 64 {
+			t.Errorf("%+v: %d bytes, %d clients, %d connections, %d large bodies", c, sum, l.MaxClients,
+				l.Attempt.Connections, l.MaxLargeBodies)
 		}
 	}
 }
 
 // Large bodies wait for one of a few places and fail while these stay taken. Small ones need no place.
 func TestLargeBodiesWait(t *testing.T) {
-	in := &scanTransport{limits: &Limits{Small: 4, Body: 16, ClientRead: 20 * time.Millisecond}, largeBodies: make(chan struct{}, 1)}
+	in := &scanTransport{limits: &Limits{SmallBodyBytes: 4, MaxBodyBytes: 16, ReadTimeout: 20 * time.Millisecond},
+		largeBodies: make(chan struct{}, 1)}
 	read := func(text string) (int, func(), error) {
 		b, release, err := in.readBody(&http.Request{Body: io.NopCloser(strings.NewReader(text))})
 		return len(b), release, err
--- a/mixer/conn_limiter.go
+++ b/mixer/conn_limiter.go
@@ -48,7 +48,7 @@
 }
 
 func newConnLimiter(ln net.Listener, limits *Limits) *connLimiter {
-	l := &connLimiter{Listener: ln, maxConns: limits.Clients, newGrace: limits.ClientYoung, idleGrace: limits.ClientSpare,
+	l := &connLimiter{Listener: ln, maxConns: limits.MaxClients, newGrace: limits.NewConnGrace, idleGrace: limits.IdleConnGrace,
 		conns: map[*client]bool{}}
 	l.freed.L = &l.mu
 	return l
--- a/mixer/duties.go
+++ b/mixer/duties.go
@@ -57,8 +57,8 @@
 		start: time.Now(), wake: make(chan struct{}, 1)}
 	var err error
 	d.scheduler, err = duty.New(duty.Settings{Name: c.Name, Incarnation: incarnation, Instances: settings.Instances,
-		Shares: limits.Shares, Lease: settings.Lease, MaxConcurrent: settings.Running,
-		WriteTimeout: min(limits.Link.Write, settings.Lease/4), Kinds: []duty.Kind{
+		Shares: limits.DutyShares, Lease: settings.Lease, MaxConcurrent: settings.Running,
+		WriteTimeout: min(limits.Link.WriteTimeout, settings.Lease/4), Kinds: []duty.Kind{
 			probeDuty: {Name: "probe", Interval: settings.Interval, StartupPeriod: settings.Young, StartupFactor: settings.Gentle},
 			auditDuty: {Name: "audit", Interval: settings.Audit, StartupFactor: 1},
 		}}, d, 0)
@@ -180,25 +180,25 @@
 // probe asks the owner to send a probe on one of the searcher's connections. Permit is checked when its bytes are
 // written.
 func (d *dutyRunner) probe(token uint64, target string) {
-	p := link.Probe{Load: d.loadReports, Wait: d.limits.Probe,
+	p := link.Probe{Load: d.loadReports, Timeout: d.limits.ProbeTimeout,
 		Permit: func() bool {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			return d.scheduler.Permit(token, d.now())
 		},
-		Done: func(r link.Probed) {
+		Done: func(r link.ProbeResult) {
 			outcome := duty.Failed
 			switch {
 			case !r.Sent:
 				outcome = duty.NotSent
-			case r.Answered && r.Word == "500":
+			case r.Answered && r.Text == "500":
 				outcome = duty.Refused
 			case r.Answered:
 				outcome = duty.Reached
 			}
 			load := ""
-			if d.loadReports && len(r.Word) <= d.limits.Load {
-				load = r.Word
+			if d.loadReports && len(r.Text) <= d.limits.MaxLoadReport {
+				load = r.Text
 			}
 			d.reportResult(token, outcome, r.Took, load)
 		}}
@@ -221,7 +221,7 @@
 		d.reportResult(token, duty.NotSent, 0, "")
 		return
 	}
-	ctx, cancel := context.WithTimeout(d.owner.ctx, d.limits.Audit)
+	ctx, cancel := context.WithTimeout(d.owner.ctx, d.limits.AuditTimeout)
 	defer cancel()
 	started := time.Now()
 	whole, err := d.watch.Whole(ctx)
@@ -278,7 +278,7 @@
 		ln.Close()
 		return nil, fmt.Errorf("duties.show: %w", err)
 	}
-	srv := &http.Server{ReadTimeout: d.limits.Audit, WriteTimeout: d.limits.Audit,
+	srv := &http.Server{ReadTimeout: d.limits.AuditTimeout, WriteTimeout: d.limits.AuditTimeout,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			d.mu.Lock()
 			d.scheduler.Advance(d.now())
--- a/mixer/duties_test.go
+++ b/mixer/duties_test.go
@@ -30,7 +30,7 @@
 func recordProbes(f *standin.Fleet) *probeLog {
 	p := &probeLog{at: map[int][]time.Time{}}
 	for i, s := range f.Searchers {
-		s.Probed(func(byte) {
+		s.OnProbe(func(byte) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.at[i] = append(p.at[i], time.Now())
@@ -135,13 +135,13 @@
 // Three mixers together probe each searcher once per interval. After one leaves in an orderly way, the others continue.
 // Probes are never counted as parts, and an answer to a probe does not confirm the end of a part.
 func TestThreeMixersShareProbes(t *testing.T) {
-	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{End: 200} }, nil)
+	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{Status: 200} }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	ledger := standin.NewLedger()
-	f.Book(ledger)
+	f.SetLedger(ledger)
 	p := recordProbes(f)
 	s := startGroup(t, f, 3, "400ms")
 	p.waitFor(t, 6, 4, time.Time{})
@@ -162,7 +162,7 @@
 	p.waitFor(t, 4, 4, time.Now())
 	s.leave(t, 0)
 	s.leave(t, 2)
-	if _, maxInFlight := ledger.Copies(); maxInFlight != 0 {
+	if _, maxInFlight := ledger.Overlaps(); maxInFlight != 0 {
 		t.Errorf("%d parts in flight", maxInFlight)
 	}
 	// Over all three mixers, no window of 2(N+1) intervals has twice the intended number of probes.
@@ -203,7 +203,7 @@
 
 // Disabled duties and fleet start no listener, no goroutine and no probe.
 func TestDutiesAreOff(t *testing.T) {
-	f, err := standin.NewFleet(2, func(int, proto.Call) standin.Reply { return standin.Reply{End: 200} }, nil)
+	f, err := standin.NewFleet(2, func(int, proto.Call) standin.Reply { return standin.Reply{Status: 200} }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/mixer/env_test.go
+++ b/mixer/env_test.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	env.fleet.Book(env.ledger)
+	env.fleet.SetLedger(env.ledger)
 	env.mixer = newMixer(t, env.fleet, edit)
 	ln, err := net.Listen("tcp", env.mixer.cfg.Listen)
 	if err != nil {
@@ -122,7 +122,7 @@
 	}
 	env.http.CloseIdleConnections()
 	env.fleet.Close()
-	if copies, _ := env.ledger.Copies(); len(copies) > 0 && !env.mixer.cfg.Settings.Brain.MayHedge {
+	if copies, _ := env.ledger.Overlaps(); len(copies) > 0 && !env.mixer.cfg.Settings.Brain.MayHedge {
 		env.t.Errorf("%d overlapping attempts: %.3q", len(copies), copies)
 	}
 }
@@ -175,7 +175,7 @@
 	return got, err
 }
 
-func answerOK(_, _ int, _ proto.Call) standin.Reply { return standin.Reply{End: 200} }
+func answerOK(_, _ int, _ proto.Call) standin.Reply { return standin.Reply{Status: 200} }
 
 func (env *testEnv) checkAnswer(id, class string, shards []int, got response, err error, at time.Time) string {
 	if err != nil {
@@ -191,7 +191,7 @@
 		attempts := env.seen[fmt.Sprintf("%s.%d", id, s)]
 		mayHaveRun := false
 		for i, d := range attempts {
-			mayHaveRun = mayHaveRun || d.reply.End != 503 || d.reply.Silent || d.reply.Reset || d.reply.Junk != nil
+			mayHaveRun = mayHaveRun || d.reply.Status != 503 || d.reply.Silent || d.reply.Reset || d.reply.Garbage != nil
 			if i+1 < len(attempts) && class == "once" && mayHaveRun {
 				return "a part that may have run was sent again"
 			}
@@ -222,7 +222,7 @@
 		total += weight
 		returned := false
 		for _, d := range env.seen[wire] {
-			returned = returned || d.reply.End == 200 && !d.reply.Silent && d.reply.Junk == nil && standin.Value(d.call) == r.Value
+			returned = returned || d.reply.Status == 200 && !d.reply.Silent && d.reply.Garbage == nil && standin.Value(d.call) == r.Value
 		}
 		if !returned {
 			return fmt.Sprintf("shard %d has a value that no searcher returned", r.Shard)
--- a/mixer/limits.go
+++ b/mixer/limits.go
@@ -14,38 +14,38 @@
 // Limits contains all sizes, counts and times that bound a mixer on sockets. They are computed at start from the
 // configuration and passed down. None of them affects how a scan is decided.
 type Limits struct {
-	Body          int           // largest request body, in bytes
-	Copy          int           // bytes of the buffer through which an answer is copied
-	Small         int           // bytes of a body that every request may have
-	Big           int           // concurrent requests with a longer body
-	Hold          time.Duration // upper bound of the deadline that a client asks for
-	Clients       int           // client connections; idle ones are closed to stay within the limit
-	Events        int           // length of the owner's event queue
-	Batch         int           // events handled under one clock reading
-	Processors    int
-	Memory        int64
-	Gather        time.Duration // between batches, if parts of one batch share calls
-	Head          int           // largest request head, in bytes
-	ClientHead    time.Duration // to receive a whole request head, from connecting or from its first byte
-	ClientRead    time.Duration // to receive a whole request
-	ClientYoung   time.Duration // a connection without a request younger than this is not the first to be evicted
-	ClientSpare   time.Duration // nor is an idle one younger than this
-	ClientWrite   time.Duration // to write an answer to the client
-	ClientIdle    time.Duration
-	Slack         time.Duration // after a scan's deadline, in which an answer still counts
-	StopTell      time.Duration // after SIGTERM: when clients are asked to close and accepting ends
-	StopFinish    time.Duration // after SIGTERM: when all requests must be answered
-	ReadyWait     time.Duration // for the first list from discovery, if the configuration has one
-	Link          link.Limits
-	Discovery     discovery.Limits
-	Attempt       attempt.Limits
-	Members       member.Limits
-	Shares        int           // number of shares that the shared duties are divided into
-	Probe         time.Duration // timeout of a probe
-	Load          int           // largest load report sent to other instances, in bytes
-	Audit         time.Duration // timeout of a list audit or of an operator's request
-	LogFirst      int           // log lines with one message per second, then every LogThereafter-th
-	LogThereafter int
+	MaxBodyBytes      int           // largest request body, in bytes
+	CopyBufferBytes   int           // bytes of the buffer through which an answer is copied
+	SmallBodyBytes    int           // bytes of a body that every request may have
+	MaxLargeBodies    int           // concurrent requests with a longer body
+	MaxWait           time.Duration // upper bound of the deadline that a client asks for
+	MaxClients        int           // client connections; idle ones are closed to stay within the limit
+	EventQueue        int           // length of the owner's event queue
+	MaxBatch          int           // events handled under one clock reading
+	Processors        int
+	Memory            int64
+	GatherInterval    time.Duration // between batches, if parts of one batch share calls
+	MaxHeadBytes      int           // largest request head, in bytes
+	HeadTimeout       time.Duration // to receive a whole request head, from connecting or from its first byte
+	ReadTimeout       time.Duration // to receive a whole request
+	NewConnGrace      time.Duration // a connection without a request younger than this is not the first to be evicted
+	IdleConnGrace     time.Duration // nor is an idle one younger than this
+	WriteTimeout      time.Duration // to write an answer to the client
+	IdleTimeout       time.Duration
+	Slack             time.Duration // after a scan's deadline, in which an answer still counts
+	CloseClientsAfter time.Duration // after SIGTERM: when clients are asked to close and accepting ends
+	StopTimeout       time.Duration // after SIGTERM: when all requests must be answered
+	FirstListTimeout  time.Duration // for the first list from discovery, if the configuration has one
+	Link              link.Limits
+	Discovery         discovery.Limits
+	Attempt           attempt.Limits
+	Members           member.Limits
+	DutyShares        int           // number of shares that the shared duties are divided into
+	ProbeTimeout      time.Duration // timeout of a probe
+	MaxLoadReport     int           // largest load report sent to other instances, in bytes
+	AuditTimeout      time.Duration // timeout of a list audit or of an operator's request
+	LogFirst          int           // log lines with one message per second, then every LogThereafter-th
+	LogThereafter     int
 }
 
 // Descriptors that are neither clients nor searchers: standard streams, listener, poller, discovery and a reserve.
@@ -83,31 +83,34 @@
 		gatherInterval = settings.Brain.Granularity
 	}
 	return Limits{
-		Gather: gatherInterval,
-		Body:   64 << 10, Copy: 4 << 10, Small: 4 << 10, Big: max(2, memory/8/largeBodyCost), Hold: 2 * longest,
-		Clients: min(sockets/2, memory/3/clientCost),
+		GatherInterval: gatherInterval,
+		MaxBodyBytes:   64 << 10, CopyBufferBytes: 4 << 10, SmallBodyBytes: 4 << 10,
+		MaxLargeBodies: max(2, memory/8/largeBodyCost), MaxWait: 2 * longest,
+		MaxClients: min(sockets/2, memory/3/clientCost),
 		Attempt: attempt.Limits{Connections: min(sockets/2, memory/8/connCost),
 			ConnectionsPerSearcher: (settings.OpenMost + settings.Streams - 1) / settings.Streams,
 			PartsPerConnection:     settings.Streams, AnswerHistory: 2 * settings.Streams, Open: settings.OpenMost,
 			IdleTimeout: settings.Idle / 5 * 4, LogInterval: 10 * time.Second},
-		Events: 1024, Batch: 256,
+		EventQueue: 1024, MaxBatch: 256,
 		Processors: int(math.Ceil(c.Cores)), Memory: int64(c.MemoryMB) << 20 / 4 * 3,
 		// Every client gets a response or a closed connection within three seconds, silent ones too.
-		Head: 8 << 10, ClientHead: 2 * time.Second, ClientRead: 2500 * time.Millisecond,
-		ClientYoung: 100 * time.Millisecond, ClientSpare: 2 * time.Second, ClientIdle: 15 * time.Second,
-		ClientWrite: 2*longest + 5*time.Second,
-		Slack:       settings.Slack,
+		MaxHeadBytes: 8 << 10, HeadTimeout: 2 * time.Second, ReadTimeout: 2500 * time.Millisecond,
+		NewConnGrace: 100 * time.Millisecond, IdleConnGrace: 2 * time.Second, IdleTimeout: 15 * time.Second,
+		WriteTimeout: 2*longest + 5*time.Second,
+		Slack:        settings.Slack,
 		// The last client still has the shortest query timeout left. Clients whose front has no other mixer to switch
 		// to, as in a rolling restart, are served on their existing connections until then.
-		StopTell: max(minAcceptAfterStop, stopDeadline-shortest), StopFinish: stopDeadline,
-		ReadyWait: 500 * time.Millisecond,
-		Link: link.Limits{Frame: 128 << 10, Queue: 1024, Connect: settings.Connect, Write: settings.Connect, Rest: settings.Connect / 2,
-			Receipt: settings.Connect / 5, Linger: 2 * settings.Connect, Word: 256, Keep: 4 << 10},
+		CloseClientsAfter: max(minAcceptAfterStop, stopDeadline-shortest), StopTimeout: stopDeadline,
+		FirstListTimeout: 500 * time.Millisecond,
+		Link: link.Limits{MaxFrameBytes: 128 << 10, QueueLength: 1024, ConnectTimeout: settings.Connect,
+			WriteTimeout: settings.Connect, FrameTimeout: settings.Connect / 2,
+			ReceiptTimeout: settings.Connect / 5, LingerTimeout: 2 * settings.Connect, MaxProbeAnswer: 256, MaxKeptBuffer: 4 << 10},
 		Discovery: discovery.Limits{Body: int64(min(8<<20, memory/16)), Call: 1500 * time.Millisecond, Wait: 4 * time.Second,
 			Pause: time.Second},
 		Members: member.Limits{Packet: 1400, Queue: 256, Send: time.Second, Rejoin: 2 * time.Second, Leave: time.Second,
 			Probe: 500 * time.Millisecond},
-		Shares: min(1<<14, 8*c.Ours.Duties.Instances), Probe: settings.Connect, Load: 64, Audit: 2 * time.Second,
+		DutyShares: min(1<<14, 8*c.Ours.Duties.Instances), ProbeTimeout: settings.Connect,
+		MaxLoadReport: 64, AuditTimeout: 2 * time.Second,
 		LogFirst: 5, LogThereafter: 100,
 	}
 }
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -56,8 +56,8 @@
 	return &Mixer{cfg: c, limits: limits, log: log, watch: discovery.New(c.Discovery, limits.Discovery)}, nil
 }
 
-// Confine sets the processor and memory limits of the whole process. A program that embeds a mixer may set its own.
-func (m *Mixer) Confine() {
+// SetProcessLimits sets the processor and memory limits of the whole process. A program that embeds a mixer may set its own.
+func (m *Mixer) SetProcessLimits() {
 	runtime.GOMAXPROCS(m.limits.Processors)
 	debug.SetMemoryLimit(m.limits.Memory)
 }
@@ -104,11 +104,11 @@
 	defer closeLinks()
 
 	t := &scanTransport{owner: o, limits: &m.limits, log: m.log, closeClients: m.closeClients.Load,
-		largeBodies: make(chan struct{}, m.limits.Big)}
+		largeBodies: make(chan struct{}, m.limits.MaxLargeBodies)}
 	limiter := newConnLimiter(ln, &m.limits)
 	srv := &http.Server{Handler: m.routes(limiter, t.handler()), ConnState: limiter.state, ConnContext: withClient,
-		ReadHeaderTimeout: m.limits.ClientHead, ReadTimeout: m.limits.ClientRead, WriteTimeout: m.limits.ClientWrite,
-		IdleTimeout: m.limits.ClientIdle, MaxHeaderBytes: m.limits.Head, ErrorLog: zap.NewStdLog(m.log),
+		ReadHeaderTimeout: m.limits.HeadTimeout, ReadTimeout: m.limits.ReadTimeout, WriteTimeout: m.limits.WriteTimeout,
+		IdleTimeout: m.limits.IdleTimeout, MaxHeaderBytes: m.limits.MaxHeadBytes, ErrorLog: zap.NewStdLog(m.log),
 		DisableGeneralOptionsHandler: true} // each request must pass connLimiter.admit, see framing
 	failed := make(chan error, 1)
 	all.Go(func() { failed <- srv.Serve(limiter) })
@@ -141,7 +141,7 @@
 func (m *Mixer) whenReady(ctx context.Context, first <-chan struct{}) {
 	var wait <-chan time.Time
 	if len(m.cfg.Known.Hosts) > 0 {
-		t := time.NewTimer(m.limits.ReadyWait)
+		t := time.NewTimer(m.limits.FirstListTimeout)
 		defer t.Stop()
 		wait = t.C
 	}
@@ -176,7 +176,7 @@
 func (m *Mixer) finish(srv *http.Server, o *owner) error {
 	m.stopping.Store(true)
 	m.log.Info("stopping")
-	o.post(func() { o.Stop(m.limits.StopFinish) })
+	o.post(func() { o.Stop(m.limits.StopTimeout) })
 	peersLeft := make(chan struct{})
 	go func() {
 		defer close(peersLeft)
@@ -185,9 +185,9 @@
 		}
 	}()
 	defer func() { <-peersLeft }()
-	time.Sleep(m.limits.StopTell)
+	time.Sleep(m.limits.CloseClientsAfter)
 	m.closeClients.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), m.limits.StopFinish-m.limits.StopTell+m.limits.Slack)
+	ctx, cancel := context.WithTimeout(context.Background(), m.limits.StopTimeout-m.limits.CloseClientsAfter+m.limits.Slack)
 	defer cancel()
 	if err := srv.Shutdown(ctx); err != nil {
 		// Every scan has been answered by now: only connections that never sent a whole request are left.
--- a/mixer/mixer_test.go
+++ b/mixer/mixer_test.go
@@ -33,7 +33,7 @@
 		rng := rand.New(rand.NewSource(seed))
 		faultRate, faultRng := rng.Float64()*0.4, rand.New(rand.NewSource(seed+1)) // faultRng is used under the environment's lock
 		env := startEnv(t, 4, func(_, _ int, c proto.Call) standin.Reply {
-			r := standin.Reply{End: 200, After: time.Duration(faultRng.Intn(15)) * time.Millisecond}
+			r := standin.Reply{Status: 200, Delay: time.Duration(faultRng.Intn(15)) * time.Millisecond}
 			if faultRng.Float64() < faultRate {
 				switch faultRng.Intn(8) {
 				case 0, 1:
@@ -43,11 +43,11 @@
 				case 3:
 					r.Reset, r.Half = true, true
 				case 4, 5:
-					r.End = 503
+					r.Status = 503
 				case 6:
-					r.End = 500
+					r.Status = 500
 				case 7:
-					r.Junk = []byte("\xff\xff\xff\xffO") // length above the limit
+					r.Garbage = []byte("\xff\xff\xff\xffO") // length above the limit
 				}
 			}
 			return r
@@ -101,7 +101,7 @@
 // Two attempts of a part are never in flight at once: a silent searcher reads the cancellation before another is asked.
 func TestPartIsCancelledBeforeRetry(t *testing.T) {
 	env := startEnv(t, 4, func(_, attemptIndex int, c proto.Call) standin.Reply {
-		return standin.Reply{End: 200, Silent: attemptIndex == 0 && strings.HasPrefix(c.ID, "stuck")}
+		return standin.Reply{Status: 200, Silent: attemptIndex == 0 && strings.HasPrefix(c.ID, "stuck")}
 	}, longDeadlines)
 	defer env.close()
 	env.warm()
@@ -130,7 +130,7 @@
 func TestUnresponsiveSearcherIsAbandonedSoon(t *testing.T) {
 	env := startEnv(t, 4, func(_, attemptIndex int, c proto.Call) standin.Reply {
 		first := attemptIndex == 0 && strings.HasPrefix(c.ID, "mute")
-		return standin.Reply{End: 200, Silent: first, Mute: first}
+		return standin.Reply{Status: 200, Silent: first, IgnoreProbes: first}
 	}, longDeadlines)
 	defer env.close()
 	env.warm()
@@ -157,9 +157,9 @@
 			case arrived <- struct{}{}:
 			default:
 			}
-			return standin.Reply{End: 200, After: 200 * time.Millisecond}
+			return standin.Reply{Status: 200, Delay: 200 * time.Millisecond}
 		}
-		return standin.Reply{End: 200}
+		return standin.Reply{Status: 200}
 	}, longDeadlines)
 	held := make(chan response, 1)
 	go func() {
@@ -203,13 +203,13 @@
 	}
 	defer to.Close()
 	for i := range env.fleet.Searchers {
-		to.Tell(env.fleet.Host(i, "draining"))
+		to.SetHost(env.fleet.Host(i, "draining"))
 	}
 	good := string(env.fleet.Config(nil))
 	again, read := make(chan os.Signal), make(chan string, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go env.mixer.Follow(ctx, again, func() (Config, error) {
+	go env.mixer.ReloadOnSignal(ctx, again, func() (Config, error) {
 		return Load(configEnv, func(string) ([]byte, error) { return []byte(<-read), nil })
 	})
 	for _, text := range []string{"no json", strings.Replace(good, env.fleet.Discovery.Addr(), "nowhere", 1), good} {
@@ -221,7 +221,7 @@
 	}
 	again <- syscall.SIGHUP
 	read <- strings.Replace(good, env.fleet.Discovery.Addr(), to.Addr(), 1)
-	env.fleet.Discovery.Silence(true)
+	env.fleet.Discovery.SetSilent(true)
 	for i := 0; ; i++ { // all searchers drain in the new list, so nothing new is sent to them
 		g, err := env.ask(fmt.Sprint("after", i), "narrow", "30000m", body(1, 2))
 		if err != nil {
@@ -260,9 +260,9 @@
 // a searcher that reads late would still have the first attempt in flight beside the second.
 func TestPartIsRetriedAfterConfirmedCancel(t *testing.T) {
 	env := startEnv(t, 4, func(_, attemptIndex int, c proto.Call) standin.Reply {
-		r := standin.Reply{End: 200}
+		r := standin.Reply{Status: 200}
 		if attemptIndex == 0 && strings.HasPrefix(c.ID, "stuck") {
-			r.Silent, r.Late = true, 150*time.Millisecond
+			r.Silent, r.ReadPause = true, 150*time.Millisecond
 		}
 		return r
 	}, longDeadlines)
@@ -271,7 +271,7 @@
 	if g, err := env.ask("stuck", "narrow", "30000m", body(1)); err != nil || g.status != 200 {
 		t.Errorf("%+v %v", g, err)
 	}
-	if _, maxInFlight := env.ledger.Copies(); maxInFlight != 1 {
+	if _, maxInFlight := env.ledger.Overlaps(); maxInFlight != 1 {
 		t.Errorf("%d attempts of one part in flight at once", maxInFlight)
 	}
 }
@@ -289,27 +289,27 @@
 			faultRate := rng.Float64() * 0.3
 			env := startEnv(t, 5, func(int, int, proto.Call) standin.Reply {
 				ms := func(n int) time.Duration { return time.Duration(faultRng.Intn(n)) * time.Millisecond }
-				r := standin.Reply{End: 200, After: ms(15)}
+				r := standin.Reply{Status: 200, Delay: ms(15)}
 				if faultRng.Float64() >= faultRate {
 					return r
 				}
 				switch faultRng.Intn(8) {
 				case 0:
-					r.Silent, r.Late = true, ms(200)
+					r.Silent, r.ReadPause = true, ms(200)
 				case 1:
-					r.Late = ms(200)
+					r.ReadPause = ms(200)
 				case 2:
-					r.Silent, r.Mute = true, true
+					r.Silent, r.IgnoreProbes = true, true
 				case 3: // never reads again
-					r.Silent, r.Late = true, time.Hour
+					r.Silent, r.ReadPause = true, time.Hour
 				case 4: // stops in the middle of an answer, and may continue to read later
-					r.Junk, r.Late = []byte("\x40\x00\x00\x00Ox.1"), ms(400)
+					r.Garbage, r.ReadPause = []byte("\x40\x00\x00\x00Ox.1"), ms(400)
 				case 5:
 					r.Reset, r.Half = true, faultRng.Intn(2) == 0
 				case 6:
-					r.Junk, r.Late = []byte("\xff\xff\xff\xffO"), ms(100)
+					r.Garbage, r.ReadPause = []byte("\xff\xff\xff\xffO"), ms(100)
 				case 7:
-					r.End = 503
+					r.Status = 503
 				}
 				return r
 			}, nil)
@@ -335,7 +335,7 @@
 func TestNoGoroutineIsLeft(t *testing.T) {
 	before := runtime.NumGoroutine()
 	env := startEnv(t, 4, func(_, attemptIndex int, c proto.Call) standin.Reply {
-		return standin.Reply{End: 200, Silent: attemptIndex == 0 && strings.HasSuffix(c.ID, ".1")}
+		return standin.Reply{Status: 200, Silent: attemptIndex == 0 && strings.HasSuffix(c.ID, ".1")}
 	}, nil)
 	for i := range 5 {
 		if _, err := env.ask(fmt.Sprint("a", i), "narrow", "300m", body(1, 2)); err != nil {
@@ -356,7 +356,7 @@
 }
 
 func BenchmarkScan(b *testing.B) {
-	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{End: 200} }, nil)
+	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{Status: 200} }, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/mixer/owner.go
+++ b/mixer/owner.go
@@ -32,7 +32,7 @@
 
 func newOwner(ctx context.Context, c *config.Config, limits Limits, log *zap.Logger, requestList func()) *owner {
 	o := &owner{limits: limits, log: log, ctx: ctx, start: time.Now(), requestList: requestList,
-		events: make(chan func(), limits.Events), ended: make(chan struct{})}
+		events: make(chan func(), limits.EventQueue), ended: make(chan struct{})}
 	o.guardFunc = o.guard
 	o.Coordinator = attempt.New(&c.Settings, limits.Attempt, transport{o}, o.start)
 	return o
@@ -63,8 +63,8 @@
 				return
 			}
 		}
-		if o.limits.Gather > 0 {
-			timer.Reset(max(0, o.Now()+o.limits.Gather-time.Since(o.start)))
+		if o.limits.GatherInterval > 0 {
+			timer.Reset(max(0, o.Now()+o.limits.GatherInterval-time.Since(o.start)))
 			select {
 			case <-timer.C:
 			case <-done:
@@ -81,7 +81,7 @@
 	if first != nil {
 		o.guard(first)
 	}
-	for range o.limits.Batch {
+	for range o.limits.MaxBatch {
 		select {
 		case f := <-o.events:
 			o.guard(f)
@@ -157,10 +157,10 @@
 	conn  *attempt.Connection
 }
 
-func (e connEvents) Answered(_ *link.Conn, a proto.Answer, more bool) {
+func (e connEvents) AnswerReceived(_ *link.Conn, a proto.Answer, more bool) {
 	e.owner.post(func() { e.owner.Coordinator.AnswerReceived(e.conn, a, more) })
 }
-func (e connEvents) Told(_ *link.Conn, seqs []uint64) {
+func (e connEvents) CancelsConfirmed(_ *link.Conn, seqs []uint64) {
 	e.owner.post(func() { e.owner.Coordinator.CancelsConfirmed(e.conn, seqs) })
 }
 func (e connEvents) Closing(_ *link.Conn, why error) {
--- a/mixer/reload.go
+++ b/mixer/reload.go
@@ -7,9 +7,10 @@
 	"go.uber.org/zap"
 )
 
-// Follow reloads the configuration at each signal, until the context ends. If the new one is invalid, the old one stays
-// in force. Signals that arrive during a reload may be merged in the channel: the next reload reads the latest file.
-func (m *Mixer) Follow(ctx context.Context, signals <-chan os.Signal, load func() (Config, error)) {
+// ReloadOnSignal reloads the configuration at each signal, until the context ends. If the new one is invalid,
+// the old one stays in force. Signals that arrive during a reload may be merged in the channel: the next reload reads the
+// latest file.
+func (m *Mixer) ReloadOnSignal(ctx context.Context, signals <-chan os.Signal, load func() (Config, error)) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/mixer/scan_transport.go
+++ b/mixer/scan_transport.go
@@ -36,7 +36,7 @@
 			r.Out.URL.Scheme, r.Out.URL.Host = "http", "searchers"
 		},
 		Transport:  t,
-		BufferPool: newBufferPool(t.limits.Copy),
+		BufferPool: newBufferPool(t.limits.CopyBufferBytes),
 		// ReverseProxy has removed the hop-by-hop headers by now, so Connection stays if it is set here.
 		ModifyResponse: func(res *http.Response) error {
 			if res.Close || t.closeClients() {
@@ -76,7 +76,7 @@
 	if r.Method != http.MethodPost {
 		return textResponse(r, http.StatusMethodNotAllowed, "only POST is supported"), nil
 	}
-	if r.ContentLength > int64(t.limits.Body) {
+	if r.ContentLength > int64(t.limits.MaxBodyBytes) {
 		return t.bodyTooLong(r), nil
 	}
 	body, release, err := t.readBody(r)
@@ -85,14 +85,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("body: %w", err)
 	}
-	if len(body) > t.limits.Body {
+	if len(body) > t.limits.MaxBodyBytes {
 		return t.bodyTooLong(r), nil
 	}
 	q, err := proto.ReadQuery(r, body)
 	if err != nil {
 		return textResponse(r, http.StatusBadRequest, err.Error()), nil
 	}
-	q.Wait = min(q.Wait, t.limits.Hold)
+	q.Wait = min(q.Wait, t.limits.MaxWait)
 	a, err := t.await(r.Context(), q, arrived)
 	if err != nil {
 		return nil, err
@@ -122,11 +122,11 @@
 		return nil, release, nil
 	}
 	defer r.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(r.Body, int64(t.limits.Small)+1))
-	if err != nil || len(body) <= t.limits.Small {
+	body, err = io.ReadAll(io.LimitReader(r.Body, int64(t.limits.SmallBodyBytes)+1))
+	if err != nil || len(body) <= t.limits.SmallBodyBytes {
 		return body, release, err
 	}
-	timeout := time.NewTimer(t.limits.ClientRead)
+	timeout := time.NewTimer(t.limits.ReadTimeout)
 	defer timeout.Stop()
 	select {
 	case t.largeBodies <- struct{}{}:
@@ -134,7 +134,7 @@
 	case <-timeout.C:
 		return nil, release, errors.New("too many large bodies in flight")
 	}
-	rest, err := io.ReadAll(io.LimitReader(r.Body, int64(t.limits.Body-t.limits.Small)))
+	rest, err := io.ReadAll(io.LimitReader(r.Body, int64(t.limits.MaxBodyBytes-t.limits.SmallBodyBytes)))
 	return append(body, rest...), release, err
 }
 
@@ -162,7 +162,7 @@
 
 // bodyTooLong returns a response that also closes the connection, so that the rest of the body need not be read.
 func (t *scanTransport) bodyTooLong(r *http.Request) *http.Response {
-	res := textResponse(r, http.StatusRequestEntityTooLarge, fmt.Sprintf("body: more than %d bytes", t.limits.Body))
+	res := textResponse(r, http.StatusRequestEntityTooLarge, fmt.Sprintf("body: more than %d bytes", t.limits.MaxBodyBytes))
 	res.Close = true
 	return res
 }
