--- a/internal/link/probe.go
+++ b/internal/link/probe.go
@@ -94,7 +94,7 @@
 }
 
 // answered handles an answer, which belongs to the oldest probe with the same letter. It returns false if there is none.
-func (c *Conn) answered(letter byte, word string) bool {
+func (c *Conn) answered(letter byte, text string) bool {
 	c.mu.Lock()
 	i := slices.IndexFunc(c.pendingProbes, func(a sentProbe) bool { return a.letter == letter })
 	if i < 0 {
@@ -105,7 +105,7 @@
 	c.pendingProbes = slices.Delete(c.pendingProbes, i, i+1)
 	c.mu.Unlock()
 	a.timer.Stop()
-	a.report(ProbeResult{Sent: true, Answered: true, Text: word})
+	a.report(ProbeResult{Sent: true, Answered: true, Text: text})
 	if len(a.seqs) > 0 {
 		c.events.CancelsConfirmed(c, a.seqs)
 	}
--- a/mixer/limits.go
+++ b/mixer/limits.go
@@ -44,14 +44,15 @@
 	ProbeTimeout      time.Duration // timeout of a probe
 	MaxLoadReport     int           // largest load report sent to other instances, in bytes
 	AuditTimeout      time.Duration // timeout of a list audit or of an operator's request
-	LogFirst          int           // log lines with one message per second, then every LogThereafter-th
+	LogFirst          int           // log lines with the same message per second, after which every LogThereafter-th is written
 	LogThereafter     int
 }
 
 // Descriptors that are neither clients nor searchers: standard streams, listener, poller, discovery and a reserve.
 const reservedSockets = 32
 
-// The platform kills the process no sooner than min(longest query timeout, killCut) + killExtra after SIGTERM.
+// The platform kills the process no sooner than min(longest query timeout, maxKillTimeout) + killExtra
+// after SIGTERM.
 const (
 	maxKillTimeout = 3 * time.Second
 	killExtra      = 700 * time.Millisecond
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -73,19 +73,19 @@
 
 // Serve does the same as Run on a listener opened by the caller, and closes the listener.
 func (m *Mixer) Serve(ctx context.Context, ln net.Listener) error {
-	links, closeLinks := context.WithCancel(context.Background())
-	o := newOwner(links, &m.cfg, m.limits, m.log, m.watch.Ask)
-	first := make(chan struct{})
+	connCtx, closeConns := context.WithCancel(context.Background())
+	o := newOwner(connCtx, &m.cfg, m.limits, m.log, m.watch.Ask)
+	firstList := make(chan struct{})
 	var once sync.Once
 	onList := func(mode policy.ListMode, l proto.List) {
 		o.post(func() { o.ApplyList(mode, l) })
 		if mode != policy.Unavailable {
-			o.post(func() { once.Do(func() { close(first) }) })
+			o.post(func() { once.Do(func() { close(firstList) }) })
 		}
 	}
 	closeStatus, err := m.joinPeers(o)
 	if err != nil {
-		closeLinks()
+		closeConns()
 		return err
 	}
 	defer closeStatus()
@@ -93,42 +93,42 @@
 	o.Start()
 
 	done := make(chan struct{})
-	var all sync.WaitGroup
-	all.Go(func() { o.run(done) })
-	all.Go(func() { m.watch.Run(links, onList) })
-	if c := m.peers.Load(); c != nil {
-		all.Go(func() { c.run(links) })
+	var workers sync.WaitGroup
+	workers.Go(func() { o.run(done) })
+	workers.Go(func() { m.watch.Run(connCtx, onList) })
+	if peers := m.peers.Load(); peers != nil {
+		workers.Go(func() { peers.run(connCtx) })
 	}
-	defer all.Wait()
+	defer workers.Wait()
 	defer close(done)
-	defer closeLinks()
+	defer closeConns()
 
 	t := &scanTransport{owner: o, limits: &m.limits, log: m.log, closeClients: m.closeClients.Load,
 		largeBodies: make(chan struct{}, m.limits.MaxLargeBodies)}
 	limiter := newConnLimiter(ln, &m.limits)
-	srv := &http.Server{Handler: m.routes(limiter, t.handler()), ConnState: limiter.state, ConnContext: withClient,
+	server := &http.Server{Handler: m.routes(limiter, t.handler()), ConnState: limiter.state, ConnContext: withClient,
 		ReadHeaderTimeout: m.limits.HeadTimeout, ReadTimeout: m.limits.ReadTimeout, WriteTimeout: m.limits.WriteTimeout,
 		IdleTimeout: m.limits.IdleTimeout, MaxHeaderBytes: m.limits.MaxHeadBytes, ErrorLog: zap.NewStdLog(m.log),
 		DisableGeneralOptionsHandler: true} // each request must pass connLimiter.admit, see framing
 	failed := make(chan error, 1)
-	all.Go(func() { failed <- srv.Serve(limiter) })
-	all.Go(func() { m.whenReady(links, first) })
+	workers.Go(func() { failed <- server.Serve(limiter) })
+	workers.Go(func() { m.whenReady(connCtx, firstList) })
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	return m.finish(srv, o)
+	return m.finish(server, o)
 }
 
 // joinPeers starts the work that the settings share with other instances. It returns a function that closes the status socket.
 func (m *Mixer) joinPeers(o *owner) (closeStatus func(), err error) {
-	c, err := m.newPeerGroup(o)
-	if c == nil {
+	peers, err := m.newPeerGroup(o)
+	if peers == nil {
 		return func() {}, err
 	}
-	m.peers.Store(c)
-	if d := c.duties; d != nil {
+	m.peers.Store(peers)
+	if d := peers.duties; d != nil {
 		o.onHosts = d.setTargets
 		if path := m.cfg.Ours.Duties.Show; path != "" {
 			return d.serveStatus(path, m.cfg.Name)
@@ -138,7 +138,7 @@
 }
 
 // whenReady waits for the first list from discovery, or for a limited time if the configuration contains a list.
-func (m *Mixer) whenReady(ctx context.Context, first <-chan struct{}) {
+func (m *Mixer) whenReady(ctx context.Context, firstList <-chan struct{}) {
 	var wait <-chan time.Time
 	if len(m.cfg.Known.Hosts) > 0 {
 		t := time.NewTimer(m.limits.FirstListTimeout)
@@ -146,7 +146,7 @@
 		wait = t.C
 	}
 	select {
-	case <-first:
+	case <-firstList:
 	case <-wait:
 	case <-ctx.Done():
 		return
@@ -173,15 +173,15 @@
 }
 
 // finish keeps accepting requests for a while, then answers those in flight and shuts the server down.
-func (m *Mixer) finish(srv *http.Server, o *owner) error {
+func (m *Mixer) finish(server *http.Server, o *owner) error {
 	m.stopping.Store(true)
 	m.log.Info("stopping")
 	o.post(func() { o.Stop(m.limits.StopTimeout) })
 	peersLeft := make(chan struct{})
 	go func() {
 		defer close(peersLeft)
-		if c := m.peers.Load(); c != nil {
-			c.leave()
+		if peers := m.peers.Load(); peers != nil {
+			peers.leave()
 		}
 	}()
 	defer func() { <-peersLeft }()
@@ -189,10 +189,10 @@
 	m.closeClients.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), m.limits.StopTimeout-m.limits.CloseClientsAfter+m.limits.Slack)
 	defer cancel()
-	if err := srv.Shutdown(ctx); err != nil {
+	if err := server.Shutdown(ctx); err != nil {
 		// Every scan has been answered by now: only connections that never sent a whole request are left.
 		m.log.Warn("client connections closed by force", zap.Error(err))
-		return srv.Close()
+		return server.Close()
 	}
 	m.log.Info("stopped")
 	return nil
--- a/mixer/reload.go
+++ b/mixer/reload.go
@@ -33,8 +33,8 @@
 		m.log.Warn("changed keys that take effect only at a start", zap.Strings("keys", keys))
 	}
 	m.watch.Move(c.Discovery)
-	if c := m.peers.Load(); c != nil {
-		if g := c.joined(); g != nil {
+	if peers := m.peers.Load(); peers != nil {
+		if g := peers.joined(); g != nil {
 			if err := g.Rotate(); err != nil {
 				m.log.Error("keys not read again, the old ones stay in force", zap.Error(err))
 			}
