--- a/agent/agent.go
+++ b/agent/agent.go
@@ -19,69 +19,69 @@
 	"peathollow/retrybudget"
 )
 
-// Agent is one agent.
+// Agent relays the searcher list and the configuration from a controller to the proxy on the same machine.
 type Agent struct {
-	set   *settings.Settings
-	log   *log.Logger
-	life  string
-	board *distribution.Replica
-	heart *heart
+	settings    *settings.Settings
+	log         *log.Logger
+	incarnation string
+	replica     *distribution.Replica
+	heartbeats  *heartbeater
 
 	leaving atomic.Bool
-	link    link
-	proxies *proxyLives
+	link    linkStats
+	proxies *proxyIncarnations
 }
 
-// New makes an agent from what it is told.
-func New(s *settings.Settings, life string, l *log.Logger) *Agent {
-	return &Agent{set: s, log: l, life: life, proxies: newProxyLives(retrybudget.ChargeLifetime(s.RetryWindow), time.Now()),
-		board: distribution.NewReplica(registry.New(registry.Config{Name: life, Relay: true, Period: s.BeatPeriod, Start: time.Now()}))}
+// New returns an agent with the given settings and name of its incarnation. It does nothing until Run is called.
+func New(s *settings.Settings, incarnation string, l *log.Logger) *Agent {
+	return &Agent{settings: s, log: l, incarnation: incarnation, proxies: newProxyIncarnations(retrybudget.ChargeLifetime(s.RetryWindow), time.Now()),
+		replica: distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Relay: true, Period: s.BeatPeriod, Start: time.Now()}))}
 }
 
-// Run serves until ctx ends, and for most of the time of grace after it: the proxy leaves at the same time, and what it
-// still sends must follow the news.
+// Run serves until ctx ends and for most of the grace period after that: the proxy shuts down at the same time, and the
+// requests that it still sends need current data.
 func (a *Agent) Run(ctx context.Context) error {
-	ln, err := net.Listen("tcp", proxy.AgentAddress(a.set))
+	ln, err := net.Listen("tcp", proxy.AgentAddress(a.settings))
 	if err != nil {
 		return errors.Wrap(err, "listen, loopback")
 	}
-	all, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	s := distribution.Server{Replica: a.board, OnRequest: func(ask *distribution.PullRequest) {
+	s := distribution.Server{Replica: a.replica, OnRequest: func(request *distribution.PullRequest) {
 		now := time.Now()
-		a.proxies.met(now, ask)
-		a.board.SetSlackSpent(a.proxies.slackSpent(now)) // before the answer to ask new life
+		a.proxies.recordPull(now, request)
+		a.replica.SetSlackSpent(a.proxies.slackSpent(now)) // before the response to a new incarnation is built
 	}}
-	go s.Serve(all, ln)
-	if a.heart, err = newHeart(a, heartbeatEvery); err != nil {
+	go s.Serve(serveCtx, ln)
+	if a.heartbeats, err = newHeartbeater(a, heartbeatInterval); err != nil {
 		a.log.Error().Str("event", "heartbeats").Err(err).Msg("")
 	}
-	go a.heart.run(all)
-	go figures.ServeFor(all, a.log, a.set.IP, a.set.Metrics, a.figures)
-	choice := Choice{Set: a.set, Board: a.board, Seeds: seedNews(a.set)}
-	p := distribution.Puller{Replica: a.board, Node: a.set.Node, Incarnation: a.life, Kind: "agent", Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better,
-		PrepareRequest: a.heart.say, OnResponse: a.link.answered, Network: keepalive.TCP{Relay: a.set.Relay, From: a.set.Node},
+	go a.heartbeats.run(serveCtx)
+	go figures.ServeFor(serveCtx, a.log, a.settings.IP, a.settings.Metrics, a.emitMetrics)
+	choice := Choice{Set: a.settings, Board: a.replica, Seeds: seedAddresses(a.settings)}
+	p := distribution.Puller{Replica: a.replica, Node: a.settings.Node, Incarnation: a.incarnation, Kind: "agent", Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better,
+		PrepareRequest: a.heartbeats.addToRequest, OnResponse: a.link.recordResponse, Network: keepalive.TCP{Relay: a.settings.Relay, From: a.settings.Node},
 		OnError: func(peer string, err error) {
 			a.link.faults.Add(1)
 			a.log.Warn().Str("event", "link").Str("peer", peer).Err(err).Msg("")
 		}}
-	go p.Run(all)
-	go a.tick(all)
+	go p.Run(serveCtx)
+	go a.runTicks(serveCtx)
 	a.log.Info().Str("event", "serving").Msg("")
 	<-ctx.Done()
 	a.leaving.Store(true)
-	time.Sleep(a.set.AgentEndsAfter())
+	time.Sleep(a.settings.AgentEndsAfter())
 	return nil
 }
 
-func (a *Agent) tick(ctx context.Context) {
-	periodic.Each(ctx, a.set.BeatPeriod/2, func() {
-		n := 0
-		a.board.WithRegistry(func(r *registry.Registry) bool {
-			n = distribution.CountMixers(r, retrybudget.ChargeLifetime(a.set.RetryWindow))
+func (a *Agent) runTicks(ctx context.Context) {
+	periodic.Each(ctx, a.settings.BeatPeriod/2, func() {
+		mixers := 0
+		a.replica.WithRegistry(func(r *registry.Registry) bool {
+			mixers = distribution.CountMixers(r, retrybudget.ChargeLifetime(a.settings.RetryWindow))
 			return r.Tick(time.Now())
 		})
-		a.board.SetMixerCount(n)
-		a.board.SetSlackSpent(a.proxies.slackSpent(time.Now()))
+		a.replica.SetMixerCount(mixers)
+		a.replica.SetSlackSpent(a.proxies.slackSpent(time.Now()))
 	})
 }
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,6 +1,7 @@
-// Package agent is the agent beside each proxy: it keeps the link to the control plane and feeds the proxy on its
-// machine over loopback. It pulls from one controller at a time, a near one first, and moves on when that falls silent or
-// says that it is out of touch with the core. Either of the two processes may restart alone: what one has, the other
-// gets again. Over UDP it moves the heartbeats by which mixers know each other (failuredetector), and it counts the mixers for its
-// proxy. It decides nothing and keeps nothing on disk.
+// Package agent implements the process that runs beside each proxy: it holds the connection to the control plane and
+// passes its updates on to the proxy on the same machine over loopback. It pulls from one controller at a time, preferring a
+// near one, and moves to the next when that controller stops responding or reports that it has no contact with a quorum of
+// controllers. Agent and proxy can each restart alone: the restarted process gets the state again from the other. The agent
+// also exchanges the UDP heartbeats by which mixers detect each other's failures (package failuredetector), and counts the
+// mixers for its proxy. It makes no routing decisions and stores nothing on disk.
 package agent
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -15,129 +15,132 @@
 	"peathollow/registry"
 )
 
-// portHeartbeat is where mixers tell each other that they live, over UDP, within the range between the system's
-// processes.
-const portHeartbeat = 4
+// heartbeatPortOffset is the UDP port on which mixers exchange heartbeats, relative to the first port of the range for
+// traffic between the system's processes.
+const heartbeatPortOffset = 4
 
-// heartbeatEvery is the time between two heartbeats to one watcher.
-const heartbeatEvery = 500 * time.Millisecond
+// heartbeatInterval is the time between two heartbeats to one watcher.
+const heartbeatInterval = 500 * time.Millisecond
 
-// heart moves the heartbeats that failuredetector decides on.
-type heart struct {
-	agent *Agent
-	conn  *net.UDPConn
-	start time.Time
-	every time.Duration
+// heartbeater sends and receives the heartbeats on which the failure detector decides.
+type heartbeater struct {
+	agent    *Agent
+	conn     *net.UDPConn
+	start    time.Time
+	interval time.Duration
 
-	mu    sync.Mutex
-	look  *failuredetector.Detector
-	me    failuredetector.Node
-	gen   uint64
-	nodes []failuredetector.Node
-	calls uint64
+	mu         sync.Mutex
+	detector   *failuredetector.Detector
+	self       failuredetector.Node
+	generation uint64
+	nodes      []failuredetector.Node
+	calls      uint64
 }
 
-// newHeart listens; without a socket it beats not, and the mixer is known by its pulls alone.
-func newHeart(a *Agent, every time.Duration) (*heart, error) {
-	h := &heart{agent: a, start: time.Now(), every: every, me: failuredetector.Node{Incarnation: a.life, Zone: a.set.Zone, Region: a.set.Region}}
-	ip, err := netip.ParseAddr(a.set.IP)
+// newHeartbeater opens the heartbeat socket. If that fails, it returns the error along with a heartbeater that sends
+// nothing; controllers then know the mixer by its pulls alone.
+func newHeartbeater(a *Agent, interval time.Duration) (*heartbeater, error) {
+	h := &heartbeater{agent: a, start: time.Now(), interval: interval, self: failuredetector.Node{Incarnation: a.incarnation, Zone: a.settings.Zone, Region: a.settings.Region}}
+	ip, err := netip.ParseAddr(a.settings.IP)
 	if err == nil {
-		h.me.Addr = netip.AddrPortFrom(ip, uint16(a.set.PortFirst+portHeartbeat))
-		h.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(h.me.Addr))
+		h.self.Addr = netip.AddrPortFrom(ip, uint16(a.settings.PortFirst+heartbeatPortOffset))
+		h.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(h.self.Addr))
 	}
 	if err != nil {
-		err = errors.Wrapf(err, "listen, heartbeats at %s", h.me.Addr)
-		h.me.Addr = netip.AddrPort{}
+		err = errors.Wrapf(err, "listen, heartbeats at %s", h.self.Addr)
+		h.self.Addr = netip.AddrPort{}
 	}
-	h.look = failuredetector.New(failuredetector.Config{Self: h.me, Interval: every}, h.start)
+	h.detector = failuredetector.New(failuredetector.Config{Self: h.self, Interval: interval}, h.start)
 	return h, err
 }
 
-// run beats until ctx ends.
-func (h *heart) run(ctx context.Context) {
+// run sends and receives heartbeats until ctx ends.
+func (h *heartbeater) run(ctx context.Context) {
 	if h.conn == nil {
 		return
 	}
 	defer h.conn.Close()
-	go h.listen()
-	k := time.NewTicker(h.every)
-	defer k.Stop()
+	go h.receive()
+	ticker := time.NewTicker(h.interval)
+	defer ticker.Stop()
 	var buf [failuredetector.MaxDatagram]byte
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.C:
+		case <-ticker.C:
 		}
-		h.know()
+		h.updateNodes()
 		h.mu.Lock()
-		no, to := h.look.Tick(time.Now())
+		sequence, targets := h.detector.Tick(time.Now())
 		h.mu.Unlock()
-		b := failuredetector.AppendHeartbeat(buf[:0], failuredetector.Key(h.agent.life), no)
-		for _, addr := range to {
-			h.conn.WriteToUDPAddrPort(b, addr) // lost ones don't matter
+		b := failuredetector.AppendHeartbeat(buf[:0], failuredetector.Key(h.agent.incarnation), sequence)
+		for _, addr := range targets {
+			h.conn.WriteToUDPAddrPort(b, addr) // a lost heartbeat does no harm
 		}
 	}
 }
 
-// listen takes heartbeats until the socket is closed.
-func (h *heart) listen() {
-	var buf [failuredetector.MaxDatagram + 1]byte // one more than any heartbeat has shows those that are too long
+// receive reads heartbeats until the socket is closed.
+func (h *heartbeater) receive() {
+	var buf [failuredetector.MaxDatagram + 1]byte // one byte more than a heartbeat may have, to detect those that are too long
 	for {
 		n, from, err := h.conn.ReadFromUDPAddrPort(buf[:])
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // a peer's port that is closed shows here, too
+			time.Sleep(10 * time.Millisecond) // a closed port of a peer also shows up as a read error
 			continue
 		}
-		if key, no, ok := failuredetector.ReadHeartbeat(buf[:n]); ok {
+		if key, sequence, ok := failuredetector.ReadHeartbeat(buf[:n]); ok {
 			h.mu.Lock()
-			h.look.ReceiveHeartbeat(time.Now(), key, no, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+			h.detector.ReceiveHeartbeat(time.Now(), key, sequence, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 			h.mu.Unlock()
 		}
 	}
 }
 
-// know hands over the list of mixers when it has changed.
-func (h *heart) know() {
+// updateNodes passes the list of mixers to the failure detector if it has changed.
+func (h *heartbeater) updateNodes() {
 	var nodes []failuredetector.Node
-	same := false
-	h.agent.board.WithRegistry(func(r *registry.Registry) bool {
-		gen := r.Generation()
-		if same = gen == h.gen; same {
+	unchanged := false
+	h.agent.replica.WithRegistry(func(r *registry.Registry) bool {
+		generation := r.Generation()
+		if unchanged = generation == h.generation; unchanged {
 			return false
 		}
-		h.gen = gen
+		h.generation = generation
 		for m := range distribution.Mixers(r) {
-			nodes = append(nodes, failuredetector.Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone, Region: h.agent.set.Zones[m.Zone],
+			nodes = append(nodes, failuredetector.Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone, Region: h.agent.settings.Zones[m.Zone],
 				Silent: m.Silent, Leaving: m.Leaving})
 		}
 		return false
 	})
-	// Most changes of the list are of searchers.
-	if same || slices.Equal(nodes, h.nodes) {
+	// Most changes of the list concern searchers and leave the mixers as they were.
+	if unchanged || slices.Equal(nodes, h.nodes) {
 		return
 	}
 	h.nodes = nodes
 	h.mu.Lock()
-	h.look.SetNodes(time.Now(), nodes)
+	h.detector.SetNodes(time.Now(), nodes)
 	h.mu.Unlock()
 }
 
-// say adds to an ask what a mixer tells of itself and of those that it watches.
-func (h *heart) say(a *distribution.PullRequest, first bool) {
+// addToRequest adds to a pull request this mixer's own heartbeat and its reports on the mixers that it watches. Only the
+// first request on a connection carries its zone and address.
+func (h *heartbeater) addToRequest(request *distribution.PullRequest, first bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// By time, so that there is room for the beats that a controller gives in our name while we are out of its reach.
+	// The counter follows the clock, which leaves numbers for the heartbeats that a controller issues on behalf of this
+	// mixer while it can't reach the controller.
 	h.calls = max(h.calls+1, uint64(time.Since(h.start)/time.Microsecond))
-	p := &distribution.AgentHeartbeat{Calls: h.calls, Leaving: h.agent.leaving.Load(), Missed: h.look.Missed(), Seen: h.look.Seen()}
+	p := &distribution.AgentHeartbeat{Calls: h.calls, Leaving: h.agent.leaving.Load(), Missed: h.detector.Missed(), Seen: h.detector.Seen()}
 	if first {
-		p.Zone = h.agent.set.Zone
-		if h.me.Addr.IsValid() {
-			p.Addr = h.me.Addr.String()
+		p.Zone = h.agent.settings.Zone
+		if h.self.Addr.IsValid() {
+			p.Addr = h.self.Addr.String()
 		}
 	}
-	a.Mixer = p
+	request.Mixer = p
 }
