--- a/client/calls.go
+++ b/client/calls.go
@@ -15,7 +15,7 @@
 	"peathollow/manifest"
 )
 
-// Core is one core machine: what it says, or why it says nothing.
+// Core is the status of one controller, or the reason why it could not be read.
 type Core struct {
 	Control string  `json:"control"`
 	Status  *Status `json:"status,omitempty"`
@@ -23,81 +23,82 @@
 }
 
 func (c *Client) get(ctx context.Context, path string, into any) error {
-	answer, peer, err := c.Call(ctx, http.MethodGet, path, nil)
+	response, peer, err := c.Call(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(answer, into); err != nil {
+	if err := json.Unmarshal(response, into); err != nil {
 		return errors.Wrapf(err, "GET %s, peer %s", path, peer)
 	}
 	return nil
 }
 
-// Status asks any controller.
+// Status returns the status that any one controller reports, and adds the addresses of the members to the client.
 func (c *Client) Status(ctx context.Context) (*Status, error) {
 	var s Status
 	if err := c.get(ctx, "/status", &s); err != nil {
 		return nil, err
 	}
 	for _, m := range s.Members {
-		c.learn([]string{m.Control})
+		c.addAddresses([]string{m.Control})
 	}
 	return &s, nil
 }
 
-// Cores asks any controller who the others are, and then each of them.
+// Cores gets the list of members from any controller, and then the status of each of them.
 func (c *Client) Cores(ctx context.Context) ([]Core, error) {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return nil, err
 	}
 	all := make([]Core, len(s.Members))
-	each(len(all), func(i int) {
+	forEach(len(all), func(i int) {
 		all[i].Control = s.Members[i].Control
-		var x Status
-		if err := c.At(ctx, all[i].Control, "/status", &x); err != nil {
+		var status Status
+		if err := c.At(ctx, all[i].Control, "/status", &status); err != nil {
 			all[i].Fault = err.Error()
 			return
 		}
-		all[i].Status = &x
+		all[i].Status = &status
 	})
 	slices.SortFunc(all, func(a, b Core) int { return strings.Compare(a.Control, b.Control) })
 	return all, nil
 }
 
-// Nodes asks each controller for the nodes it hears from. A controller that doesn't answer is a node with a fault; a front is
-// told by the controller that heard it last.
+// Nodes asks each controller for the nodes that it is in contact with. A controller that doesn't respond is listed as a node
+// with a fault. If several controllers report a front, the latest contact counts.
 func (c *Client) Nodes(ctx context.Context) ([]Node, error) {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return nil, err
 	}
-	told := make([][]Node, len(s.Members))
-	each(len(told), func(i int) {
-		at := s.Members[i].Control
-		if err := c.At(ctx, at, "/nodes", &told[i]); err != nil {
-			told[i] = []Node{{Node: at, Role: Controller, Fault: err.Error()}}
+	reports := make([][]Node, len(s.Members))
+	forEach(len(reports), func(i int) {
+		control := s.Members[i].Control
+		if err := c.At(ctx, control, "/nodes", &reports[i]); err != nil {
+			reports[i] = []Node{{Node: control, Role: Controller, Fault: err.Error()}}
 		}
 	})
-	return merge(told), nil
+	return latestReports(reports), nil
 }
 
-func merge(told [][]Node) []Node {
-	best := map[[2]string]Node{}
-	for _, list := range told {
+// latestReports keeps the latest report on each node.
+func latestReports(reports [][]Node) []Node {
+	latest := map[[2]string]Node{}
+	for _, list := range reports {
 		for _, n := range list {
 			key := [2]string{n.Role, n.Node}
-			if was, ok := best[key]; !ok || n.HeardMs < was.HeardMs {
-				best[key] = n
+			if previous, ok := latest[key]; !ok || n.HeardMs < previous.HeardMs {
+				latest[key] = n
 			}
 		}
 	}
-	all := make([]Node, 0, len(best))
-	for _, n := range best {
+	all := make([]Node, 0, len(latest))
+	for _, n := range latest {
 		all = append(all, n)
 	}
 	slices.SortFunc(all, func(a, b Node) int {
-		if d := strings.Compare(a.Role, b.Role); d != 0 { // the core first
+		if d := strings.Compare(a.Role, b.Role); d != 0 { // controllers first
 			return d
 		}
 		return strings.Compare(a.Node, b.Node)
@@ -105,7 +106,7 @@
 	return all
 }
 
-// Searchers lists the searchers that any controller knows, of one service or of all.
+// Searchers returns the list of searchers from any controller, for one service or, if service is empty, for all.
 func (c *Client) Searchers(ctx context.Context, service string) ([]Searcher, error) {
 	path := "/searchers"
 	if service != "" {
@@ -116,54 +117,54 @@
 	return list, err
 }
 
-// Config gives the configuration in force, as it was sent; nil if there is none yet.
+// Config returns the configuration in force as it was sent, or nil if there is none yet.
 func (c *Client) Config(ctx context.Context) ([]byte, error) {
 	raw, _, err := c.Call(ctx, http.MethodGet, "/config", nil)
-	var no *Refused
-	if errors.As(err, &no) && no.Status == http.StatusNotFound {
+	var refused *Refused
+	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return nil, nil
 	}
 	return raw, err
 }
 
-// Put sends a configuration until it is acknowledged. One that is not above the version held is acknowledged too and
-// changes nothing; held is the version that a controller then tells of.
-func (c *Client) Put(ctx context.Context, raw []byte) (held uint64, err error) {
+// Put sends a configuration until it is acknowledged. A configuration whose version is not above the one in force is
+// acknowledged, too, but changes nothing. Put returns the version that a controller then reports as in force.
+func (c *Client) Put(ctx context.Context, raw []byte) (inForce uint64, err error) {
 	if _, _, err := c.Call(ctx, http.MethodPut, "/config", raw); err != nil {
 		return 0, err
 	}
-	now, err := c.Config(ctx)
+	current, err := c.Config(ctx)
 	if err != nil {
 		return 0, err
 	}
-	m, err := manifest.Parse(now)
+	m, err := manifest.Parse(current)
 	if err != nil {
-		return 0, errors.Wrap(err, "read back")
+		return 0, errors.Wrap(err, "read the configuration back")
 	}
 	return m.Version, nil
 }
 
-// Watch asks until every node reports a version, or a later one, in force; see is told each time the count changes.
-// A node that doesn't answer, or doesn't tell, is waited for.
-func (c *Client) Watch(ctx context.Context, version uint64, see func(have, of int)) error {
-	seen := -1
+// Watch polls until every node reports the given version or a later one as in force. It calls progress whenever the number
+// of these nodes changes. A node that doesn't respond or doesn't report a version counts as outstanding.
+func (c *Client) Watch(ctx context.Context, version uint64, progress func(have, of int)) error {
+	previous := -1
 	for {
 		nodes, err := c.Nodes(ctx)
-		var lack []string
+		var outstanding []string
 		for _, n := range nodes {
 			if n.Version < version {
-				lack = append(lack, n.Node)
+				outstanding = append(outstanding, n.Node)
 			}
 		}
 		if err == nil {
-			if have := len(nodes) - len(lack); have != seen {
-				seen = have
-				see(have, len(nodes))
+			if have := len(nodes) - len(outstanding); have != previous {
+				previous = have
+				progress(have, len(nodes))
 			}
-			if len(lack) == 0 && len(nodes) > 0 {
+			if len(outstanding) == 0 && len(nodes) > 0 {
 				return nil
 			}
-			err = errors.Errorf("version %d is not reported by %s", version, strings.Join(lack, ", "))
+			err = errors.Errorf("version %d is not reported by %s", version, strings.Join(outstanding, ", "))
 		}
 		select {
 		case <-ctx.Done():
@@ -173,15 +174,15 @@
 	}
 }
 
-// each does n things at a time, at most 8 of them at once.
-func each(n int, do func(i int)) {
+// forEach calls do for 0 to n-1, with at most 8 calls at a time.
+func forEach(n int, do func(i int)) {
 	var all sync.WaitGroup
-	room := make(chan struct{}, 8)
+	slots := make(chan struct{}, 8)
 	for i := range n {
-		room <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
 			do(i)
-			<-room
+			<-slots
 		})
 	}
 	all.Wait()
--- a/client/check.go
+++ b/client/check.go
@@ -12,101 +12,103 @@
 	"peathollow/manifest"
 )
 
-// Invalid says what is wrong with a file that holds a configuration: where, which key, and what was expected.
+// Invalid is the error for a configuration file that is not valid: the position, the key and what was expected.
 type Invalid struct {
 	File string
-	Line int    // 0 if it can't be told
-	Path string // of the key, as routes[3].plant; "" for the document as a whole
+	Line int    // 0 if unknown
+	Path string // of the key, for example routes[3].plant; "" for the whole document
 	Why  string
 }
 
 func (e *Invalid) Error() string {
-	at := e.File
+	position := e.File
 	if e.Line > 0 {
-		at += ":" + strconv.Itoa(e.Line)
+		position += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Path != "" {
-		at += ": " + e.Path
+		position += ": " + e.Path
 	}
-	return fmt.Sprintf("%s: %s", at, e.Why)
+	return fmt.Sprintf("%s: %s", position, e.Why)
 }
 
-// Check reads a configuration as the system would; its error is an *Invalid.
+// Check parses a configuration as the system does. Its error is an *Invalid.
 func Check(file string, raw []byte) (*manifest.Manifest, error) {
 	m, err := manifest.Parse(raw)
 	if err == nil {
 		return m, nil
 	}
-	x := &Invalid{File: file, Why: err.Error()}
-	var bad *manifest.ValidationError
-	if errors.As(err, &bad) {
-		x.Path, x.Why = bad.Path, bad.Reason
+	invalid := &Invalid{File: file, Why: err.Error()}
+	var validation *manifest.ValidationError
+	if errors.As(err, &validation) {
+		invalid.Path, invalid.Why = validation.Path, validation.Reason
 	}
-	x.Line = line(raw, x.Path)
-	return nil, x
+	invalid.Line = lineOf(raw, invalid.Path)
+	return nil, invalid
 }
 
-// line finds the line of a key, or of the object that lacks it; of the first byte that is no JSON when path is empty.
-func line(raw []byte, path string) int {
-	at := 0
+// lineOf returns the line of the key at path, or of the object that lacks the key. If path is empty, it returns the line of
+// the first JSON syntax error, or 0 if there is none.
+func lineOf(raw []byte, path string) int {
+	offset := 0
 	if path == "" {
-		var whole json.RawMessage
-		var bad *json.SyntaxError
-		if !errors.As(json.Unmarshal(raw, &whole), &bad) {
+		var document json.RawMessage
+		var syntax *json.SyntaxError
+		if !errors.As(json.Unmarshal(raw, &document), &syntax) {
 			return 0
 		}
-		at = int(bad.Offset)
+		offset = int(syntax.Offset)
 	} else {
-		f := finder{in: json.NewDecoder(bytes.NewReader(raw))}
-		f.value(steps(path))
-		at = f.at
+		f := keyFinder{in: json.NewDecoder(bytes.NewReader(raw))}
+		f.findIn(splitPath(path))
+		offset = f.offset
 	}
-	raw = bytes.TrimRight(raw, " \t\r\n") // a document cut short ends on its last line
-	return 1 + bytes.Count(raw[:min(at, len(raw))], []byte("\n"))
+	raw = bytes.TrimRight(raw, " \t\r\n") // report a truncated document at its last line
+	return 1 + bytes.Count(raw[:min(offset, len(raw))], []byte("\n"))
 }
 
-// steps cuts routes[3].plant into routes, 3 and plant.
-func steps(path string) []string {
+// splitPath splits routes[3].plant into routes, 3 and plant.
+func splitPath(path string) []string {
 	return strings.FieldsFunc(path, func(r rune) bool { return r == '.' || r == '[' || r == ']' })
 }
 
-// finder walks through a document along a path. at is where the last step that is there was read.
-type finder struct {
-	in *json.Decoder
-	at int
+// keyFinder follows a path through a document. offset is the position after the last element of the path that exists.
+type keyFinder struct {
+	in     *json.Decoder
+	offset int
 }
 
-// value reads a value and tells whether the path has ended in it; what comes behind it is not read then.
-func (f *finder) value(path []string) bool {
-	t, err := f.in.Token()
+// findIn reads a value and reports whether the path ends within it. In that case the rest of the document is not read. A
+// nil path means that the value is not on the path and is only skipped.
+func (f *keyFinder) findIn(path []string) bool {
+	token, err := f.in.Token()
 	if err != nil {
 		return true
 	}
 	if path != nil {
-		f.at = int(f.in.InputOffset()) // no token but a string spans anything, and no string a line's end
+		f.offset = int(f.in.InputOffset()) // a token never contains a line break, so its end is on the same line
 		if len(path) == 0 {
 			return true
 		}
 	}
-	open, nested := t.(json.Delim)
+	opening, nested := token.(json.Delim)
 	if !nested {
 		return path != nil
 	}
 	for i := 0; f.in.More(); i++ {
 		name := strconv.Itoa(i)
-		if open == '{' {
+		if opening == '{' {
 			key, err := f.in.Token()
 			if err != nil {
 				return true
 			}
 			name = key.(string)
 		}
-		var further []string // nil: off the path
+		var rest []string // nil: not on the path
 		if path != nil && name == path[0] {
-			f.at = int(f.in.InputOffset())
-			further = path[1:]
+			f.offset = int(f.in.InputOffset())
+			rest = path[1:]
 		}
-		if f.value(further) {
+		if f.findIn(rest) {
 			return true
 		}
 	}
--- a/client/check_test.go
+++ b/client/check_test.go
@@ -27,7 +27,7 @@
 		{`"plant": "s0"`, `"plant": "s9"`, `f:8: routes[1].plant: expected a service that plants holds, got "s9"`},
 		{`"s1"]`, `"s9"]`, "f:6: routes[0].fan-out[1]: expected a service"},
 		{`"horizon-ms": 4000`, `"horizon-ms": 0`, "f:8: routes[1].horizon-ms: expected"},
-		{`"horizon-ms": 4000, `, ``, "f:7: routes[1].horizon-ms: expected"}, // absent: where the route begins
+		{`"horizon-ms": 4000, `, ``, "f:7: routes[1].horizon-ms: expected"}, // a missing key is reported where its route begins
 		{`"/b/"`, `"/a/"`, "f:7: routes[1].path-prefix: expected a host and prefix that no other route has"},
 		{`"conn-limit": 5`, `"conn-limit": -5`, "f:10: plants[1].conn-limit: expected"},
 		{`"config-version": 7`, `"config-version": 0`, "f:2: config-version: expected"},
--- a/client/client.go
+++ b/client/client.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	silenceMost   = time.Second // then another machine is asked
-	bytesASecond  = 1 << 20     // large bodies get more time
-	answerMost    = 16 << 20    // bytes
-	redirectsMost = 2
-	refusalsMost  = 3 // of kinds that another machine may see differently
-	pauseLeast    = 50 * time.Millisecond
-	pauseMost     = time.Second
+	responseTimeout   = time.Second // without a response for this long, the next controller is called
+	minBytesPerSecond = 1 << 20     // extends the timeout for large bodies
+	maxResponseBytes  = 16 << 20
+	maxRedirects      = 2
+	maxRefusals       = 3 // of kinds for which another controller may respond differently
+	minBackoff        = 50 * time.Millisecond
+	maxBackoff        = time.Second
 )
 
-// Client calls the controllers it knows of, one after the other. Its methods may be called from any goroutine.
+// Client calls the controllers that it knows, one at a time. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 
@@ -36,17 +36,17 @@
 	next  int
 }
 
-// New makes a client that starts with these control addresses.
+// New returns a client with the given control addresses.
 func New(addrs ...string) *Client {
 	return &Client{addrs: slices.Clone(addrs), http: &http.Client{
 		Transport:     &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 5 * time.Second},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// Close ends the connections that are idle.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Refused is an answer that another call won't change.
+// Refused is the error for a response that a retry isn't expected to change.
 type Refused struct {
 	Status    int
 	Why, Peer string
@@ -56,56 +56,56 @@
 	return fmt.Sprintf("peer %s: status %d: %s", e.Peer, e.Status, e.Why)
 }
 
-// Call sends a request until it gets a clear answer, as the protocol wants of every caller: it moves to another machine
-// after a failure, a 5xx, 408 or 429, or a second of silence, with a pause that grows; it stops at a refusal, and when
-// ctx ends, which therefore must have a deadline.
-func (c *Client) Call(ctx context.Context, method, path string, body []byte) (answer []byte, peer string, err error) {
-	refusals, pause := 0, pauseLeast
+// Call sends a request until it gets a definite response, as the protocol requires of every caller. After an error, a
+// status of 5xx, 408 or 429, or a second without a response it calls the next controller, with exponential backoff. It
+// returns when a controller refuses the request and when ctx ends, so ctx must have a deadline.
+func (c *Client) Call(ctx context.Context, method, path string, body []byte) (response []byte, peer string, err error) {
+	refusals, backoff := 0, minBackoff
 	var last error
 	for {
-		peer = c.turn()
+		peer = c.nextAddress()
 		if peer == "" {
 			return nil, "", errors.Errorf("%s %s: no control address is known", method, path)
 		}
-		status, answer, err := c.once(ctx, method, peer, path, body)
+		status, response, err := c.once(ctx, method, peer, path, body)
 		switch {
 		case err != nil:
 		case status/100 == 2:
-			c.keep(peer)
-			return answer, peer, nil
+			c.prefer(peer)
+			return response, peer, nil
 		case status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
-			err = &Refused{status, reason(answer), peer}
+			err = &Refused{status, errorText(response), peer}
 			switch refusals++; status {
 			case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
 				http.StatusUnprocessableEntity:
-				refusals = refusalsMost
+				refusals = maxRefusals
 			}
-			if refusals >= refusalsMost {
+			if refusals >= maxRefusals {
 				return nil, peer, errors.Wrapf(err, "%s %s", method, path)
 			}
 		default:
-			err = errors.Errorf("peer %s: status %d: %s", peer, status, reason(answer))
+			err = errors.Errorf("peer %s: status %d: %s", peer, status, errorText(response))
 		}
 		if ctx.Err() == nil || last == nil {
-			last = err // that the time is over says less than what came before
+			last = err // that the deadline has passed says less than the error before it
 		}
 		select {
 		case <-ctx.Done():
-			return nil, peer, errors.Wrapf(last, "%s %s: given up, last", method, path)
-		case <-time.After(pause/2 + rand.N(pause/2)): // apart from other callers that failed at the same moment
+			return nil, peer, errors.Wrapf(last, "%s %s: deadline reached, last error", method, path)
+		case <-time.After(backoff/2 + rand.N(backoff/2)): // jitter spreads callers that failed at the same moment
 		}
-		pause = min(2*pause, pauseMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// At asks one machine, once.
+// At sends one GET request to one controller and decodes the JSON response into the value that into points to.
 func (c *Client) At(ctx context.Context, peer, path string, into any) error {
-	status, answer, err := c.once(ctx, http.MethodGet, peer, path, nil)
+	status, response, err := c.once(ctx, http.MethodGet, peer, path, nil)
 	if err == nil && status != http.StatusOK {
-		err = errors.Errorf("peer %s: status %d: %s", peer, status, reason(answer))
+		err = errors.Errorf("peer %s: status %d: %s", peer, status, errorText(response))
 	}
 	if err == nil {
-		err = json.Unmarshal(answer, into)
+		err = json.Unmarshal(response, into)
 	}
 	if err != nil {
 		return errors.Wrapf(err, "GET %s", path)
@@ -113,32 +113,33 @@
 	return nil
 }
 
-// once makes one call, and follows where it is sent twice.
+// once makes one call and follows up to maxRedirects redirects.
 func (c *Client) once(ctx context.Context, method, peer, path string, body []byte) (int, []byte, error) {
 	target := "http://" + peer + path
-	for hops := 0; ; hops++ {
-		res, answer, err := c.exchange(ctx, method, target, body)
+	for redirects := 0; ; redirects++ {
+		res, response, err := c.exchange(ctx, method, target, body)
 		if err != nil {
 			return 0, nil, errors.Wrapf(err, "peer %s", peer)
 		}
 		if res.StatusCode != http.StatusTemporaryRedirect {
-			return res.StatusCode, answer, nil
+			return res.StatusCode, response, nil
 		}
-		to, err := res.Location()
-		if err != nil || hops == redirectsMost {
-			return 0, nil, errors.Errorf("peer %s: sent elsewhere %d times, or to nowhere", peer, hops+1)
+		location, err := res.Location()
+		if err != nil || redirects == maxRedirects {
+			return 0, nil, errors.Errorf("peer %s: redirected %d times, or without a location", peer, redirects+1)
 		}
-		target = to.String()
+		target = location.String()
 	}
 }
 
+// exchange sends a request and reads the response, with a timeout for each of the two.
 func (c *Client) exchange(ctx context.Context, method, target string, body []byte) (*http.Response, []byte, error) {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	// Silence is what ends a call: an answer that has begun to come may take its time.
-	patience := silenceMost + time.Duration(len(body))*time.Second/bytesASecond
-	silence := time.AfterFunc(patience, func() { stop(errors.Errorf("silent for %v", patience)) })
-	defer silence.Stop()
+	// The first timeout covers the time to the response headers; reading a response that has begun may take longer.
+	timeout := responseTimeout + time.Duration(len(body))*time.Second/minBytesPerSecond
+	timer := time.AfterFunc(timeout, func() { stop(errors.Errorf("silent for %v", timeout)) })
+	defer timer.Stop()
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
@@ -148,22 +149,23 @@
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, nil, because(ctx, err)
+		return nil, nil, withCause(ctx, err)
 	}
 	defer res.Body.Close()
-	silence.Reset(silenceMost + answerMost*time.Second/bytesASecond)
-	answer, err := io.ReadAll(io.LimitReader(res.Body, answerMost+1))
+	timer.Reset(responseTimeout + maxResponseBytes*time.Second/minBytesPerSecond)
+	response, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, nil, because(ctx, err)
+		return nil, nil, withCause(ctx, err)
 	}
-	if len(answer) > answerMost {
-		return nil, nil, errors.Errorf("an answer of more than %d bytes", answerMost)
+	if len(response) > maxResponseBytes {
+		return nil, nil, errors.Errorf("response of more than %d bytes", maxResponseBytes)
 	}
-	return res, answer, nil
+	return res, response, nil
 }
 
-// because puts the cause in place of "context canceled", and leaves out what the caller says besides.
-func because(ctx context.Context, err error) error {
+// withCause replaces "context canceled" by the context's cause, and otherwise drops the method and URL that *url.Error adds,
+// since callers add their own.
+func withCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
@@ -174,20 +176,20 @@
 	return err
 }
 
-// reason is what a controller says is wrong.
-func reason(answer []byte) string {
-	var x struct{ Error string }
-	if json.Unmarshal(answer, &x) == nil && x.Error != "" {
-		return x.Error
+// errorText extracts the error message from a controller's response.
+func errorText(response []byte) string {
+	var body struct{ Error string }
+	if json.Unmarshal(response, &body) == nil && body.Error != "" {
+		return body.Error
 	}
-	if len(answer) > 200 {
-		answer = answer[:200]
+	if len(response) > 200 {
+		response = response[:200]
 	}
-	return strings.ToValidUTF8(strings.TrimSpace(string(answer)), "?")
+	return strings.ToValidUTF8(strings.TrimSpace(string(response)), "?")
 }
 
-// turn gives the address whose turn it is.
-func (c *Client) turn() string {
+// nextAddress returns the addresses in turn.
+func (c *Client) nextAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.addrs) == 0 {
@@ -198,8 +200,8 @@
 	return addr
 }
 
-// keep has the next call begin with a machine that answered.
-func (c *Client) keep(peer string) {
+// prefer makes the next call start with a controller that has just responded.
+func (c *Client) prefer(peer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if i := slices.Index(c.addrs, peer); i >= 0 {
@@ -207,8 +209,8 @@
 	}
 }
 
-// learn adds addresses: those that the client started with may all be gone one day.
-func (c *Client) learn(addrs []string) {
+// addAddresses adds addresses, because all of those that the client was created with may be replaced in time.
+func (c *Client) addAddresses(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range addrs {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -18,13 +18,13 @@
 	"peathollow/client"
 )
 
-// played are machines that each answer in one way, and the order in which they were called.
-type played struct {
+// fakeControllers are HTTP servers that each respond in one way. called records the order of the calls.
+type fakeControllers struct {
 	mu     sync.Mutex
 	called []string
 }
 
-func (p *played) machine(t *testing.T, name string, answer http.HandlerFunc) string {
+func (p *fakeControllers) start(t *testing.T, name string, answer http.HandlerFunc) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		p.called = append(p.called, name)
@@ -42,7 +42,7 @@
 	}
 }
 
-func toward(addr *string) http.HandlerFunc {
+func redirectTo(addr *string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		http.Redirect(w, r, "http://"+*addr+r.URL.Path, http.StatusTemporaryRedirect)
 	}
@@ -54,47 +54,48 @@
 	return ctx
 }
 
-// A call goes from a dead machine by one that fails, one that has too much to do, one that is silent and one that sends it
-// round in a circle to one that sends it twice to where it is answered.
-func TestCallMovesOn(t *testing.T) {
-	var p played
+// TestCallTriesNextController checks that a call goes on after a controller that refuses connections, one that fails, one
+// that is overloaded, one that never responds and one that redirects to itself, until one redirects it, in two hops, to a
+// controller that responds.
+func TestCallTriesNextController(t *testing.T) {
+	var p fakeControllers
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, dead.Close())
-	var good, hop, circle string
-	good = p.machine(t, "good", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.Method+r.URL.Path) })
-	hop = p.machine(t, "hop", toward(&good))
-	circle = p.machine(t, "circle", toward(&circle))
+	var good, hop, loop string
+	good = p.start(t, "good", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.Method+r.URL.Path) })
+	hop = p.start(t, "hop", redirectTo(&good))
+	loop = p.start(t, "circle", redirectTo(&loop))
 	ended := make(chan struct{})
 	defer close(ended)
-	silent := p.machine(t, "silent", func(_ http.ResponseWriter, r *http.Request) {
+	silent := p.start(t, "silent", func(_ http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
 		case <-ended:
 		}
 	})
-	c := client.New(dead.Addr().String(), p.machine(t, "fails", status(500)), p.machine(t, "busy", status(429)), silent, circle,
-		p.machine(t, "first", toward(&hop)))
+	c := client.New(dead.Addr().String(), p.start(t, "fails", status(500)), p.start(t, "busy", status(429)), silent, loop,
+		p.start(t, "first", redirectTo(&hop)))
 	defer c.Close()
 	answer, _, err := c.Call(within(t, 30*time.Second), http.MethodPut, "/x", []byte("body"))
 	must.NoError(t, err)
 	must.Eq(t, "PUT/x", string(answer))
 	must.Eq(t, "fails busy silent circle circle circle first hop good", strings.Join(p.called, " "))
-	// The next call begins with the machine that did.
+	// The next call starts with the controller that led to the response.
 	_, _, err = c.Call(within(t, 30*time.Second), http.MethodGet, "/y", nil)
 	must.NoError(t, err)
 	must.Eq(t, "first hop good", strings.Join(p.called[9:], " "))
 }
 
-func TestCallEndsAtARefusal(t *testing.T) {
+func TestCallStopsWhenRefused(t *testing.T) {
 	for code, calls := range map[int]int{400: 1, 409: 1, 412: 1, 413: 1, 422: 1, 403: 3, 404: 3} {
-		var p played
-		c := client.New(p.machine(t, "a", status(code)), p.machine(t, "b", status(code)))
+		var p fakeControllers
+		c := client.New(p.start(t, "a", status(code)), p.start(t, "b", status(code)))
 		_, _, err := c.Call(within(t, 30*time.Second), http.MethodGet, "/x", nil)
-		var no *client.Refused
-		must.True(t, errors.As(err, &no), must.Sprint(err))
-		must.Eq(t, code, no.Status)
-		must.Eq(t, fmt.Sprint("says ", code), no.Why)
+		var refused *client.Refused
+		must.True(t, errors.As(err, &refused), must.Sprint(err))
+		must.Eq(t, code, refused.Status)
+		must.Eq(t, fmt.Sprint("says ", code), refused.Why)
 		must.Len(t, calls, p.called, must.Sprint(code))
 		c.Close()
 	}
@@ -102,27 +103,27 @@
 	must.ErrorContains(t, err, "no control address")
 }
 
-func TestCallGivesUpInTime(t *testing.T) {
-	var p played
-	c := client.New(p.machine(t, "a", status(503)))
+func TestCallReturnsAtDeadline(t *testing.T) {
+	var p fakeControllers
+	c := client.New(p.start(t, "a", status(503)))
 	defer c.Close()
 	_, peer, err := c.Call(within(t, 2*time.Second), http.MethodGet, "/x", nil)
-	must.ErrorContains(t, err, "GET /x: given up, last: peer "+peer+": status 503: says 503")
+	must.ErrorContains(t, err, "GET /x: deadline reached, last error: peer "+peer+": status 503: says 503")
 }
 
-// Watch goes on until the slowest node reports the version.
+// TestWatch checks that Watch returns only when the slowest node reports the version.
 func TestWatch(t *testing.T) {
-	var p played
+	var p fakeControllers
 	var self string
-	asked := 0
-	self = p.machine(t, "core", func(w http.ResponseWriter, r *http.Request) {
+	calls := 0
+	self = p.start(t, "core", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/status" {
 			json.NewEncoder(w).Encode(client.Status{Members: []client.Member{{Control: self}}})
 			return
 		}
-		asked++ // one call at a time
+		calls++ // calls are sequential
 		json.NewEncoder(w).Encode([]client.Node{{Node: "a", Role: client.Controller, Version: 7},
-			{Node: "b", Role: client.Front, Version: uint64(5 + asked/2)}})
+			{Node: "b", Role: client.Front, Version: uint64(5 + calls/2)}})
 	})
 	c := client.New(self)
 	defer c.Close()
--- a/client/diff.go
+++ b/client/diff.go
@@ -8,27 +8,27 @@
 	"peathollow/manifest"
 )
 
-// Names are the names that came, went, and stayed with another meaning.
+// Names lists the names that were added, removed, or kept with a changed definition.
 type Names struct {
 	Added   []string `json:"added"`
 	Removed []string `json:"removed"`
 	Changed []Change `json:"changed"`
 }
 
-// Change says which fields of a route or service changed; none if it has no name of its own.
+// Change lists the changed fields of a route or service. Fields is empty if the definitions can't be looked up by name.
 type Change struct {
 	Name   string  `json:"name"`
 	Fields []Field `json:"fields"`
 }
 
-// Field is one value, before and after.
+// Field is the value of one field before and after the change.
 type Field struct {
 	Name string `json:"name"`
 	Was  string `json:"was"`
 	Is   string `json:"is"`
 }
 
-// Diff is what sets one configuration apart from another.
+// Diff is the difference between two configurations.
 type Diff struct {
 	From     uint64  `json:"from"` // versions
 	To       uint64  `json:"to"`
@@ -37,7 +37,7 @@
 	Limits   []Field `json:"limits"`
 }
 
-// Same tells that nothing but the version differs.
+// Same reports whether nothing but the version differs.
 func (d *Diff) Same() bool {
 	n := len(d.Limits)
 	for _, x := range []Names{d.Routes, d.Services} {
@@ -46,18 +46,18 @@
 	return n == 0
 }
 
-// Compare compares two configurations; a nil one has nothing.
-func Compare(a, b *manifest.Manifest) Diff {
-	if a == nil {
-		a = &manifest.Manifest{}
+// Compare returns the changes from one configuration to another. A nil from stands for an empty configuration.
+func Compare(from, to *manifest.Manifest) Diff {
+	if from == nil {
+		from = &manifest.Manifest{}
 	}
-	c := manifest.Diff(a, b)
-	return Diff{From: c.From, To: c.To, Limits: fields(a.Limits, b.Limits),
-		Routes:   names(c.Routes, routes(a), routes(b)),
-		Services: names(c.Services, a.Services, b.Services)}
+	c := manifest.Diff(from, to)
+	return Diff{From: c.From, To: c.To, Limits: changedFields(from.Limits, to.Limits),
+		Routes:   nameChanges(c.Routes, routesByName(from), routesByName(to)),
+		Services: nameChanges(c.Services, from.Services, to.Services)}
 }
 
-func routes(m *manifest.Manifest) map[string]*manifest.Route {
+func routesByName(m *manifest.Manifest) map[string]*manifest.Route {
 	all := map[string]*manifest.Route{}
 	for _, r := range m.Routes {
 		all[r.Name] = r
@@ -65,26 +65,27 @@
 	return all
 }
 
-func names[T any](n manifest.NameChanges, a, b map[string]*T) Names {
-	out := Names{Added: slices.Concat([]string{}, n.Added), Removed: slices.Concat([]string{}, n.Removed), Changed: []Change{}}
+func nameChanges[T any](n manifest.NameChanges, from, to map[string]*T) Names {
+	changes := Names{Added: slices.Concat([]string{}, n.Added), Removed: slices.Concat([]string{}, n.Removed), Changed: []Change{}}
 	for _, name := range n.Changed {
-		x := Change{Name: name}
-		if was, is := a[name], b[name]; was != nil && is != nil {
-			x.Fields = fields(*was, *is)
+		change := Change{Name: name}
+		if before, after := from[name], to[name]; before != nil && after != nil {
+			change.Fields = changedFields(*before, *after)
 		}
-		out.Changed = append(out.Changed, x)
+		changes.Changed = append(changes.Changed, change)
 	}
-	return out
+	return changes
 }
 
-// fields compares two structs. A route's place among the others has no meaning.
-func fields(a, b any) (out []Field) {
-	was, is := reflect.ValueOf(a), reflect.ValueOf(b)
-	for i := range was.NumField() {
-		name := was.Type().Field(i).Name
-		if x, y := fmt.Sprint(was.Field(i)), fmt.Sprint(is.Field(i)); x != y && name != "Index" {
-			out = append(out, Field{name, x, y})
+// changedFields compares two structs of the same type. It ignores the position of a route in the list (Index), which has no
+// meaning.
+func changedFields(from, to any) (changes []Field) {
+	before, after := reflect.ValueOf(from), reflect.ValueOf(to)
+	for i := range before.NumField() {
+		name := before.Type().Field(i).Name
+		if x, y := fmt.Sprint(before.Field(i)), fmt.Sprint(after.Field(i)); x != y && name != "Index" {
+			changes = append(changes, Field{name, x, y})
 		}
 	}
-	return out
+	return changes
 }
--- a/client/doc.go
+++ b/client/doc.go
@@ -1,7 +1,8 @@
-// Package client is the client library of the system's control interface, for operators' commands and for anybody
-// who calls a controller: it keeps the rules of callers (which machine, when to move on, when to stop), says what an
-// answer holds, checks a configuration before it is sent and compares it with the one in force.
+// Package client is the client library for the controllers' HTTP interface, used by the operators' commands and by any other
+// program that calls a controller. It implements the rules for callers (which controller to call, when to try the next one
+// and when to stop), decodes responses, validates a configuration before it is sent and compares it with the one in force.
 //
-// Its types are the words of that interface, which controller uses too. The program's commands, the stand-in searchers
-// and tests call it. It never serves, keeps nothing on disk, prints nothing, and decides nothing about the system.
+// Its types are the JSON types of that interface; package controlplane encodes them, too. The program's commands, the
+// simulated searchers and tests use the package. It serves nothing, stores nothing on disk, prints nothing and makes no
+// decisions about the system.
 package client
