--- a/agent/agent.go
+++ b/agent/agent.go
@@ -34,8 +34,10 @@
 
 // New returns an agent with the given settings and name of its incarnation. It does nothing until Run is called.
 func New(s *settings.Settings, incarnation string, l *log.Logger) *Agent {
-	return &Agent{settings: s, log: l, incarnation: incarnation, proxies: newProxyIncarnations(retrybudget.ChargeLifetime(s.RetryWindow), time.Now()),
-		replica: distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Relay: true, Period: s.BeatPeriod, Start: time.Now()}))}
+	return &Agent{settings: s, log: l, incarnation: incarnation,
+		proxies: newProxyIncarnations(retrybudget.ChargeLifetime(s.RetryWindow), time.Now()),
+		replica: distribution.NewReplica(registry.New(
+			registry.Config{Name: incarnation, Relay: true, Period: s.BeatPeriod, Start: time.Now()}))}
 }
 
 // Run serves until ctx ends and for most of the grace period after that: the proxy shuts down at the same time, and the
@@ -43,7 +45,7 @@
 func (a *Agent) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp", proxy.AgentAddress(a.settings))
 	if err != nil {
-		return errors.Wrap(err, "listen, loopback")
+		return errors.Wrap(err, "listen for the proxy on loopback")
 	}
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -59,8 +61,10 @@
 	go a.heartbeats.run(serveCtx)
 	go figures.ServeFor(serveCtx, a.log, a.settings.IP, a.settings.Metrics, a.emitMetrics)
 	choice := Choice{Set: a.settings, Board: a.replica, Seeds: seedAddresses(a.settings)}
-	p := distribution.Puller{Replica: a.replica, Node: a.settings.Node, Incarnation: a.incarnation, Kind: "agent", Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better,
-		PrepareRequest: a.heartbeats.addToRequest, OnResponse: a.link.recordResponse, Network: keepalive.TCP{Relay: a.settings.Relay, From: a.settings.Node},
+	p := distribution.Puller{Replica: a.replica, Node: a.settings.Node, Incarnation: a.incarnation, Kind: "agent",
+		Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better,
+		PrepareRequest: a.heartbeats.addToRequest, OnResponse: a.link.recordResponse,
+		Network: keepalive.TCP{Relay: a.settings.Relay, From: a.settings.Node},
 		OnError: func(peer string, err error) {
 			a.link.faults.Add(1)
 			a.log.Warn().Str("event", "link").Str("peer", peer).Err(err).Msg("")
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -59,7 +59,8 @@
 	testBeds.Unlock()
 	// Loopback addresses that only this process uses, and ports below the kernel's ephemeral range.
 	ip := func(k int) string { return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%150, 200+n, 10+k) }
-	s := &testBed{t: t, settings: &settings.Settings{Node: "front", IP: ip(9), Zone: "here", Zones: map[string]string{"here": "r", "there": "r", "far": "q"},
+	s := &testBed{t: t, settings: &settings.Settings{Node: "front", IP: ip(9), Zone: "here",
+		Zones:     map[string]string{"here": "r", "there": "r", "far": "q"},
 		PortFirst: 10_000 + (os.Getpid()*7+n*131)%20_000, BeatPeriod: 400 * time.Millisecond, Grace: 2 * time.Second, RetryWindow: 10 * time.Second}}
 	s.addr = func(k int) string { return net.JoinHostPort(ip(k), controlplane.DistributionPort(s.settings)) }
 	s.settings.Seeds = []string{ip(0) + ":1"}
@@ -110,8 +111,10 @@
 
 // startProxyIncarnation starts the given incarnation of the proxy with an empty replica.
 func (s *testBed) startProxyIncarnation(incarnation string) *distribution.Replica {
-	b := distribution.NewReplica(registry.New(registry.Config{Name: fmt.Sprint("proxy-", time.Now().UnixNano()), Relay: true, Period: time.Second, Start: time.Now()}))
-	p := distribution.Puller{Replica: b, Incarnation: incarnation, Kind: "proxy", Choose: func(int) string { return proxy.AgentAddress(s.settings) }}
+	b := distribution.NewReplica(registry.New(registry.Config{Name: fmt.Sprint("proxy-", time.Now().UnixNano()), Relay: true,
+		Period: time.Second, Start: time.Now()}))
+	p := distribution.Puller{Replica: b, Incarnation: incarnation, Kind: "proxy",
+		Choose: func(int) string { return proxy.AgentAddress(s.settings) }}
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { p.Run(ctx) })
@@ -121,7 +124,9 @@
 
 // startController starts simulated controller n.
 func (s *testBed) startController(n int, incarnation string) *controllerServer {
-	b := &controllerServer{Replica: distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Period: time.Second, Start: time.Now()})), requests: make(chan distribution.PullRequest, 10_000)}
+	b := &controllerServer{
+		Replica:  distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Period: time.Second, Start: time.Now()})),
+		requests: make(chan distribution.PullRequest, 10_000)}
 	ln, err := net.Listen("tcp", s.addr(n))
 	must.NoError(s.t, err)
 	ctx, stop := context.WithCancel(context.Background())
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -40,14 +40,15 @@
 // newHeartbeater opens the heartbeat socket. If that fails, it returns the error along with a heartbeater that sends
 // nothing; controllers then know the mixer by its pulls alone.
 func newHeartbeater(a *Agent, interval time.Duration) (*heartbeater, error) {
-	h := &heartbeater{agent: a, start: time.Now(), interval: interval, self: failuredetector.Node{Incarnation: a.incarnation, Zone: a.settings.Zone, Region: a.settings.Region}}
+	h := &heartbeater{agent: a, start: time.Now(), interval: interval,
+		self: failuredetector.Node{Incarnation: a.incarnation, Zone: a.settings.Zone, Region: a.settings.Region}}
 	ip, err := netip.ParseAddr(a.settings.IP)
 	if err == nil {
 		h.self.Addr = netip.AddrPortFrom(ip, uint16(a.settings.PortFirst+heartbeatPortOffset))
 		h.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(h.self.Addr))
 	}
 	if err != nil {
-		err = errors.Wrapf(err, "listen, heartbeats at %s", h.self.Addr)
+		err = errors.Wrapf(err, "listen for heartbeats at %s", h.self.Addr)
 		h.self.Addr = netip.AddrPort{}
 	}
 	h.detector = failuredetector.New(failuredetector.Config{Self: h.self, Interval: interval}, h.start)
@@ -112,7 +113,8 @@
 		}
 		h.generation = generation
 		for m := range distribution.Mixers(r) {
-			nodes = append(nodes, failuredetector.Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone, Region: h.agent.settings.Zones[m.Zone],
+			nodes = append(nodes, failuredetector.Node{Incarnation: m.Incarnation, Addr: m.Addr, Zone: m.Zone,
+				Region: h.agent.settings.Zones[m.Zone],
 				Silent: m.Silent, Leaving: m.Leaving})
 		}
 		return false
@@ -135,7 +137,8 @@
 	// The counter follows the clock, which leaves numbers for the heartbeats that a controller issues on behalf of this
 	// mixer while it can't reach the controller.
 	h.calls = max(h.calls+1, uint64(time.Since(h.start)/time.Microsecond))
-	p := &distribution.AgentHeartbeat{Calls: h.calls, Leaving: h.agent.leaving.Load(), Missed: h.detector.Missed(), Seen: h.detector.Seen()}
+	p := &distribution.AgentHeartbeat{Calls: h.calls, Leaving: h.agent.leaving.Load(), Missed: h.detector.Missed(),
+		Seen: h.detector.Seen()}
 	if first {
 		p.Zone = h.agent.settings.Zone
 		if h.self.Addr.IsValid() {
--- a/agent/heartbeat_test.go
+++ b/agent/heartbeat_test.go
@@ -25,7 +25,8 @@
 	t.Parallel()
 	// Loopback addresses that only this process uses, and a port below the kernel's ephemeral range.
 	at := func(n int) netip.AddrPort {
-		return netip.MustParseAddrPort(fmt.Sprintf("127.%d.%d.%d:%d", 64+os.Getpid()%150, 100+os.Getpid()/150%100, n, 10_004+os.Getpid()%20_000))
+		return netip.MustParseAddrPort(fmt.Sprintf("127.%d.%d.%d:%d", 64+os.Getpid()%150, 100+os.Getpid()/150%100, n,
+			10_004+os.Getpid()%20_000))
 	}
 	open := func(n int) *net.UDPConn {
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at(n)))
@@ -37,7 +38,8 @@
 		t.Helper()
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(holds), wait.Timeout(20*time.Second), wait.Gap(2*time.Millisecond)))
 	}
-	self := &Agent{incarnation: "agent/a/1", settings: &settings.Settings{Node: "a", IP: at(1).Addr().String(), Zone: "z", PortFirst: int(at(1).Port()) - heartbeatPortOffset},
+	self := &Agent{incarnation: "agent/a/1", settings: &settings.Settings{Node: "a", IP: at(1).Addr().String(), Zone: "z",
+		PortFirst: int(at(1).Port()) - heartbeatPortOffset},
 		replica: distribution.NewReplica(registry.New(registry.Config{Name: "h", Start: time.Now()}))}
 	other, stranger := open(2), open(3)
 	self.replica.WithRegistry(func(r *registry.Registry) bool {
@@ -61,7 +63,8 @@
 		n, from, err := other.ReadFromUDPAddrPort(b[:])
 		must.NoError(t, err)
 		key, sequence, ok := failuredetector.ReadHeartbeat(b[:n])
-		must.True(t, ok && key == failuredetector.Key(self.incarnation) && sequence > last && netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) == at(1))
+		must.True(t, ok && key == failuredetector.Key(self.incarnation) && sequence > last && netip.AddrPortFrom(from.Addr().Unmap(),
+			from.Port()) == at(1))
 		last = sequence
 	}
 
@@ -74,7 +77,8 @@
 	}
 	eventually(func() bool { return len(missed()) == 1 })
 	key := failuredetector.Key("agent/b/2")
-	for _, junk := range [][]byte{{}, []byte("hello"), make([]byte, 1400), failuredetector.AppendHeartbeat(nil, key+1, 1), failuredetector.AppendHeartbeat(nil, key, 1000)} {
+	for _, junk := range [][]byte{{}, []byte("hello"), make([]byte, 1400), failuredetector.AppendHeartbeat(nil, key+1, 1),
+		failuredetector.AppendHeartbeat(nil, key, 1000)} {
 		_, err := stranger.WriteToUDPAddrPort(junk, at(1))
 		must.NoError(t, err)
 	}
@@ -87,6 +91,7 @@
 	})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	must.True(t, h.detector.ReceiveHeartbeat(time.Now(), key, 999, at(2)), must.Sprint("the sequence number of an unknown sender was accepted"))
+	must.True(t, h.detector.ReceiveHeartbeat(time.Now(), key, 999, at(2)),
+		must.Sprint("the sequence number of an unknown sender was accepted"))
 	must.NoError(t, h.detector.Check())
 }
