--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts mixers on the bench's wire, on standard input and output.
+// Command simhost runs mixers for the benchmark simulator and speaks its line protocol on standard input and output.
 package main
 
 import (
