--- a/cmd/peathollow/check.go
+++ b/cmd/peathollow/check.go
@@ -16,10 +16,10 @@
 func check() *cli.Command {
 	var list, system bool
 	return leaf(&cli.Command{Name: "check", ArgsUsage: "[SETTINGS]",
-		Usage: "Check a settings file, and the platform's configuration if ROUTER_CONFIG names one",
+		Usage: "Check a settings file, and the platform's configuration if ROUTER_CONFIG is set",
 		Flags: []cli.Flag{&cli.BoolFlag{Name: "list", Destination: &list,
-			Usage: "print a settings file with all defaults and what is allowed"},
-			&cli.BoolFlag{Name: "system", Destination: &system, Usage: "the settings file is that of a process of the search front"}}}, 0, 1,
+			Usage: "print a settings file with all defaults and the allowed values"},
+			&cli.BoolFlag{Name: "system", Destination: &system, Usage: "the settings file belongs to a proxy, agent or controller"}}}, 0, 1,
 		func(_ context.Context, c *cli.Command) error {
 			out := c.Root().Writer
 			if system {
@@ -39,10 +39,10 @@
 				if err != nil {
 					return err
 				}
-				on := map[bool]string{true: "on", false: "off"}
-				fmt.Fprintf(out, "%s: good; duties %s, fleet %s\n", path, on[o.Duties.On], on[o.Fleet.On])
+				onOff := map[bool]string{true: "on", false: "off"}
+				fmt.Fprintf(out, "%s: good; duties %s, fleet %s\n", path, onOff[o.Duties.On], onOff[o.Fleet.On])
 			} else if env("ROUTER_CONFIG") == "" {
-				return fmt.Errorf("nothing to check: name a settings file, or set ROUTER_CONFIG")
+				return fmt.Errorf("nothing to check: give a settings file or set ROUTER_CONFIG")
 			}
 			if path := env("ROUTER_CONFIG"); path != "" {
 				if _, err := config.Load(env, os.ReadFile); err != nil {
@@ -54,21 +54,21 @@
 		})
 }
 
-// checkSystem reads the settings file of a proxy, agent or controller as they would, or prints what it may hold.
+// checkSystem reads the settings file of a proxy, agent or controller as that process does or, with list, prints all keys.
 func checkSystem(out io.Writer, path string, list bool) error {
 	if list {
 		var rows [][]any
-		for _, x := range settings.List() {
-			rows = append(rows, []any{x.Key, strings.TrimSpace(x.Kind + " " + x.Bounds), x.Default, x.Help})
+		for _, setting := range settings.List() {
+			rows = append(rows, []any{setting.Key, strings.TrimSpace(setting.Kind + " " + setting.Bounds), setting.Default, setting.Help})
 		}
-		return table(out, "key|is|default|for", rows)
+		return printTable(out, "key|is|default|for", rows)
 	}
 	if path == "" {
 		path = settings.FromEnvironment(os.Getenv)
 	}
 	s, err := settings.Read(path)
 	if err != nil {
-		return coded{err, exitUsage}
+		return codedError{err, exitUsage}
 	}
 	_, err = fmt.Fprintf(out, "%s: good; %s, class %s, zone %s, %d seeds\n", path, s.Node, s.Class, s.Zone, len(s.Seeds))
 	return err
--- a/cmd/peathollow/command_test.go
+++ b/cmd/peathollow/command_test.go
@@ -22,8 +22,9 @@
 	return out.String(), err
 }
 
-func TestSimulateSaysWhatItPlayed(t *testing.T) {
-	out, err := run("duties", "simulate", "--instances", "3", "--readers", "2", "--interval", "1s", "--scenario", "kill", "--seed", "5",
+func TestDutiesSimulate(t *testing.T) {
+	out, err := run("duties", "simulate", "--instances", "3", "--readers", "2", "--interval", "1s", "--scenario", "kill", "--seed",
+		"5",
 		"--seeds", "3", "--json")
 	var r dutysim.Report
 	if err != nil || json.Unmarshal([]byte(out), &r) != nil || r.Histories != 3 || r.Violations != 0 || r.GapBoundMS <= 0 ||
@@ -36,12 +37,14 @@
 		}
 	}
 	var code exitCode
-	if out, err := run("duties", "simulate", "--policy", "all", "--scenario", "calm", "--seeds", "2"); !errors.As(err, &code) || code != 1 {
+	if out, err := run("duties", "simulate", "--policy", "all", "--scenario", "calm", "--seeds", "2"); !errors.As(err,
+		&code) || code != 1 {
 		t.Errorf("%s %v", out, err)
 	}
-	for _, bad := range [][]string{{"--scenario", "odd"}, {"--instances", "0"}, {"--seeds", "0"}, {"--interval", "1ns"}, {"--policy", "odd"}, {"--no-such"}} {
-		if _, err := run(append([]string{"duties", "simulate"}, bad...)...); err == nil {
-			t.Errorf("%v is taken", bad)
+	for _, invalid := range [][]string{{"--scenario", "odd"}, {"--instances", "0"}, {"--seeds", "0"}, {"--interval", "1ns"},
+		{"--policy", "odd"}, {"--no-such"}} {
+		if _, err := run(append([]string{"duties", "simulate"}, invalid...)...); err == nil {
+			t.Errorf("%v is accepted", invalid)
 		}
 	}
 }
@@ -64,7 +67,7 @@
 		t.Error(err)
 	}
 	if _, err := run("check"); err == nil {
-		t.Error("nothing was checked, and that is well")
+		t.Error("no error although there was nothing to check")
 	}
 	out, err := run("duties", "key")
 	if k, bad := base64.StdEncoding.DecodeString(strings.TrimSpace(out)); err != nil || bad != nil || len(k) != 32 {
@@ -74,11 +77,11 @@
 		t.Errorf("%q %v", out, err)
 	}
 	if _, err := run("duties", "show", filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a socket that is not there")
+		t.Error("no error for a socket that does not exist")
 	}
 }
 
-// A newcomer's first minute: every scan gets its answer, also beside a searcher that is silent.
+// TestTry checks that every scan gets a response, also when one searcher never responds.
 func TestTry(t *testing.T) {
 	for _, args := range [][]string{{"try", "--for", "1500ms"}, {"try", "--for", "1500ms", "--trouble"}} {
 		out, err := run(args...)
--- a/cmd/peathollow/config.go
+++ b/cmd/peathollow/config.go
@@ -19,7 +19,7 @@
 		configGet(), configPut(), configCheck(), configDiff())
 }
 
-// readConfig reads a file that is to be a valid configuration; - is standard input.
+// readConfig reads and validates the configuration file given as the argument; "-" is standard input.
 func readConfig(c *cli.Command) ([]byte, *manifest.Manifest, error) {
 	file := c.Args().First()
 	var raw []byte
@@ -35,29 +35,29 @@
 	}
 	m, err := client.Check(file, raw)
 	if err != nil {
-		return nil, nil, coded{err, exitUsage}
+		return nil, nil, codedError{err, exitUsage}
 	}
 	return raw, m, nil
 }
 
-// inForce asks for the configuration in force; nil if there is none yet.
-func inForce(ctx context.Context, control *client.Client) (*manifest.Manifest, error) {
+// fetchConfig gets the configuration in force, or nil if there is none yet.
+func fetchConfig(ctx context.Context, control *client.Client) (*manifest.Manifest, error) {
 	raw, err := control.Config(ctx)
 	if err != nil || raw == nil {
 		return nil, err
 	}
 	m, err := manifest.Parse(raw)
 	if err != nil {
-		return nil, errors.Wrap(err, "what is in force")
+		return nil, errors.Wrap(err, "configuration in force")
 	}
 	return m, nil
 }
 
 func configGet() *cli.Command {
-	var r reach
-	return r.calling(&cli.Command{Name: "get", Usage: "Print the configuration in force: a table, or with --json the document as it was sent"}, 0,
+	var r systemFlags
+	return r.command(&cli.Command{Name: "get", Usage: "Print the configuration in force: a table, or with --json the document as it was sent"}, 0,
 		func(ctx context.Context, control *client.Client, c *cli.Command) error {
-			m, err := inForce(ctx, control)
+			m, err := fetchConfig(ctx, control)
 			if err != nil {
 				return err
 			}
@@ -76,58 +76,60 @@
 	fmt.Fprintf(out, "version %d; %d routes, %d services\n", m.Version, len(m.Routes), len(m.Services))
 	var rows [][]any
 	for _, r := range m.Routes {
-		kind, to := "to", m.ServicesOf(r)
+		kind, targets := "to", m.ServicesOf(r)
 		switch {
 		case len(r.FanOut) > 0:
 			kind = fmt.Sprintf("best %d of, %g at least", r.TopK, r.MinCoverage)
 		case len(r.Split) > 0:
 			kind = "one of"
 			for i, s := range r.Split {
-				to[i] = fmt.Sprintf("%s (%g)", s.Service, s.Gain)
+				targets[i] = fmt.Sprintf("%s (%g)", s.Service, s.Gain)
 			}
 		}
 		mode := "once"
 		if r.Idempotent {
 			mode = "repeatable"
 		}
-		rows = append(rows, []any{r.Name, r.Host + r.Prefix, mode, r.Rank, r.Setpoint, r.Horizon, r.Retries, kind, strings.Join(to, " ")})
+		rows = append(rows, []any{r.Name, r.Host + r.Prefix, mode, r.Rank, r.Setpoint, r.Horizon, r.Retries, kind,
+			strings.Join(targets, " ")})
 	}
-	return table(out, "route|for|mode|rank|setpoint|horizon|retries|goes|services", rows)
+	return printTable(out, "route|for|mode|rank|setpoint|horizon|retries|goes|services", rows)
 }
 
 func configPut() *cli.Command {
-	var r reach
+	var r systemFlags
 	var watch bool
-	return r.calling(&cli.Command{Name: "put", ArgsUsage: "FILE", Usage: "Check a configuration, send it, and wait till it is acknowledged", Flags: []cli.Flag{
-		&cli.BoolFlag{Name: "watch", Destination: &watch, Usage: "wait till every node reports it in force"}}}, 1,
+	return r.command(&cli.Command{Name: "put", ArgsUsage: "FILE",
+		Usage: "Check a configuration, send it, and wait until it is acknowledged", Flags: []cli.Flag{
+			&cli.BoolFlag{Name: "watch", Destination: &watch, Usage: "wait until every node reports it as in force"}}}, 1,
 		func(ctx context.Context, control *client.Client, c *cli.Command) error {
 			raw, m, err := readConfig(c)
 			if err != nil {
 				return err
 			}
-			held, err := control.Put(ctx, raw)
+			inForce, err := control.Put(ctx, raw)
 			if err != nil {
 				return err
 			}
 			out := c.Root().Writer
-			say := func(format string, a ...any) {
+			printLine := func(format string, a ...any) {
 				if !r.asJSON {
 					fmt.Fprintf(out, format+"\n", a...)
 				}
 			}
-			if held > m.Version {
-				say("version %d acknowledged; version %d was in force already and stays", m.Version, held)
+			if inForce > m.Version {
+				printLine("version %d acknowledged; version %d was in force already and stays", m.Version, inForce)
 			} else {
-				say("version %d acknowledged", m.Version)
+				printLine("version %d acknowledged", m.Version)
 			}
 			if watch {
-				err := control.Watch(ctx, m.Version, func(have, of int) { say("in force on %d of %d nodes", have, of) })
+				err := control.Watch(ctx, m.Version, func(have, of int) { printLine("in force on %d of %d nodes", have, of) })
 				if err != nil {
 					return err
 				}
 			}
 			if r.asJSON {
-				return printJSON(out, map[string]any{"sent": m.Version, "held": held, "everywhere": watch})
+				return printJSON(out, map[string]any{"sent": m.Version, "held": inForce, "everywhere": watch})
 			}
 			return nil
 		})
@@ -135,46 +137,51 @@
 
 func configCheck() *cli.Command {
 	var asJSON bool
-	return operation(&cli.Command{Name: "check", ArgsUsage: "FILE", Usage: "Check a configuration without a running system; - is standard input",
+	return operatorCommand(&cli.Command{Name: "check", ArgsUsage: "FILE",
+		Usage: "Check a configuration without a running system; - is standard input",
 		Flags: []cli.Flag{&cli.BoolFlag{Name: "json", Destination: &asJSON, Usage: "print JSON"}}}, 1,
 		func(_ context.Context, c *cli.Command) error {
 			_, m, err := readConfig(c)
 			out := c.Root().Writer
 			if asJSON {
-				var bad *client.Invalid
-				if errors.As(err, &bad) {
-					if err := printJSON(out, map[string]any{"valid": false, "file": bad.File, "line": bad.Line, "path": bad.Path, "why": bad.Why}); err != nil {
+				var invalid *client.Invalid
+				if errors.As(err, &invalid) {
+					if err := printJSON(out, map[string]any{"valid": false, "file": invalid.File, "line": invalid.Line, "path": invalid.Path,
+						"why": invalid.Why}); err != nil {
 						return err
 					}
 				} else if err == nil {
-					return printJSON(out, map[string]any{"valid": true, "config-version": m.Version, "routes": len(m.Routes), "services": len(m.Services)})
+					return printJSON(out, map[string]any{"valid": true, "config-version": m.Version, "routes": len(m.Routes),
+						"services": len(m.Services)})
 				}
 			}
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(out, "%s: good; version %d, %d routes, %d services\n", c.Args().First(), m.Version, len(m.Routes), len(m.Services))
+			_, err = fmt.Fprintf(out, "%s: good; version %d, %d routes, %d services\n", c.Args().First(), m.Version, len(m.Routes),
+				len(m.Services))
 			return err
 		})
 }
 
 func configDiff() *cli.Command {
-	var r reach
-	return r.calling(&cli.Command{Name: "diff", ArgsUsage: "FILE", Usage: "Show what a configuration would change of the one in force"}, 1,
+	var r systemFlags
+	return r.command(&cli.Command{Name: "diff", ArgsUsage: "FILE", Usage: "Show how a configuration differs from the one in force"},
+		1,
 		func(ctx context.Context, control *client.Client, c *cli.Command) error {
 			_, m, err := readConfig(c)
 			if err != nil {
 				return err
 			}
-			now, err := inForce(ctx, control)
+			current, err := fetchConfig(ctx, control)
 			if err != nil {
 				return err
 			}
-			d := client.Compare(now, m)
+			diff := client.Compare(current, m)
 			if r.asJSON {
-				return printJSON(c.Root().Writer, d)
+				return printJSON(c.Root().Writer, diff)
 			}
-			return showDiff(c.Root().Writer, &d)
+			return showDiff(c.Root().Writer, &diff)
 		})
 }
 
@@ -198,17 +205,17 @@
 		for _, name := range x.Removed {
 			rows = append(rows, []any{"removed", x.kind, name, "", ""})
 		}
-		for _, one := range x.Changed {
-			if len(one.Fields) == 0 {
-				rows = append(rows, []any{"changed", x.kind, one.Name, "", ""})
+		for _, change := range x.Changed {
+			if len(change.Fields) == 0 {
+				rows = append(rows, []any{"changed", x.kind, change.Name, "", ""})
 			}
-			for _, f := range one.Fields {
-				rows = append(rows, []any{"changed", x.kind, one.Name, f.Name, f.Was + " -> " + f.Is})
+			for _, f := range change.Fields {
+				rows = append(rows, []any{"changed", x.kind, change.Name, f.Name, f.Was + " -> " + f.Is})
 			}
 		}
 	}
 	for _, f := range d.Limits {
 		rows = append(rows, []any{"changed", "limits", "", f.Name, f.Was + " -> " + f.Is})
 	}
-	return table(out, "what|of|name|field|values", rows)
+	return printTable(out, "what|of|name|field|values", rows)
 }
--- a/cmd/peathollow/duties_test.go
+++ b/cmd/peathollow/duties_test.go
@@ -11,10 +11,10 @@
 	"peathollow/internal/standin"
 )
 
-// Three processes share the probes of four readers; one is killed outright, another stopped and continued. Each reader
-// goes on being probed, and over all of it in no window of eight intervals twice as often as intended. Times come from
-// the readers' side; waits only end what would never come.
-func TestThreeProcessesKilledAndStopped(t *testing.T) {
+// TestDutiesSurviveKilledAndStoppedProcesses checks that three processes that share the probes of four readers keep probing
+// each of them while one process is killed and another is stopped and continued, and that no reader is probed twice as often
+// as intended in any window of eight intervals. Times are measured at the readers; the waits only bound a failed run.
+func TestDutiesSurviveKilledAndStoppedProcesses(t *testing.T) {
 	const interval = 400 * time.Millisecond
 	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{Status: 200} }, nil)
 	if err != nil {
@@ -22,21 +22,21 @@
 	}
 	defer f.Close()
 	var mu sync.Mutex
-	at := make([][]time.Time, 4)
+	probes := make([][]time.Time, 4)
 	for i, s := range f.Searchers {
 		s.OnProbe(func(byte) {
 			mu.Lock()
 			defer mu.Unlock()
-			at[i] = append(at[i], time.Now())
+			probes[i] = append(probes[i], time.Now())
 		})
 	}
-	since := func(from time.Time, n int) bool {
+	probedSince := func(from time.Time, n int) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, seen := range at {
+		for _, times := range probes {
 			k := 0
-			for _, x := range seen {
-				if x.After(from) {
+			for _, probe := range times {
+				if probe.After(from) {
 					k++
 				}
 			}
@@ -46,33 +46,33 @@
 		}
 		return true
 	}
-	until := func(what string, from time.Time, n int) {
+	waitProbed := func(what string, from time.Time, n int) {
 		t.Helper()
-		for over := time.Now().Add(30 * time.Second); !since(from, n); time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(over) {
+		for deadline := time.Now().Add(30 * time.Second); !probedSince(from, n); time.Sleep(5 * time.Millisecond) {
+			if time.Now().After(deadline) {
 				t.Fatalf("%s: not all readers probed %d times", what, n)
 			}
 		}
 	}
-	h := started(t, 3, f, nil, fmt.Sprintf("[duties]\non = yes\ninterval = %v\nyoung = 0s\n", interval))
-	all := h.Processes
-	until("three", time.Time{}, 6)
-	all[0].Kill()
-	until("one killed", time.Now(), 3)
-	all[1].Signal(syscall.SIGSTOP)
-	until("one killed, one stopped", time.Now(), 1) // by turns of the last
-	all[1].Signal(syscall.SIGCONT)
-	until("continued", time.Now(), 4)
-	all[1].Signal(syscall.SIGTERM)
-	if err := all[1].Wait(); err != nil {
+	harness := startProcesses(t, 3, f, nil, fmt.Sprintf("[duties]\non = yes\ninterval = %v\nyoung = 0s\n", interval))
+	processes := harness.Processes
+	waitProbed("three", time.Time{}, 6)
+	processes[0].Kill()
+	waitProbed("one killed", time.Now(), 3)
+	processes[1].Signal(syscall.SIGSTOP)
+	waitProbed("one killed, one stopped", time.Now(), 1) // by out-of-lease runs of the last process
+	processes[1].Signal(syscall.SIGCONT)
+	waitProbed("continued", time.Now(), 4)
+	processes[1].Signal(syscall.SIGTERM)
+	if err := processes[1].Wait(); err != nil {
 		t.Errorf("SIGTERM: %v", err)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	for i, seen := range at {
-		for k := range seen {
+	for i, times := range probes {
+		for first := range times {
 			n := 0
-			for j := k; j < len(seen) && seen[j].Sub(seen[k]) < 8*interval; j++ {
+			for last := first; last < len(times) && times[last].Sub(times[first]) < 8*interval; last++ {
 				n++
 			}
 			if n >= 16 {
--- a/cmd/peathollow/lab.go
+++ b/cmd/peathollow/lab.go
@@ -14,19 +14,19 @@
 	"peathollow/lab/scale"
 )
 
-// lab holds measurements that need processes of this program, and no system that serves.
+// lab returns the measurements that run processes of this program and need no running system.
 func lab() *cli.Command {
 	return group("lab", "Measure the system on this machine", labScale(), labSoak(), labHollow())
 }
 
-// checkRun checks the options of a run of this program's own processes, and gives their first arguments.
+// checkRun validates the options of a run that starts processes of this program, and returns the command line prefix for them.
 func checkRun(options interface{ Check() error }) (program []string, err error) {
 	if err := options.Check(); err != nil {
-		return nil, coded{err, exitUsage}
+		return nil, codedError{err, exitUsage}
 	}
 	path, err := os.Executable()
 	if err != nil {
-		return nil, errors.Wrap(err, "this program")
+		return nil, errors.Wrap(err, "find the executable")
 	}
 	return []string{path}, nil
 }
@@ -34,25 +34,31 @@
 func labScale() *cli.Command {
 	o := scale.Default()
 	asJSON := false
-	return operation(&cli.Command{Name: "scale",
-		Usage: "Measure what the control plane costs with so many mixers and searchers, hollow ones beside real controllers",
+	return operatorCommand(&cli.Command{Name: "scale",
+		Usage: "Measure the cost of the control plane with many simulated mixers and searchers and real controllers",
 		Description: "Controllers and one front run as processes of this program; the other mixers share one process, the searchers another.\n" +
-			"Half of the time nothing changes, half of it changes of configuration and drains go in turn. Nothing is left behind.",
+			"Nothing changes for half of the time; during the other half configuration changes and drains alternate. No process is left behind.",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "mixers", Value: o.Mixers, Destination: &o.Mixers, Usage: "mixers, one of them real"},
-			&cli.IntFlag{Name: "searchers", Value: o.Search, Destination: &o.Search, Usage: "hollow searchers"},
+			&cli.IntFlag{Name: "searchers", Value: o.Search, Destination: &o.Search, Usage: "simulated searchers"},
 			&cli.IntFlag{Name: "core", Value: o.Core, Destination: &o.Core, Usage: "controllers"},
-			&cli.Uint64Flag{Name: "seed", Value: o.Seed, Destination: &o.Seed, Usage: "of all chance in the hollow processes"},
-			&cli.DurationFlag{Name: "for", Value: o.For, Destination: &o.For, Usage: "measure for so long"},
+			&cli.Uint64Flag{Name: "seed", Value: o.Seed, Destination: &o.Seed,
+				Usage: "seed of the random choices in the simulated processes"},
+			&cli.DurationFlag{Name: "for", Value: o.For, Destination: &o.For, Usage: "time to measure"},
 			&cli.IntFlag{Name: "routes", Value: o.Routes, Destination: &o.Routes, Usage: "routes of the configuration"},
 			&cli.IntFlag{Name: "shards", Value: o.Shards, Destination: &o.Shards, Usage: "shards of a route that is split"},
-			&cli.DurationFlag{Name: "beat-period", Value: o.Period, Destination: &o.Period, Usage: "of a searcher"},
-			&cli.DurationFlag{Name: "change-every", Value: o.Every, Destination: &o.Every, Usage: "a change, and a drain midway to the next"},
-			&cli.FloatFlag{Name: "restarts", Value: o.Restart, Destination: &o.Restart, Usage: "searchers a minute that drain, leave and come back"},
-			&cli.FloatFlag{Name: "crashes", Value: o.Crash, Destination: &o.Crash, Usage: "searchers a minute that come back without a word"},
-			&cli.BoolFlag{Name: "fresh", Destination: &o.Fresh, Usage: "each beat opens a connection"},
-			&cli.IntFlag{Name: "procs", Value: o.Procs, Destination: &o.Procs, Usage: "threads of each process that run at a time"},
-			&cli.DurationFlag{Name: "start-most", Value: o.Warm, Destination: &o.Warm, Usage: "for all to know all at the start"},
+			&cli.DurationFlag{Name: "beat-period", Value: o.Period, Destination: &o.Period,
+				Usage: "time between heartbeats of a searcher"},
+			&cli.DurationFlag{Name: "change-every", Value: o.Every, Destination: &o.Every,
+				Usage: "time between configuration changes, with a drain halfway between them"},
+			&cli.FloatFlag{Name: "restarts", Value: o.Restart, Destination: &o.Restart,
+				Usage: "searchers per minute that drain, stop and start again"},
+			&cli.FloatFlag{Name: "crashes", Value: o.Crash, Destination: &o.Crash,
+				Usage: "searchers per minute that restart without notice"},
+			&cli.BoolFlag{Name: "fresh", Destination: &o.Fresh, Usage: "open a connection for each heartbeat"},
+			&cli.IntFlag{Name: "procs", Value: o.Procs, Destination: &o.Procs, Usage: "threads that each process runs at a time"},
+			&cli.DurationFlag{Name: "start-most", Value: o.Warm, Destination: &o.Warm,
+				Usage: "time limit for all processes to know all others at the start"},
 			&cli.BoolFlag{Name: "json", Destination: &asJSON, Usage: "print JSON"},
 		}}, 0, func(ctx context.Context, c *cli.Command) error {
 		var err error
@@ -74,9 +80,9 @@
 	})
 }
 
-// labHollow is what scale starts; it is told what to be on standard input.
+// labHollow is the process of simulated agents or searchers that scale starts. It reads its configuration from standard input.
 func labHollow() *cli.Command {
-	return leaf(&cli.Command{Name: "hollow", Usage: "A process of hollow agents or searchers", Hidden: true}, 1, 1,
+	return leaf(&cli.Command{Name: "hollow", Usage: "Run simulated agents or searchers", Hidden: true}, 1, 1,
 		func(ctx context.Context, c *cli.Command) error {
 			return scale.Hollow(ctx, c.Args().First(), os.Stdin, os.Stdout)
 		})
--- a/cmd/peathollow/main.go
+++ b/cmd/peathollow/main.go
@@ -1,5 +1,5 @@
-// Command peathollow is the processes of a search front, one mixer of the program before it, and the tools of those
-// who run either.
+// Command peathollow runs the processes of the search front (proxy, agent and controller) or one mixer of the older program,
+// and contains the tools for operating, testing and measuring both.
 package main
 
 import (
@@ -20,15 +20,15 @@
 	}
 }
 
-// exitCode is an error that asks for a status of its own.
+// exitCode is an error that sets the exit status of the program.
 type exitCode int
 
 func (c exitCode) Error() string { return fmt.Sprintf("exit status %d", int(c)) }
 
-// coded is an error whose text says what was wrong and that asks for a status besides.
-type coded struct {
+// codedError is an error with a message and an exit status.
+type codedError struct {
 	error
 	code exitCode
 }
 
-func (c coded) Unwrap() []error { return []error{c.error, c.code} }
+func (c codedError) Unwrap() []error { return []error{c.error, c.code} }
--- a/cmd/peathollow/main_test.go
+++ b/cmd/peathollow/main_test.go
@@ -14,7 +14,7 @@
 	"peathollow/internal/standin"
 )
 
-// TestMain turns the test's own binary into the program, for the tests that need a process.
+// TestMain runs the program instead of the tests if PEATHOLLOW_TEST_PROGRAM is set, for tests that start processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("PEATHOLLOW_TEST_PROGRAM") != "" {
 		main()
@@ -23,9 +23,10 @@
 	os.Exit(m.Run())
 }
 
-// SIGHUP before the configuration is read, and again later: the process goes on and follows discovery where the last
-// reading says. The file is a pipe, so that the program is held up in the midst of its first reading.
-func TestHangUpFromTheFirstInstant(t *testing.T) {
+// TestHangUpDuringFirstLoad checks that a process survives SIGHUP before and after it has read its configuration, and that it
+// uses the discovery address of the latest valid configuration. The configuration file is a named pipe, which blocks the
+// process in the middle of its first read.
+func TestHangUpDuringFirstLoad(t *testing.T) {
 	f, err := standin.NewFleet(2, func(int, proto.Call) standin.Reply { return standin.Reply{Status: 200} }, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -48,16 +49,16 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- p.Wait() }()
-	tell := func(text []byte, signals ...os.Signal) {
+	serveConfig := func(content []byte, signals ...os.Signal) {
 		done := make(chan error, 1)
 		go func() {
-			w, err := os.OpenFile(path, os.O_WRONLY, 0) // waits for the program to open the other end
-			if err == nil {                             // the next reading has a pipe of its own
+			w, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens the other end
+			if err == nil {                             // the next read gets a new pipe
 				err = errors.Join(syscall.Mkfifo(path+".new", 0o600), os.Rename(path+".new", path))
 				for _, s := range signals {
 					p.Process.Signal(s)
 				}
-				w.Write(text)
+				w.Write(content)
 				err = errors.Join(err, w.Close())
 			}
 			done <- err
@@ -71,10 +72,10 @@
 			t.Fatalf("ended with %v", err)
 		}
 	}
-	good := f.Config(nil)
-	tell(good, syscall.SIGHUP)
-	tell([]byte("no json"), syscall.SIGHUP)
-	tell(bytes.Replace(good, []byte(f.Discovery.Addr()), []byte(moved.Addr().String()), 1))
+	valid := f.Config(nil)
+	serveConfig(valid, syscall.SIGHUP)
+	serveConfig([]byte("no json"), syscall.SIGHUP)
+	serveConfig(bytes.Replace(valid, []byte(f.Discovery.Addr()), []byte(moved.Addr().String()), 1))
 	if c, err := moved.Accept(); err != nil {
 		t.Error(err)
 	} else {
--- a/cmd/peathollow/operate.go
+++ b/cmd/peathollow/operate.go
@@ -21,55 +21,56 @@
 	"peathollow/internal/settings"
 )
 
-// The operators' commands, against a running system. They exit with 0 when done, 1 on a failure, 2 on wrong usage and on
-// a configuration that is invalid.
-
+// exitUsage is the exit status of operators' commands on wrong usage and on an invalid configuration. They exit with 1 on any
+// other error.
 const exitUsage = exitCode(2)
 
-// reach says which system a command is for.
-type reach struct {
+// systemFlags holds the flags that select the system a command operates on, and those for its timeout and output.
+type systemFlags struct {
 	control  string
 	settings string
 	timeout  time.Duration
 	asJSON   bool
 }
 
-func (r *reach) flags(more ...cli.Flag) []cli.Flag {
+func (r *systemFlags) flags(more ...cli.Flag) []cli.Flag {
 	return append(more,
 		&cli.StringFlag{Name: "control", Destination: &r.control, Usage: "control addresses of controllers, `HOST:PORT[,HOST:PORT]`"},
 		&cli.StringFlag{Name: "settings", Destination: &r.settings,
-			Usage: "settings `FILE` of a machine whose seeds are called without --control; PEATHOLLOW_SETTINGS stands in for it"},
-		&cli.DurationFlag{Name: "timeout", Value: 10 * time.Second, Destination: &r.timeout, Usage: "give up after it"},
+			Usage: "settings `FILE` whose seeds are called without --control; default: the value of PEATHOLLOW_SETTINGS"},
+		&cli.DurationFlag{Name: "timeout", Value: 10 * time.Second, Destination: &r.timeout, Usage: "give up after this time"},
 		&cli.BoolFlag{Name: "json", Destination: &r.asJSON, Usage: "print JSON"})
 }
 
-// operation is a leaf whose wrong usage has a status of its own.
-func operation(c *cli.Command, args int, run func(context.Context, *cli.Command) error) *cli.Command {
+// operatorCommand is like leaf with exactly args arguments, but wrong usage exits with exitUsage, and SIGINT and SIGTERM cancel
+// the context.
+func operatorCommand(c *cli.Command, args int, run func(context.Context, *cli.Command) error) *cli.Command {
 	c = leaf(c, args, args, func(ctx context.Context, c *cli.Command) error {
 		ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		return run(ctx, c)
 	})
-	inner := c.Action
+	action := c.Action
 	c.Action = func(ctx context.Context, c *cli.Command) error {
 		if n := c.Args().Len(); n != args {
-			return coded{inner(ctx, c), exitUsage}
+			return codedError{action(ctx, c), exitUsage}
 		}
-		return inner(ctx, c)
+		return action(ctx, c)
 	}
 	c.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
-		return coded{wrongFlag(err), exitUsage}
+		return codedError{flagError(err), exitUsage}
 	}
 	return c
 }
 
-// calling is an operation that calls the system.
-func (r *reach) calling(c *cli.Command, args int, run func(context.Context, *client.Client, *cli.Command) error) *cli.Command {
+// command is like operatorCommand with the flags of r and a client for the system that they select.
+func (r *systemFlags) command(c *cli.Command, args int,
+	run func(context.Context, *client.Client, *cli.Command) error) *cli.Command {
 	c.Flags = r.flags(c.Flags...)
-	return operation(c, args, func(ctx context.Context, c *cli.Command) error {
+	return operatorCommand(c, args, func(ctx context.Context, c *cli.Command) error {
 		addrs, err := r.addresses()
 		if err != nil {
-			return coded{err, exitUsage}
+			return codedError{err, exitUsage}
 		}
 		ctx, stop := context.WithTimeout(ctx, r.timeout)
 		defer stop()
@@ -79,9 +80,10 @@
 	})
 }
 
-func (r *reach) addresses() ([]string, error) {
+// addresses returns the control addresses given by a flag or, without it, the seeds of the settings file.
+func (r *systemFlags) addresses() ([]string, error) {
 	if r.timeout <= 0 {
-		return nil, errors.Errorf("--timeout %v: above 0", r.timeout)
+		return nil, errors.Errorf("--timeout %v: must be above 0", r.timeout)
 	}
 	if r.control != "" {
 		addrs := strings.Split(r.control, ",")
@@ -108,26 +110,26 @@
 
 func isAddress(s string) bool {
 	host, port, err := net.SplitHostPort(s)
-	_, bad := strconv.ParseUint(port, 10, 16)
-	return err == nil && bad == nil && host != ""
+	_, portErr := strconv.ParseUint(port, 10, 16)
+	return err == nil && portErr == nil && host != ""
 }
 
-func printJSON(out io.Writer, x any) error {
+func printJSON(out io.Writer, value any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
-	return e.Encode(x)
+	return e.Encode(value)
 }
 
-// table prints rows under a head, in columns.
-func table(out io.Writer, head string, rows [][]any) error {
+// printTable prints rows in columns under a header, whose titles are separated by "|". Empty cells are printed as "-".
+func printTable(out io.Writer, header string, rows [][]any) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, strings.ReplaceAll(head, "|", "\t"))
+	fmt.Fprintln(t, strings.ReplaceAll(header, "|", "\t"))
 	for _, row := range rows {
-		for i, x := range row {
+		for i, cell := range row {
 			if i > 0 {
 				fmt.Fprint(t, "\t")
 			}
-			if s := fmt.Sprint(x); s == "" {
+			if s := fmt.Sprint(cell); s == "" {
 				fmt.Fprint(t, "-")
 			} else {
 				fmt.Fprint(t, s)
@@ -139,55 +141,56 @@
 }
 
 func status() *cli.Command {
-	var r reach
-	return r.calling(&cli.Command{Name: "status", Usage: "Show the core machines of a running system, as each sees itself and the others"}, 0,
+	var r systemFlags
+	return r.command(&cli.Command{Name: "status", Usage: "Show the controllers of a running system, each with its own view of the group"}, 0,
 		func(ctx context.Context, control *client.Client, c *cli.Command) error {
-			cores, err := control.Cores(ctx)
+			controllers, err := control.Cores(ctx)
 			if err != nil {
 				return err
 			}
 			if r.asJSON {
-				return printJSON(c.Root().Writer, cores)
+				return printJSON(c.Root().Writer, controllers)
 			}
-			return showStatus(c.Root().Writer, cores)
+			return showStatus(c.Root().Writer, controllers)
 		})
 }
 
-func showStatus(out io.Writer, cores []client.Core) error {
+func showStatus(out io.Writer, controllers []client.Core) error {
 	var rows [][]any
-	for _, x := range cores {
-		s := x.Status
+	for _, controller := range controllers {
+		s := controller.Status
 		if s == nil {
-			rows = append(rows, []any{x.Control, "", "", "no answer", "", "", "", "", x.Fault})
+			rows = append(rows, []any{controller.Control, "", "", "no answer", "", "", "", "", controller.Fault})
 			continue
 		}
-		rows = append(rows, []any{x.Control, s.Node, s.Zone, standing(s), s.Epoch, s.Version, s.Searchers, s.Mixers, ""})
+		rows = append(rows, []any{controller.Control, s.Node, s.Zone, controllerState(s), s.Epoch, s.Version, s.Searchers, s.Mixers,
+			""})
 	}
-	return table(out, "control|node|zone|is|epoch|config|searchers|fronts|fault", rows)
+	return printTable(out, "control|node|zone|is|epoch|config|searchers|fronts|fault", rows)
 }
 
-// standing is what a core machine is, in the epoch that it knows.
-func standing(s *client.Status) string {
-	is := "witness"
+// controllerState describes the role of a controller in the latest epoch that it knows.
+func controllerState(s *client.Status) string {
+	state := "witness"
 	for _, id := range s.InSync {
 		if id == s.ID {
-			is = "in sync"
+			state = "in sync"
 		}
 	}
 	for _, m := range s.Members {
 		if m.ID == s.ID && m.Address == s.Primary {
-			is = "primary"
+			state = "primary"
 		}
 	}
 	if s.Alone {
-		is += ", alone"
+		state += ", alone"
 	}
-	return is
+	return state
 }
 
 func nodes() *cli.Command {
-	var r reach
-	return r.calling(&cli.Command{Name: "nodes", Usage: "Show the machines of a running system and the configuration each has in force"}, 0,
+	var r systemFlags
+	return r.command(&cli.Command{Name: "nodes", Usage: "Show the machines of a running system and the configuration each has in force"}, 0,
 		func(ctx context.Context, control *client.Client, c *cli.Command) error {
 			list, err := control.Nodes(ctx)
 			if err != nil {
@@ -203,22 +206,22 @@
 func showNodes(out io.Writer, list []client.Node) error {
 	var rows [][]any
 	for _, n := range list {
-		version, heard := fmt.Sprint(n.Version), fmt.Sprintf("%v ago", time.Duration(n.HeardMs)*time.Millisecond)
+		version, lastContact := fmt.Sprint(n.Version), fmt.Sprintf("%v ago", time.Duration(n.HeardMs)*time.Millisecond)
 		if n.Version == 0 {
 			version = "not told"
 		}
 		if n.Fault != "" {
-			heard = "no answer"
+			lastContact = "no answer"
 		}
-		rows = append(rows, []any{n.Node, n.Role, version, heard, n.Via, n.Fault})
+		rows = append(rows, []any{n.Node, n.Role, version, lastContact, n.Via, n.Fault})
 	}
-	return table(out, "node|role|config|heard|by|fault", rows)
+	return printTable(out, "node|role|config|heard|by|fault", rows)
 }
 
 func searchers() *cli.Command {
-	var r reach
+	var r systemFlags
 	var service string
-	return r.calling(&cli.Command{Name: "searchers", Usage: "List the searchers of a running system", Flags: []cli.Flag{
+	return r.command(&cli.Command{Name: "searchers", Usage: "List the searchers of a running system", Flags: []cli.Flag{
 		&cli.StringFlag{Name: "service", Destination: &service, Usage: "only those of `SERVICE`"}}}, 0,
 		func(ctx context.Context, control *client.Client, c *cli.Command) error {
 			list, err := control.Searchers(ctx, service)
@@ -235,11 +238,11 @@
 func showSearchers(out io.Writer, list []client.Searcher) error {
 	var rows [][]any
 	for _, s := range list {
-		warm := ""
+		warmupLeft := ""
 		if s.WarmupLeftMs > 0 {
-			warm = fmt.Sprint(time.Duration(s.WarmupLeftMs) * time.Millisecond)
+			warmupLeft = fmt.Sprint(time.Duration(s.WarmupLeftMs) * time.Millisecond)
 		}
-		rows = append(rows, []any{s.Service, s.ID, s.Address, s.Zone, s.State, s.Capacity, warm, s.ConfigVersion, s.Source})
+		rows = append(rows, []any{s.Service, s.ID, s.Address, s.Zone, s.State, s.Capacity, warmupLeft, s.ConfigVersion, s.Source})
 	}
-	return table(out, "service|id|address|zone|state|capacity|slow for|software|reports to", rows)
+	return printTable(out, "service|id|address|zone|state|capacity|slow for|software|reports to", rows)
 }
--- a/cmd/peathollow/operate_test.go
+++ b/cmd/peathollow/operate_test.go
@@ -17,6 +17,7 @@
 	"peathollow/internal/standin/localsystem"
 )
 
+// golden compares printed output with the expected text, whose leading line break is ignored.
 func golden(t *testing.T, want string, show func(out *bytes.Buffer) error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -58,8 +59,9 @@
 	})
 }
 
-// operated runs an operator's command against a controller that has version 1 in force, and gives its exit status.
-func operated(t *testing.T, args ...string) (string, exitCode) {
+// runOperatorCommand runs a command against a simulated controller that has version 1 in force, and returns its output and exit
+// status.
+func runOperatorCommand(t *testing.T, args ...string) (string, exitCode) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet && r.URL.Path == "/config" {
@@ -84,44 +86,46 @@
 		must.NoError(t, os.WriteFile(path, b, 0o600))
 		return path
 	}
-	two, bad := file(localsystem.Config(2)), file(bytes.Replace(localsystem.Config(2), []byte(`"top-k": 10`), []byte(`"top-k": -1`), 1))
+	valid, invalid := file(localsystem.Config(2)), file(bytes.Replace(localsystem.Config(2), []byte(`"top-k": 10`),
+		[]byte(`"top-k": -1`), 1))
 
-	out, code := operated(t, "config", "diff", two)
+	out, code := runOperatorCommand(t, "config", "diff", valid)
 	must.Eq(t, 0, code, must.Sprint(out))
 	must.Eq(t, "version 1 in force, 2 in the file\nwhat   of     name   field  values\nadded  route  later  -      -\n", out)
-	out, code = operated(t, "config", "diff", file(bytes.Replace(localsystem.Config(1), []byte(`"top-k": 10`), []byte(`"top-k": 5`), 1)))
+	out, code = runOperatorCommand(t, "config", "diff", file(bytes.Replace(localsystem.Config(1), []byte(`"top-k": 10`),
+		[]byte(`"top-k": 5`), 1)))
 	must.Eq(t, 0, code, must.Sprint(out))
 	must.StrContains(t, out, "changed  route  fan   TopK   10 -> 5")
 	must.StrContains(t, out, "would be acknowledged and change nothing")
 
-	out, code = operated(t, "config", "get", "--json")
+	out, code = runOperatorCommand(t, "config", "get", "--json")
 	must.Eq(t, 0, code)
 	must.Eq(t, string(localsystem.Config(1)), strings.TrimSpace(out))
 
-	// A file that is invalid is never sent.
+	// An invalid file is never sent.
 	for _, command := range []string{"put", "diff"} {
-		out, code = operated(t, "config", command, bad)
+		out, code = runOperatorCommand(t, "config", command, invalid)
 		must.Eq(t, exitUsage, code)
-		must.StrContains(t, out, bad+":")
+		must.StrContains(t, out, invalid+":")
 		must.StrContains(t, out, "routes[0].top-k: expected a whole number of 0 or more, got -1")
 	}
-	out, err := run("config", "check", "--json", bad)
+	out, err := run("config", "check", "--json", invalid)
 	must.Error(t, err)
-	var told struct {
+	var result struct {
 		Valid bool
 		Line  int
 		Path  string
 	}
-	must.NoError(t, json.Unmarshal([]byte(out), &told))
-	must.False(t, told.Valid)
-	must.Eq(t, "routes[0].top-k", told.Path)
-	must.StrContains(t, strings.Split(string(localsystem.Config(2)), "\n")[told.Line-1], "top-k")
+	must.NoError(t, json.Unmarshal([]byte(out), &result))
+	must.False(t, result.Valid)
+	must.Eq(t, "routes[0].top-k", result.Path)
+	must.StrContains(t, strings.Split(string(localsystem.Config(2)), "\n")[result.Line-1], "top-k")
 
 	for _, wrong := range [][]string{{"status", "odd"}, {"nodes", "--odd"}, {"status", "--timeout", "0s"}, {"config", "put"}} {
-		out, code = operated(t, wrong...)
+		out, code = runOperatorCommand(t, wrong...)
 		must.Eq(t, exitUsage, code, must.Sprint(wrong, out))
 	}
-	_, code = operated(t, "config", "put", filepath.Join(t.TempDir(), "none"))
+	_, code = runOperatorCommand(t, "config", "put", filepath.Join(t.TempDir(), "none"))
 	must.Eq(t, 1, code)
 }
 
@@ -140,7 +144,8 @@
 	must.StrContains(t, out, "good; n,")
 }
 
-// The whole system starts, serves, takes a change, and leaves nothing; also when its leader is killed.
+// TestTrySystem checks that the complete system starts, serves, applies a configuration change and leaves nothing behind, also
+// when its primary is killed.
 func TestTrySystem(t *testing.T) {
 	t.Setenv("PEATHOLLOW_TEST_PROGRAM", "1")
 	for _, more := range [][]string{nil, {"--trouble"}} {
--- a/cmd/peathollow/root.go
+++ b/cmd/peathollow/root.go
@@ -9,76 +9,77 @@
 	"github.com/urfave/cli/v3"
 )
 
-// root is the program: bare it serves, as the platform starts it.
+// root returns the root command. Without a subcommand it serves as a mixer, which is how the platform starts it.
 func root() *cli.Command {
 	c := serve()
 	c.Name = "peathollow"
-	c.Usage = "A search front over sharded indexes, and a co-ordinator of queries over replicated shards"
-	c.Description = "Bare, peathollow serves as one mixer, configured by ROUTER_CONFIG and, for settings of its own, " +
+	c.Usage = "A search front over sharded indexes and a coordinator of queries over replicated shards"
+	c.Description = "Without a command, peathollow serves as one mixer, configured by ROUTER_CONFIG and, for its own settings, " +
 		"PEATHOLLOW_SETTINGS or --settings. proxy, agent and controller are the processes of the search front."
 	c.HideHelpCommand = false
 	c.EnableShellCompletion = true
 	c.Commands = append([]*cli.Command{serve(), check(), try(), duties(), verify(), version(),
 		status(), nodes(), searchers(), configuration(), lab()}, systemCommands()...)
-	// The library gives a command only the flags behind its name; what stands before it is the bare program's.
+	// The library passes a command only the flags after its name. Flags before the name belong to the root command.
 	c.Before = func(ctx context.Context, c *cli.Command) (context.Context, error) {
 		if name := c.Args().First(); c.IsSet("settings") && name != "" && name != "serve" {
 			return ctx, fmt.Errorf("unknown flag: --settings")
 		}
 		return ctx, nil
 	}
-	// Errors are told and turned into a status in one place, main.
+	// Only main prints errors and sets the exit status.
 	c.ExitErrHandler = func(context.Context, *cli.Command, error) {}
-	adopt(c)
+	setUsageErrorHandlers(c)
 	return c
 }
 
-// adopt has every command report a wrong flag as an error and nothing else; the library would print its help.
-func adopt(c *cli.Command) {
+// setUsageErrorHandlers makes every command report a wrong flag only as an error; by default the library also prints the help.
+func setUsageErrorHandlers(c *cli.Command) {
 	if c.OnUsageError == nil {
-		c.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error { return wrongFlag(err) }
+		c.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error { return flagError(err) }
 	}
 	for _, sub := range c.Commands {
-		adopt(sub)
+		setUsageErrorHandlers(sub)
 	}
 }
 
-func wrongFlag(err error) error {
+// flagError rewords the library's error for an unknown flag.
+func flagError(err error) error {
 	if name, ok := strings.CutPrefix(err.Error(), "flag provided but not defined: -"); ok {
 		return fmt.Errorf("unknown flag: --%s", name)
 	}
 	return err
 }
 
-// leaf is a command without sub-commands; fewest and most bound its arguments.
-func leaf(c *cli.Command, fewest, most int, run func(context.Context, *cli.Command) error) *cli.Command {
+// leaf prepares a command without subcommands that takes minArgs to maxArgs arguments.
+func leaf(c *cli.Command, minArgs, maxArgs int, run func(context.Context, *cli.Command) error) *cli.Command {
 	c.HideHelpCommand = true // "help" may be the name of a file
 	c.Action = func(ctx context.Context, c *cli.Command) error {
 		switch n := c.Args().Len(); {
-		case most == 0 && n > 0:
+		case maxArgs == 0 && n > 0:
 			return fmt.Errorf("unknown command %q for %q", c.Args().First(), c.FullName())
-		case n < fewest || n > most && fewest == most:
-			return fmt.Errorf("accepts %d arg(s), received %d", fewest, n)
-		case n > most:
-			return fmt.Errorf("accepts at most %d arg(s), received %d", most, n)
+		case n < minArgs || n > maxArgs && minArgs == maxArgs:
+			return fmt.Errorf("accepts %d arg(s), received %d", minArgs, n)
+		case n > maxArgs:
+			return fmt.Errorf("accepts at most %d arg(s), received %d", maxArgs, n)
 		}
 		return run(ctx, c)
 	}
 	return c
 }
 
-// group is a command that has only sub-commands.
+// group returns a command that has only subcommands.
 func group(name, usage string, subs ...*cli.Command) *cli.Command {
 	return &cli.Command{Name: name, Usage: usage, Commands: subs,
 		Action: func(_ context.Context, c *cli.Command) error { return cli.ShowSubcommandHelp(c) }}
 }
 
 func version() *cli.Command {
-	return leaf(&cli.Command{Name: "version", Usage: "Say what this program was built from"}, 0, 0,
+	return leaf(&cli.Command{Name: "version", Usage: "Print the version and commit of this program"}, 0, 0,
 		func(_ context.Context, c *cli.Command) error {
 			b, ok := debug.ReadBuildInfo()
 			if !ok {
-				return fmt.Errorf("this build says nothing of itself")
+				return fmt.Errorf("the program contains no build information")
 			}
 			rev, state := "unknown", ""
 			for _, s := range b.Settings {
--- a/cmd/peathollow/serve.go
+++ b/cmd/peathollow/serve.go
@@ -14,18 +14,19 @@
 )
 
 func serve() *cli.Command {
-	return leaf(&cli.Command{Name: "serve", Usage: "Serve as one mixer (also what the bare program does)", Flags: []cli.Flag{
-		&cli.StringFlag{Name: "settings", Usage: "settings `FILE` (INI); PEATHOLLOW_SETTINGS stands in for it", Local: true}}}, 0, 0,
+	return leaf(&cli.Command{Name: "serve", Usage: "Serve as one mixer (the default without a command)", Flags: []cli.Flag{
+		&cli.StringFlag{Name: "settings", Usage: "settings `FILE` (INI); default: the value of PEATHOLLOW_SETTINGS",
+			Local: true}}}, 0, 0,
 		func(_ context.Context, c *cli.Command) error {
 			path := c.String("settings")
 			if path == "" {
-				path = c.Root().String("settings") // before the command's name
+				path = c.Root().String("settings") // given before the command's name
 			}
 			return runServe(environment(path))
 		})
 }
 
-// environment is the process's own, with a settings file named by a flag.
+// environment returns a lookup of environment variables in which a settings file given by a flag takes precedence.
 func environment(settings string) func(string) string {
 	return func(key string) string {
 		if key == "PEATHOLLOW_SETTINGS" && settings != "" {
@@ -36,10 +37,10 @@
 }
 
 func runServe(env func(string) string) error {
-	// Caught before the configuration is first read: from the first instant on this signal means to read it again,
-	// and would end the process if nobody listened.
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
+	// SIGHUP requests a reload from the start of the process. Without a handler it would end the process, so the handler is
+	// installed before the configuration is first read.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	load := func() (mixer.Config, error) { return mixer.Load(env, os.ReadFile) }
 	c, err := load()
 	if err != nil {
@@ -57,17 +58,17 @@
 	m.SetProcessLimits()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	go m.ReloadOnSignal(ctx, again, load)
+	go m.ReloadOnSignal(ctx, reload, load)
 	return m.Run(ctx)
 }
 
-// logger writes JSON lines to standard error.
+// logger returns a logger that writes JSON lines to standard error.
 func logger(level string) (*zap.Logger, error) {
-	at, err := zap.ParseAtomicLevel(level)
+	atomicLevel, err := zap.ParseAtomicLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
 	c := zap.NewProductionConfig()
-	c.Level = at
+	c.Level = atomicLevel
 	return c.Build()
 }
--- a/cmd/peathollow/soak.go
+++ b/cmd/peathollow/soak.go
@@ -15,33 +15,34 @@
 	"peathollow/lab/soak"
 )
 
-const soakRate = 150 // requests a second
+const soakRate = 150 // requests per second
 
 func labSoak() *cli.Command {
 	var o soak.Options
 	var kinds string
 	asJSON, follow := false, false
-	return operation(&cli.Command{Name: "soak",
-		Usage: "Run a small whole system on loopback under random trouble, and judge what clients, searchers and operators saw",
-		Description: "Real controllers, agents, proxies and searchers are killed, stopped, restarted, cut off and lied to, two or three troubles at a time, " +
-			"by a schedule that the seed draws. Exits with 0 when nothing was violated; else the last line names the first violation, the seed and the folder.",
+	return operatorCommand(&cli.Command{Name: "soak",
+		Usage: "Run a small complete system on loopback under random faults and check what clients, searchers and operators saw",
+		Description: "Real controllers, agents, proxies and searchers are killed, paused, restarted, partitioned and sent wrong data, two or three faults at a time, " +
+			"on a schedule drawn from the seed. Exits with 0 if nothing was violated; otherwise the last line names the first violation, the seed and the folder.",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &o.Seed, Usage: "draws the schedule"},
-			&cli.DurationFlag{Name: "for", Value: time.Minute, Destination: &o.Duration, Usage: "trouble for so long; some calm seconds follow"},
-			&cli.IntFlag{Name: "rate", Value: soakRate, Destination: &o.Rate, Usage: "requests a second"},
-			&cli.IntFlag{Name: "at-once", Value: 3, Destination: &o.MaxConcurrent, Usage: "troubles at a time"},
-			&cli.IntFlag{Name: "fronts", Destination: &o.Fronts, Usage: "how many, each of two processes; a few that the seed draws if 0"},
-			&cli.IntFlag{Name: "controllers", Destination: &o.Controllers, Usage: "how many; a few that the seed draws if 0"},
-			&cli.IntFlag{Name: "shards", Destination: &o.Shards, Usage: "services of a gathered answer; 3 if 0"},
-			&cli.IntFlag{Name: "copies", Destination: &o.Copies, Usage: "searchers of a service; 3 if 0"},
-			&cli.StringFlag{Name: "trouble", Destination: &kinds, Usage: "only these `KIND[,KIND]`; \"planned\" for planned work"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &o.Seed, Usage: "seed of the schedule"},
+			&cli.DurationFlag{Name: "for", Value: time.Minute, Destination: &o.Duration,
+				Usage: "time with faults; a few seconds without faults follow"},
+			&cli.IntFlag{Name: "rate", Value: soakRate, Destination: &o.Rate, Usage: "requests per second"},
+			&cli.IntFlag{Name: "at-once", Value: 3, Destination: &o.MaxConcurrent, Usage: "faults at a time"},
+			&cli.IntFlag{Name: "fronts", Destination: &o.Fronts, Usage: "number of fronts, each of two processes; 0 lets the seed draw it"},
+			&cli.IntFlag{Name: "controllers", Destination: &o.Controllers, Usage: "number of controllers; 0 lets the seed draw it"},
+			&cli.IntFlag{Name: "shards", Destination: &o.Shards, Usage: "services of a fan-out; 3 if 0"},
+			&cli.IntFlag{Name: "copies", Destination: &o.Copies, Usage: "searchers per service; 3 if 0"},
+			&cli.StringFlag{Name: "trouble", Destination: &kinds, Usage: "only these `KIND[,KIND]`; \"planned\" for planned maintenance"},
 			&cli.StringFlag{Name: "dir", Destination: &o.Dir, Usage: "an empty `FOLDER` for logs, ledger and schedule"},
-			&cli.BoolFlag{Name: "follow", Destination: &follow, Usage: "print each trouble as it begins and ends"},
+			&cli.BoolFlag{Name: "follow", Destination: &follow, Usage: "print each fault as it begins and ends"},
 			&cli.BoolFlag{Name: "json", Destination: &asJSON, Usage: "print JSON"},
 		}}, 0, func(ctx context.Context, c *cli.Command) error {
 		var err error
 		if o.Kinds, err = soak.ParseKinds(kinds); err != nil {
-			return coded{err, exitUsage}
+			return codedError{err, exitUsage}
 		}
 		if o.Program, err = checkRun(&o); err != nil {
 			return err
--- a/cmd/peathollow/system.go
+++ b/cmd/peathollow/system.go
@@ -16,67 +16,67 @@
 	"peathollow/agent"
 	"peathollow/controlplane"
 	"peathollow/internal/figures"
-	_ "peathollow/internal/hangup" // a SIGHUP during the start ends no role
+	_ "peathollow/internal/hangup" // ignores SIGHUP while the process starts, so that it doesn't end the process
 	"peathollow/internal/invariant"
 	"peathollow/internal/logbound"
 	"peathollow/internal/settings"
 	"peathollow/proxy"
 )
 
-// The processes of the whole system: a proxy and an agent on each front machine, a controller on each core machine.
-
-// process is one of them, ready to run.
+// process is one process of the search front: a proxy or an agent (one of each on every front machine) or a controller.
 type process interface {
 	Run(ctx context.Context) error
 }
 
 func systemCommands() []*cli.Command {
 	// The former names of the roles are kept as aliases.
-	role := func(name, formerName, usage string, build func(s *settings.Settings, life string, l *log.Logger) (process, error)) *cli.Command {
+	role := func(name, formerName, usage string,
+		build func(s *settings.Settings, incarnation string, l *log.Logger) (process, error)) *cli.Command {
 		metrics := ""
 		return &cli.Command{Name: name, Aliases: []string{formerName}, Usage: usage,
 			Flags: []cli.Flag{&cli.StringFlag{Name: "metrics", Destination: &metrics,
-				Usage: "tell the process's figures as text at `PORT/PATH` of this machine's address"}},
+				Usage: "serve the process's metrics as text at `PORT/PATH` on this machine's address"}},
 			Action: func(ctx context.Context, _ *cli.Command) error {
 				return runProcess(ctx, name, metrics, build)
 			}}
 	}
 	return []*cli.Command{
-		role("proxy", "quay", "Carry clients' requests to searchers (a front machine's proxy)",
-			func(s *settings.Settings, life string, l *log.Logger) (process, error) {
-				return proxy.New(s, life, l), nil
+		role("proxy", "quay", "Route clients' requests to searchers (the proxy of a front machine)",
+			func(s *settings.Settings, incarnation string, l *log.Logger) (process, error) {
+				return proxy.New(s, incarnation, l), nil
 			}),
-		role("agent", "tender", "Keep a front machine's link to the control plane and feed its proxy",
-			func(s *settings.Settings, life string, l *log.Logger) (process, error) {
-				return agent.New(s, life, l), nil
+		role("agent", "tender", "Connect a front machine to the control plane and pass its updates on to the proxy",
+			func(s *settings.Settings, incarnation string, l *log.Logger) (process, error) {
+				return agent.New(s, incarnation, l), nil
 			}),
-		role("controller", "harbour", "Serve searchers and operators (a core machine)",
-			func(s *settings.Settings, life string, l *log.Logger) (process, error) {
-				return controlplane.New(s, life, l)
+		role("controller", "harbour", "Serve searchers and operators (a controller of the control plane)",
+			func(s *settings.Settings, incarnation string, l *log.Logger) (process, error) {
+				return controlplane.New(s, incarnation, l)
 			}),
 	}
 }
 
-// violationLines is how many violations of invariants a second get a line in the log; all are counted.
-const violationLines = 10
+// maxViolationLines is the number of invariant violations logged per second. All violations are counted.
+const maxViolationLines = 10
 
-func runProcess(ctx context.Context, name, metrics string, build func(*settings.Settings, string, *log.Logger) (process, error)) error {
+func runProcess(ctx context.Context, name, metrics string,
+	build func(*settings.Settings, string, *log.Logger) (process, error)) error {
 	signal.Ignore(syscall.SIGPIPE)
-	again := notify(syscall.SIGHUP)
+	reload := notify(syscall.SIGHUP)
 	s, err := settings.ReadFor(name, settings.FromEnvironment(os.Getenv))
 	if err != nil {
 		return err
 	}
 	if metrics != "" {
 		if s.Metrics, err = figures.ParseAddress(metrics); err != nil {
-			return coded{err, exitUsage}
+			return codedError{err, exitUsage}
 		}
 	}
 	tuneMemory(s, name)
 	l := newLog(os.Getenv("PEATHOLLOW_LOG"))
-	lines := &logbound.Limiter{PerSecond: violationLines}
+	limiter := &logbound.Limiter{PerSecond: maxViolationLines}
 	invariant.OnViolation(func(name invariant.Name, saw string) {
-		if ok, suppressed := lines.Allow(time.Now()); ok {
+		if ok, suppressed := limiter.Allow(time.Now()); ok {
 			l.Error().Str("event", "invariant").Str("name", string(name)).Str("saw", saw).Int("not-logged", suppressed).Msg("")
 		}
 	})
@@ -89,8 +89,8 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	go func() {
-		for range again {
-			// What a process is told of itself takes effect at its next start; the file is read to say whether it would.
+		for range reload {
+			// Settings only take effect at the next start. The file is read to report whether it is valid.
 			if _, err := settings.ReadFor(name, settings.FromEnvironment(os.Getenv)); err != nil {
 				l.Error().Str("event", "settings").Err(err).Msg("")
 			} else {
@@ -101,14 +101,16 @@
 	return p.Run(ctx)
 }
 
+// notify returns a channel that receives the signal.
 func notify(s os.Signal) chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, s)
 	return c
 }
 
-// tuneMemory bounds the heap: a process over its memory is killed, and none of this can be told by an environment.
-// Processor time is worth more than memory where each request allocates, and less where little happens.
+// tuneMemory sets a soft memory limit, because a process that exceeds its memory is killed, and the platform offers no way to
+// set these values in the environment. The proxy, which allocates for each request, trades memory for less garbage
+// collection; the other processes do little work and save memory instead.
 func tuneMemory(s *settings.Settings, role string) {
 	debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 6 / 10)
 	debug.SetGCPercent(50)
@@ -117,7 +119,7 @@
 	}
 }
 
-// newLog writes a line of key=value pairs for each event to standard error.
+// newLog returns a logger that writes one line of key=value pairs per event to standard error.
 func newLog(level string) *log.Logger {
 	l := &log.Logger{Level: log.InfoLevel, TimeFormat: "15:04:05.000", Writer: &log.ConsoleWriter{Writer: os.Stderr,
 		Formatter: log.LogfmtFormatter{TimeField: "time"}.Formatter}}
--- a/cmd/peathollow/try.go
+++ b/cmd/peathollow/try.go
@@ -26,11 +26,13 @@
 
 func try() *cli.Command {
 	var t trial
-	return leaf(&cli.Command{Name: "try", Commands: []*cli.Command{trySystem()}, Usage: "Start a mixer beside toy searchers on this machine, send it scans, show what became of them",
+	return leaf(&cli.Command{Name: "try", Commands: []*cli.Command{trySystem()},
+		Usage: "Start a mixer and simulated searchers on this machine, send it scans and show the results",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "for", Destination: &t.length, Local: true, Usage: "end by itself after this time; 0 till Ctrl-C"},
-			&cli.IntFlag{Name: "rate", Value: 20, Destination: &t.rate, Local: true, Usage: "scans a second"},
-			&cli.BoolFlag{Name: "trouble", Destination: &t.trouble, Local: true, Usage: "one of the four searchers takes parts and answers none"},
+			&cli.DurationFlag{Name: "for", Destination: &t.length, Local: true, Usage: "stop after this time; 0 runs until Ctrl-C"},
+			&cli.IntFlag{Name: "rate", Value: 20, Destination: &t.rate, Local: true, Usage: "scans per second"},
+			&cli.BoolFlag{Name: "trouble", Destination: &t.injectFault, Local: true,
+				Usage: "one of the four searchers accepts parts and never responds"},
 		}}, 0, 0,
 		func(ctx context.Context, c *cli.Command) error {
 			if t.rate < 1 || t.rate > 500 {
@@ -47,24 +49,24 @@
 		})
 }
 
-// trial is one go at it, and what was seen.
+// trial holds the options of a run and its results.
 type trial struct {
-	length  time.Duration
-	rate    int
-	trouble bool
+	length      time.Duration
+	rate        int
+	injectFault bool
 
-	mu    sync.Mutex
-	sent  int
-	ends  map[string]int
-	took  time.Duration
-	worst time.Duration
-	fault error
+	mu           sync.Mutex
+	sent         int
+	outcomes     map[string]int
+	totalLatency time.Duration
+	maxLatency   time.Duration
+	errs         error
 }
 
 func (t *trial) run(ctx context.Context, out io.Writer) error {
-	t.ends = map[string]int{}
-	fleet, err := standin.NewFleet(4, func(srv int, _ proto.Call) standin.Reply {
-		return standin.Reply{Status: 200, Delay: time.Duration(2+rand.IntN(20)) * time.Millisecond, Silent: t.trouble && srv == 3}
+	t.outcomes = map[string]int{}
+	fleet, err := standin.NewFleet(4, func(searcher int, _ proto.Call) standin.Reply {
+		return standin.Reply{Status: 200, Delay: time.Duration(2+rand.IntN(20)) * time.Millisecond, Silent: t.injectFault && searcher == 3}
 	}, nil)
 	if err != nil {
 		return err
@@ -87,9 +89,10 @@
 	ended := make(chan error, 1)
 	go func() { ended <- m.Serve(serving, ln) }()
 	base := "http://" + ln.Addr().String()
-	fmt.Fprintf(out, "a mixer at %s, discovery at %s, four toy searchers; %d scans a second\n", ln.Addr(), fleet.Discovery.Addr(), t.rate)
-	if err := ready(ctx, base); err == nil {
-		t.ask(ctx, base, out)
+	fmt.Fprintf(out, "a mixer at %s, discovery at %s, four simulated searchers; %d scans per second\n", ln.Addr(),
+		fleet.Discovery.Addr(), t.rate)
+	if err := waitReady(ctx, base); err == nil {
+		t.sendScans(ctx, base, out)
 	}
 	stop()
 	if err := <-ended; err != nil {
@@ -97,14 +100,15 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.show(out)
-	if answered := t.ends["completed"] + t.ends["throttled"] + t.ends["abandoned"]; answered < t.sent {
-		return fmt.Errorf("%d of %d scans got no answer; the first: %w", t.sent-answered, t.sent, t.fault)
+	t.printSummary(out)
+	if answered := t.outcomes["completed"] + t.outcomes["throttled"] + t.outcomes["abandoned"]; answered < t.sent {
+		return fmt.Errorf("%d of %d scans got no response: %w", t.sent-answered, t.sent, t.errs)
 	}
 	return nil
 }
 
-func ready(ctx context.Context, base string) error {
+// waitReady polls the mixer until it reports that it is ready.
+func waitReady(ctx context.Context, base string) error {
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/ready", nil)
 		if err != nil {
@@ -124,30 +128,30 @@
 	}
 }
 
-// ask sends scans till the context ends, and waits for those in hand.
-func (t *trial) ask(ctx context.Context, base string, out io.Writer) {
+// sendScans sends scans until ctx ends, and then waits for those in flight.
+func (t *trial) sendScans(ctx context.Context, base string, out io.Writer) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 5 * time.Second}
 	defer client.CloseIdleConnections()
-	tick, line := time.NewTicker(time.Second/time.Duration(t.rate)), time.NewTicker(time.Second)
-	defer tick.Stop()
-	defer line.Stop()
-	var all sync.WaitGroup
-	defer all.Wait()
+	ticker, summaryTicker := time.NewTicker(time.Second/time.Duration(t.rate)), time.NewTicker(time.Second)
+	defer ticker.Stop()
+	defer summaryTicker.Stop()
+	var scans sync.WaitGroup
+	defer scans.Wait()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-line.C:
+		case <-summaryTicker.C:
 			t.mu.Lock()
-			t.show(out)
+			t.printSummary(out)
 			t.mu.Unlock()
 			continue
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		t.mu.Lock()
 		t.sent++
 		t.mu.Unlock()
-		all.Go(func() { t.scan(client, base, n) })
+		scans.Go(func() { t.scan(client, base, n) })
 	}
 }
 
@@ -160,19 +164,20 @@
 	}
 	body := `{"parts":[` + strings.Join(parts, ",") + `],"expr":"c41e77d0"}`
 	began := time.Now()
-	end, err := send(client, base+"/"+class, fmt.Sprintf("try-%d", n), body)
-	took := time.Since(began)
+	outcome, err := send(client, base+"/"+class, fmt.Sprintf("try-%d", n), body)
+	latency := time.Since(began)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.fault = errors.Join(t.fault, err)
+		t.errs = errors.Join(t.errs, err)
 		return
 	}
-	t.ends[end]++
-	t.took += took
-	t.worst = max(t.worst, took)
+	t.outcomes[outcome]++
+	t.totalLatency += latency
+	t.maxLatency = max(t.maxLatency, latency)
 }
 
+// send sends a scan and returns its outcome.
 func send(client *http.Client, url, id, body string) (string, error) {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -193,7 +198,7 @@
 	switch res.StatusCode {
 	case http.StatusOK:
 		if !json.Valid(text) {
-			return "", fmt.Errorf("%s: an answer that is none: %.100q", id, text)
+			return "", fmt.Errorf("%s: response is not valid JSON: %.100q", id, text)
 		}
 		return "completed", nil
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -204,12 +209,13 @@
 	return "", fmt.Errorf("%s: status %d: %.100q", id, res.StatusCode, text)
 }
 
-func (t *trial) show(out io.Writer) {
-	n := t.ends["completed"] + t.ends["throttled"] + t.ends["abandoned"]
+func (t *trial) printSummary(out io.Writer) {
+	n := t.outcomes["completed"] + t.outcomes["throttled"] + t.outcomes["abandoned"]
 	mean := time.Duration(0)
 	if n > 0 {
-		mean = t.took / time.Duration(n)
+		mean = t.totalLatency / time.Duration(n)
 	}
-	fmt.Fprintf(out, "%5d scans: %d completed, %d throttled, %d abandoned; mean %v, worst %v\n", t.sent, t.ends["completed"], t.ends["throttled"],
-		t.ends["abandoned"], mean.Round(100*time.Microsecond), t.worst.Round(100*time.Microsecond))
+	fmt.Fprintf(out, "%5d scans: %d completed, %d throttled, %d abandoned; mean %v, worst %v\n", t.sent, t.outcomes["completed"],
+		t.outcomes["throttled"],
+		t.outcomes["abandoned"], mean.Round(100*time.Microsecond), t.maxLatency.Round(100*time.Microsecond))
 }
--- a/cmd/peathollow/trysystem.go
+++ b/cmd/peathollow/trysystem.go
@@ -18,46 +18,47 @@
 
 func trySystem() *cli.Command {
 	var t systemTrial
-	return operation(&cli.Command{Name: "system",
-		Usage: "Start a small whole system on loopback, send it requests, change its configuration, show what became of them",
-		Description: "Three controllers and two fronts (each a proxy and an agent) run as processes of this program, beside stand-in searchers:\n" +
-			"three shards and a single service, two of each. Exits with 0 when every request got a right answer and nothing is left.",
+	return operatorCommand(&cli.Command{Name: "system",
+		Usage: "Start a small complete system on loopback, send it requests, change its configuration and show the results",
+		Description: "Three controllers and two fronts (each a proxy and an agent) run as processes of this program, with simulated searchers:\n" +
+			"two for each of three shards and for a single service. Exits with 0 if every request got a correct response and no process is left.",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Destination: &t.length, Usage: "send requests for so long; 0 till Ctrl-C"},
-			&cli.IntFlag{Name: "rate", Value: 40, Destination: &t.rate, Usage: "requests a second"},
-			&cli.BoolFlag{Name: "trouble", Destination: &t.trouble, Usage: "the leading controller is killed and a searcher falls silent midway"},
+			&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Destination: &t.length,
+				Usage: "send requests for this time; 0 sends until Ctrl-C"},
+			&cli.IntFlag{Name: "rate", Value: 40, Destination: &t.rate, Usage: "requests per second"},
+			&cli.BoolFlag{Name: "trouble", Destination: &t.injectFaults, Usage: "midway the primary controller is killed and a searcher stops responding"},
 		}}, 0, func(ctx context.Context, c *cli.Command) error {
 		if t.rate < 1 || t.rate > 500 {
-			return coded{errors.Errorf("--rate %d: 1 to 500", t.rate), exitUsage}
+			return codedError{errors.Errorf("--rate %d: 1 to 500", t.rate), exitUsage}
 		}
 		return t.run(ctx, c.Root().Writer)
 	})
 }
 
-// systemTrial is one go at the whole system.
+// systemTrial holds the options of a run against a complete system.
 type systemTrial struct {
-	length  time.Duration
-	rate    int
-	trouble bool
+	length       time.Duration
+	rate         int
+	injectFaults bool
 }
 
 const (
-	startMost  = 40 * time.Second
-	changeMost = 20 * time.Second
+	startTimeout  = 40 * time.Second
+	changeTimeout = 20 * time.Second
 )
 
 func (t *systemTrial) run(ctx context.Context, out io.Writer) (err error) {
-	// The system leaves in order also after Ctrl-C, which signal.NotifyContext would else turn into this program's end.
+	// After Ctrl-C the system is also shut down in order. Without this the signal would end the program.
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	program, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "this program")
+		return errors.Wrap(err, "find the executable")
 	}
 	began := time.Now()
-	starting, done := context.WithTimeout(ctx, startMost)
-	defer done()
-	s, err := localsystem.Start(starting, localsystem.Options{Program: []string{program}})
+	startCtx, cancelStart := context.WithTimeout(ctx, startTimeout)
+	defer cancelStart()
+	s, err := localsystem.Start(startCtx, localsystem.Options{Program: []string{program}})
 	if err != nil {
 		return err
 	}
@@ -65,26 +66,27 @@
 	fmt.Fprintf(out, "3 controllers, 2 fronts (proxy and agent each) and 8 searchers serve after %v; in another terminal:\n"+
 		"  peathollow status --control %s\n", time.Since(began).Round(time.Millisecond), strings.Join(s.Control, ","))
 	load := localsystem.NewLoad(s)
-	sending, end := context.WithCancel(ctx)
-	defer end()
+	sendCtx, stopSending := context.WithCancel(ctx)
+	defer stopSending()
 	sent := make(chan struct{})
 	go func() {
-		load.Run(sending, t.rate)
+		load.Run(sendCtx, t.rate)
 		close(sent)
 	}()
-	wait(ctx, t.half())
-	err = t.midway(ctx, s, out)
+	wait(ctx, t.beforeChange())
+	err = t.changeMidway(ctx, s, out)
 	if t.length > 0 {
-		wait(ctx, t.length-t.half())
+		wait(ctx, t.length-t.beforeChange())
 	} else {
 		<-ctx.Done()
 	}
-	end()
+	stopSending()
 	<-sent
 	return errors.Join(err, report(out, s, load))
 }
 
-func (t *systemTrial) half() time.Duration {
+// beforeChange is the time from the start of the requests to the change of configuration.
+func (t *systemTrial) beforeChange() time.Duration {
 	if t.length == 0 {
 		return 3 * time.Second
 	}
@@ -98,23 +100,23 @@
 	}
 }
 
-// midway is the trouble, if there is to be any, and a change of configuration.
-func (t *systemTrial) midway(ctx context.Context, s *localsystem.System, out io.Writer) error {
+// changeMidway injects the faults, if they were asked for, and changes the configuration.
+func (t *systemTrial) changeMidway(ctx context.Context, s *localsystem.System, out io.Writer) error {
 	if ctx.Err() != nil {
 		return nil
 	}
-	changing, done := context.WithTimeout(ctx, changeMost)
-	defer done()
-	if t.trouble {
-		name, err := s.KillPrimary(changing)
+	changeCtx, cancel := context.WithTimeout(ctx, changeTimeout)
+	defer cancel()
+	if t.injectFaults {
+		name, err := s.KillPrimary(changeCtx)
 		if err != nil {
 			return err
 		}
 		s.Searchers()[0].Mute()
-		fmt.Fprintf(out, "%s, which led, is killed; searcher %s falls silent\n", name, s.Searchers()[0].ID())
+		fmt.Fprintf(out, "%s, the primary, is killed; searcher %s stops responding\n", name, s.Searchers()[0].ID())
 	}
 	began := time.Now()
-	if err := s.Change(changing, 2); err != nil {
+	if err := s.Change(changeCtx, 2); err != nil {
 		if ctx.Err() != nil {
 			return nil // Ctrl-C
 		}
@@ -124,9 +126,9 @@
 	return nil
 }
 
-// report prints what was served, and tells whether all of it was right.
+// report prints the results of all requests and returns an error if any response was wrong.
 func report(out io.Writer, s *localsystem.System, load *localsystem.Load) error {
-	kinds, fault := load.Kinds()
+	kinds, firstError := load.Kinds()
 	var rows [][]any
 	wrong := 0
 	for _, k := range kinds {
@@ -135,14 +137,15 @@
 			ms(k.Took.ValueAtQuantile(50)), ms(k.Took.ValueAtQuantile(99)), ms(k.Took.Max())})
 		wrong += k.Sent - k.Right
 	}
-	if err := table(out, "requests|sent|right|not|tried again|partial|parts missing|median|99 in 100|longest", rows); err != nil {
+	if err := printTable(out, "requests|sent|right|not|tried again|partial|parts missing|median|99 in 100|longest",
+		rows); err != nil {
 		return err
 	}
 	if wrong > 0 {
-		return errors.Errorf("%d requests got no right answer; the first: %w", wrong, fault)
+		return errors.Errorf("%d requests got no correct response; the first: %w", wrong, firstError)
 	}
 	if twice := s.Twice(); len(twice) > 0 {
-		return errors.Errorf("%d requests ran twice that must not: %s", len(twice), strings.Join(twice, "; "))
+		return errors.Errorf("%d non-idempotent requests ran twice: %s", len(twice), strings.Join(twice, "; "))
 	}
 	return nil
 }
--- a/cmd/peathollow/verify.go
+++ b/cmd/peathollow/verify.go
@@ -17,69 +17,77 @@
 )
 
 func verify() *cli.Command {
-	return group("verify", "Check, in every order of events, what serves", verifyAttempts())
+	return group("verify", "Check the serving code in every order of events", verifyAttempts())
 }
 
-// proofOf is what the flags of verify attempts say.
-type proofOf struct {
-	set        explore.Setup
-	faults     string
-	reduction  string
-	threads    int
-	limit      int
-	memory     int
-	find       int
-	property   string
-	checkpoint string
-	every      time.Duration
-	asJSON     bool
-	quiet      bool
-	properties bool
-	kinds      bool
-	mutants    bool
-	source     string
-	only       string
-	replay     string
-	write      string
-	walk       time.Duration
-	seed       uint64
+// attemptsOptions holds the flags of verify attempts.
+type attemptsOptions struct {
+	set             explore.Setup
+	faults          string
+	reduction       string
+	threads         int
+	limitStates     int
+	memory          int
+	find            int
+	property        string
+	checkpoint      string
+	checkpointEvery time.Duration
+	asJSON          bool
+	quiet           bool
+	listProperties  bool
+	listFaults      bool
+	mutants         bool
+	source          string
+	only            string
+	replay          string
+	write           string
+	walk            time.Duration
+	seed            uint64
 }
 
 func verifyAttempts() *cli.Command {
-	var p proofOf
+	var p attemptsOptions
 	return leaf(&cli.Command{Name: "attempts",
-		Usage: "Explore the life of an attempt and of a connection in every order of events, at a small size",
-		Description: "Runs what serves, the package attempt, through every order of what the outside can do, and checks its properties in " +
-			"each state. Exit 1 on a violation, which is told as the shortest story found; 3 if the search was cut short.",
+		Usage: "Explore the states of attempts and connections in every order of events, for a small configuration",
+		Description: "Runs package attempt, which serves requests, through every order of external events and checks its properties in " +
+			"each state. Exits with 1 on a violation, printed as the shortest trace found, and with 3 if the search was cut short.",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "readers", Value: 2, Destination: &p.set.Searchers, Usage: "readers, each holding every part (1 to 4)"},
 			&cli.IntFlag{Name: "parts", Value: 2, Destination: &p.set.Parts, Usage: "parts of the scan (1 to 4)"},
-			&cli.IntFlag{Name: "tries", Value: 2, Destination: &p.set.MaxAttempts, Usage: "dispatches of a part, at most (1 to 4)"},
-			&cli.StringFlag{Name: "effect", Value: "replayable", Destination: &p.set.Effect, Usage: "what a repeat does: replayable, keyed or nonreplayable"},
+			&cli.IntFlag{Name: "tries", Value: 2, Destination: &p.set.MaxAttempts, Usage: "maximum number of dispatches of a part (1 to 4)"},
+			&cli.StringFlag{Name: "effect", Value: "replayable", Destination: &p.set.Effect,
+				Usage: "effect of a repeated part: replayable, keyed or nonreplayable"},
 			&cli.IntFlag{Name: "steps", Value: 1, Destination: &p.set.Steps, Usage: "steps of the table type (1 or 2)"},
-			&cli.IntFlag{Name: "copies", Value: 1, Destination: &p.set.MaxInFlight, Usage: "dispatches of a part that may be out at once; 1 bars copies"},
-			&cli.StringFlag{Name: "decider", Value: "free", Destination: &p.set.Policy, Usage: "who decides: brain, the real module, or free, anything its interface allows"},
-			&cli.StringFlag{Name: "faults", Value: "break,mute,left,list", Destination: &p.faults, Usage: "what may go wrong: all, none, or kinds with commas between (see --list-faults)"},
-			&cli.IntFlag{Name: "most", Value: 1, Destination: &p.set.MaxFaults, Usage: "faults in one run, of any kinds (0 to 8)"},
-			&cli.StringFlag{Name: "reduction", Value: "both", Destination: &p.reduction, Usage: "orders and states not tried since others stand for them: none, symmetry, order, both"},
+			&cli.IntFlag{Name: "copies", Value: 1, Destination: &p.set.MaxInFlight,
+				Usage: "dispatches of a part that may be in flight at once; 1 forbids hedging"},
+			&cli.StringFlag{Name: "decider", Value: "free", Destination: &p.set.Policy,
+				Usage: "what decides on dispatches: brain (the real policy) or free (anything its interface allows)"},
+			&cli.StringFlag{Name: "faults", Value: "break,mute,left,list", Destination: &p.faults,
+				Usage: "faults to inject: all, none, or a comma-separated list of kinds (see --list-faults)"},
+			&cli.IntFlag{Name: "most", Value: 1, Destination: &p.set.MaxFaults, Usage: "maximum number of faults in one run (0 to 8)"},
+			&cli.StringFlag{Name: "reduction", Value: "both", Destination: &p.reduction,
+				Usage: "skip equivalent orders and states: none, symmetry, order, both"},
 			&cli.IntFlag{Name: "threads", Destination: &p.threads, Usage: "cores to use; 0: all"},
-			&cli.IntFlag{Name: "limit-states", Destination: &p.limit, Usage: "cut the search short after so many states; 0: never"},
-			&cli.IntFlag{Name: "memory", Destination: &p.memory, Usage: "cut the search short when the process has taken so many MB; 0: never"},
-			&cli.StringFlag{Name: "property", Destination: &p.property, Usage: "look at this property alone"},
-			&cli.IntFlag{Name: "find", Value: 1, Destination: &p.find, Usage: "properties found broken after which the search ends"},
-			&cli.StringFlag{Name: "checkpoint", Destination: &p.checkpoint, Usage: "file to go on from, and to write when cut short"},
-			&cli.DurationFlag{Name: "checkpoint-every", Value: time.Minute, Destination: &p.every, Usage: "how often the checkpoint is written besides"},
+			&cli.IntFlag{Name: "limit-states", Destination: &p.limitStates,
+				Usage: "stop the search after this number of states; 0: never"},
+			&cli.IntFlag{Name: "memory", Destination: &p.memory, Usage: "stop the search when the process uses this many MB; 0: never"},
+			&cli.StringFlag{Name: "property", Destination: &p.property, Usage: "check only this property"},
+			&cli.IntFlag{Name: "find", Value: 1, Destination: &p.find, Usage: "number of violated properties after which the search ends"},
+			&cli.StringFlag{Name: "checkpoint", Destination: &p.checkpoint,
+				Usage: "file to resume from, and to write when the search is cut short"},
+			&cli.DurationFlag{Name: "checkpoint-every", Value: time.Minute, Destination: &p.checkpointEvery,
+				Usage: "time between writes of the checkpoint"},
 			&cli.BoolFlag{Name: "json", Destination: &p.asJSON, Usage: "print the result as JSON"},
 			&cli.BoolFlag{Name: "quiet", Destination: &p.quiet, Usage: "no progress line"},
-			&cli.BoolFlag{Name: "list-properties", Destination: &p.properties, Usage: "list what is checked, and end"},
-			&cli.BoolFlag{Name: "list-faults", Destination: &p.kinds, Usage: "list what may go wrong, and end"},
-			&cli.BoolFlag{Name: "mutants", Destination: &p.mutants, Usage: "plant each known fault into a copy of the source, build it, and see whether it is caught"},
-			&cli.StringFlag{Name: "source", Value: ".", Destination: &p.source, Usage: "checkout that mutants are planted in"},
-			&cli.StringFlag{Name: "only", Destination: &p.only, Usage: "only mutants with this in their names"},
-			&cli.StringFlag{Name: "replay", Destination: &p.replay, Usage: "play a case from a file again, and end"},
-			&cli.StringFlag{Name: "write", Destination: &p.write, Usage: "folder to write what is found to, as cases to replay"},
-			&cli.DurationFlag{Name: "walk", Destination: &p.walk, Usage: "take random ways for so long in place of the search, to compare"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &p.seed, Usage: "of random ways"},
+			&cli.BoolFlag{Name: "list-properties", Destination: &p.listProperties, Usage: "list the properties and exit"},
+			&cli.BoolFlag{Name: "list-faults", Destination: &p.listFaults, Usage: "list the kinds of faults and exit"},
+			&cli.BoolFlag{Name: "mutants", Destination: &p.mutants, Usage: "inject each known fault into a copy of the source, build it and check that it is detected"},
+			&cli.StringFlag{Name: "source", Value: ".", Destination: &p.source, Usage: "checkout that mutants are made from"},
+			&cli.StringFlag{Name: "only", Destination: &p.only, Usage: "only mutants whose name contains this"},
+			&cli.StringFlag{Name: "replay", Destination: &p.replay, Usage: "replay a case from a file and exit"},
+			&cli.StringFlag{Name: "write", Destination: &p.write, Usage: "folder for violations, written as cases to replay"},
+			&cli.DurationFlag{Name: "walk", Destination: &p.walk, Usage: "walk randomly for this time instead of searching, for comparison"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &p.seed, Usage: "seed of the random walks"},
 		}}, 0, 0,
 		func(ctx context.Context, c *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
@@ -88,16 +96,16 @@
 		})
 }
 
-func (p *proofOf) run(ctx context.Context, out, errs io.Writer) error {
+func (p *attemptsOptions) run(ctx context.Context, out, errs io.Writer) error {
 	switch {
-	case p.properties:
+	case p.listProperties:
 		return p.list(out, explore.Properties)
-	case p.kinds:
+	case p.listFaults:
 		return p.list(out, explore.FaultKinds[:])
 	case p.replay != "":
-		return p.again(out)
+		return p.replayCase(out)
 	case p.mutants:
-		return p.plant(ctx, out, errs)
+		return p.runMutants(ctx, out, errs)
 	}
 	p.set.Faults = strings.Split(p.faults, ",")
 	if err := p.set.Validate(); err != nil {
@@ -106,28 +114,29 @@
 	if !explore.KnownProperty(p.property) {
 		return fmt.Errorf("--property %q: see --list-properties", p.property)
 	}
-	red, err := explore.ParseReduction(p.reduction)
+	reduction, err := explore.ParseReduction(p.reduction)
 	if err != nil {
 		return err
 	}
-	for name, n := range map[string]int{"threads": p.threads, "limit-states": p.limit, "memory": p.memory} {
+	for name, n := range map[string]int{"threads": p.threads, "limit-states": p.limitStates, "memory": p.memory} {
 		if n < 0 {
-			return fmt.Errorf("--%s %d: not below 0", name, n)
+			return fmt.Errorf("--%s %d: must not be negative", name, n)
 		}
 	}
 	if p.walk > 0 {
-		states, walks, bad := explore.RandomWalks(ctx, p.set, red, p.seed, p.threads, p.walk)
-		fmt.Fprintf(out, "%d random ways met %d states in %v\n", walks, states, p.walk)
-		if bad != nil {
-			fmt.Fprintf(out, "violation of %s: %s\n", bad.Property, bad.Text)
+		states, walks, violation := explore.RandomWalks(ctx, p.set, reduction, p.seed, p.threads, p.walk)
+		fmt.Fprintf(out, "%d random walks reached %d states in %v\n", walks, states, p.walk)
+		if violation != nil {
+			fmt.Fprintf(out, "violation of %s: %s\n", violation.Property, violation.Text)
 			return exitCode(1)
 		}
 		return nil
 	}
-	s := explore.Search{Setup: p.set, Reduction: red, Threads: p.threads, Property: p.property, MaxStates: p.limit, MemoryMB: p.memory, MaxViolations: p.find,
-		CheckpointFile: p.checkpoint, CheckpointInterval: p.every}
+	s := explore.Search{Setup: p.set, Reduction: reduction, Threads: p.threads, Property: p.property, MaxStates: p.limitStates,
+		MemoryMB: p.memory, MaxViolations: p.find,
+		CheckpointFile: p.checkpoint, CheckpointInterval: p.checkpointEvery}
 	if !p.quiet {
-		s.Progress = func(r explore.Result, last bool) { searching(errs, r, last) }
+		s.Progress = func(r explore.Result, last bool) { printProgress(errs, r, last) }
 	}
 	res, err := s.Run(ctx)
 	if err != nil {
@@ -136,7 +145,8 @@
 	if p.write != "" {
 		for i := range res.Findings {
 			f := &res.Findings[i]
-			if err := f.Write(fmt.Sprintf("%s/%s-%s-%s.json", p.write, f.Property, p.set.Effect, p.set.Policy), p.set, red, "verify attempts"); err != nil {
+			if err := f.Write(fmt.Sprintf("%s/%s-%s-%s.json", p.write, f.Property, p.set.Effect, p.set.Policy), p.set, reduction,
+				"verify attempts"); err != nil {
 				return err
 			}
 		}
@@ -153,7 +163,7 @@
 	return nil
 }
 
-func (p *proofOf) list(out io.Writer, all []explore.Property) error {
+func (p *attemptsOptions) list(out io.Writer, all []explore.Property) error {
 	if p.asJSON {
 		return json.NewEncoder(out).Encode(all)
 	}
@@ -163,15 +173,16 @@
 	return nil
 }
 
-func searching(out io.Writer, r explore.Result, last bool) {
+func printProgress(out io.Writer, r explore.Result, last bool) {
 	if last {
 		fmt.Fprintf(out, "\r%80s\r", "")
 		return
 	}
-	fmt.Fprintf(out, "\r%d states, %d transitions, %d waiting, depth %d, %d MB, %.0f s ", r.States, r.Transitions, r.Unexpanded, r.Depth, r.PeakMB, r.Seconds)
+	fmt.Fprintf(out, "\r%d states, %d transitions, %d waiting, depth %d, %d MB, %.0f s ", r.States, r.Transitions, r.Unexpanded,
+		r.Depth, r.PeakMB, r.Seconds)
 }
 
-func (p *proofOf) print(out io.Writer, r explore.Result) error {
+func (p *attemptsOptions) print(out io.Writer, r explore.Result) error {
 	if p.asJSON {
 		return json.NewEncoder(out).Encode(r)
 	}
@@ -190,29 +201,29 @@
 	return nil
 }
 
-// again plays a case.
-func (p *proofOf) again(out io.Writer) error {
+// replayCase replays a case from a file.
+func (p *attemptsOptions) replayCase(out io.Writer) error {
 	c, err := explore.ReadScenario(p.replay)
 	if err != nil {
 		return err
 	}
-	events, bad, err := explore.Replay(c)
+	events, violation, err := explore.Replay(c)
 	if err != nil {
 		return err
 	}
 	for i, e := range events {
 		fmt.Fprintf(out, "%2d. %s\n", i+1, e)
 	}
-	if bad != nil {
-		fmt.Fprintf(out, "Then %s: %s\n", bad.Property, bad.Text)
+	if violation != nil {
+		fmt.Fprintf(out, "Then %s: %s\n", violation.Property, violation.Text)
 		return exitCode(1)
 	}
 	fmt.Fprintln(out, "No property is broken.")
 	return nil
 }
 
-// plant tries the mutants.
-func (p *proofOf) plant(ctx context.Context, out, errs io.Writer) error {
+// runMutants builds each mutant and checks that its fault is detected.
+func (p *attemptsOptions) runMutants(ctx context.Context, out, errs io.Writer) error {
 	all, err := explore.RunMutants(ctx, p.source, p.only, func(t explore.MutantResult) {
 		if !p.quiet {
 			fmt.Fprintf(errs, "%-50s caught %t\n", t.Name, t.Detected)
--- a/cmd/peathollow/verify_test.go
+++ b/cmd/peathollow/verify_test.go
@@ -11,7 +11,7 @@
 	"peathollow/attempt/explore"
 )
 
-func TestVerifySaysWhatItExplored(t *testing.T) {
+func TestVerifyAttempts(t *testing.T) {
 	small := []string{"verify", "attempts", "--quiet", "--readers", "2", "--parts", "1", "--threads", "2"}
 	out, err := run(append(small, "--faults", "none", "--json")...)
 	var r explore.Result
@@ -24,21 +24,24 @@
 		}
 	}
 	var code exitCode
-	if out, err := run(append(small, "--limit-states", "20", "--faults", "all", "--most", "3")...); !errors.As(err, &code) || code != 3 || !strings.Contains(out, "cut short") {
+	if out, err := run(append(small, "--limit-states", "20", "--faults", "all", "--most", "3")...); !errors.As(err,
+		&code) || code != 3 || !strings.Contains(out, "cut short") {
 		t.Errorf("%s %v", out, err)
 	}
-	if out, err := run("verify", "attempts", "--list-properties"); err != nil || strings.Count(out, "\n") != len(explore.Properties) {
+	if out, err := run("verify", "attempts", "--list-properties"); err != nil || strings.Count(out,
+		"\n") != len(explore.Properties) {
 		t.Errorf("%s %v", out, err)
 	}
-	for _, bad := range [][]string{{"--readers", "0"}, {"--effect", "odd"}, {"--faults", "odd"}, {"--reduction", "odd"}, {"--decider", "odd"},
+	for _, invalid := range [][]string{{"--readers", "0"}, {"--effect", "odd"}, {"--faults", "odd"}, {"--reduction", "odd"},
+		{"--decider", "odd"},
 		{"--property", "odd"}, {"--replay", "no-such"}, {"--limit-states", "-1"}, {"--mutants", "--source", t.TempDir()}} {
-		if _, err := run(append([]string{"verify", "attempts"}, bad...)...); err == nil {
-			t.Errorf("%v is taken", bad)
+		if _, err := run(append([]string{"verify", "attempts"}, invalid...)...); err == nil {
+			t.Errorf("%v is accepted", invalid)
 		}
 	}
 }
 
-func TestVerifyPlaysACase(t *testing.T) {
+func TestVerifyReplaysACase(t *testing.T) {
 	cases, err := filepath.Glob("../../attempt/explore/testdata/cases/*.json")
 	if err != nil || len(cases) == 0 {
 		t.Fatal(err)
