--- a/agent/agent.go
+++ b/agent/agent.go
@@ -60,9 +60,9 @@
 	}
 	go a.heartbeats.run(serveCtx)
 	go figures.ServeFor(serveCtx, a.log, a.settings.IP, a.settings.Metrics, a.emitMetrics)
-	choice := Choice{Set: a.settings, Board: a.replica, Seeds: seedAddresses(a.settings)}
+	selector := ControllerSelector{Settings: a.settings, Replica: a.replica, Seeds: seedAddresses(a.settings)}
 	p := distribution.Puller{Replica: a.replica, Node: a.settings.Node, Incarnation: a.incarnation, Kind: "agent",
-		Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better,
+		Choose: selector.Choose, LeaveIsolated: true, HasBetter: selector.HasBetter,
 		PrepareRequest: a.heartbeats.addToRequest, OnResponse: a.link.recordResponse,
 		Network: keepalive.TCP{Relay: a.settings.Relay, From: a.settings.Node},
 		OnError: func(peer string, err error) {
--- a/agent/controllers.go
+++ b/agent/controllers.go
@@ -12,12 +12,12 @@
 	"peathollow/internal/settings"
 )
 
-// Choice selects the controller that a distribution.Puller pulls from. It isn't safe for concurrent use: only that
-// puller may call it, from one goroutine.
-type Choice struct {
-	Set   *settings.Settings
-	Board *distribution.Replica
-	Seeds []string // distribution addresses of the seeds' controllers
+// ControllerSelector selects the controller that a distribution.Puller pulls from. It isn't safe for concurrent use: only
+// that puller may call it, from one goroutine.
+type ControllerSelector struct {
+	Settings *settings.Settings
+	Replica  *distribution.Replica
+	Seeds    []string // distribution addresses of the seeds' controllers
 
 	selectedAt time.Time // when a controller was last selected
 }
@@ -35,9 +35,9 @@
 // Choose returns the controller for an attempt. Attempts go through the controllers of this zone, of this region and then
 // all others, each group in an order that depends on the node, so that agents spread over them. The seeds come last, in
 // case all known controllers are gone.
-func (c *Choice) Choose(attempt int) string {
+func (c *ControllerSelector) Choose(attempt int) string {
 	c.selectedAt = time.Now()
-	locations := slices.Clone(c.Board.Controllers())
+	locations := slices.Clone(c.Replica.Controllers())
 	slices.SortFunc(locations, func(a, b distribution.Location) int {
 		return cmp.Or(cmp.Compare(c.distance(a), c.distance(b)), cmp.Compare(c.hash(a.Addr), c.hash(b.Addr)))
 	})
@@ -58,19 +58,21 @@
 	return addrs[attempt%len(addrs)]
 }
 
-func (c *Choice) distance(location distribution.Location) int { return c.Set.Far(location.Zone) }
+func (c *ControllerSelector) distance(location distribution.Location) int {
+	return c.Settings.Far(location.Zone)
+}
 
 // minTimeOnController is how long the agent stays on a distant controller before it tries a nearer one, so that it doesn't
 // return at once to a controller that it has just left because of an error.
 const minTimeOnController = 3 * time.Second
 
-// Better reports whether a controller nearer than the current one is known. Traffic between zones costs money.
-func (c *Choice) Better(addr string) bool {
+// HasBetter reports whether a controller nearer than the current one is known. Traffic between zones costs money.
+func (c *ControllerSelector) HasBetter(addr string) bool {
 	if time.Since(c.selectedAt) < minTimeOnController {
 		return false
 	}
 	current, best := 3, 3
-	for _, location := range c.Board.Controllers() {
+	for _, location := range c.Replica.Controllers() {
 		best = min(best, c.distance(location))
 		if location.Addr == addr {
 			current = c.distance(location)
@@ -84,9 +86,9 @@
 }
 
 // hash orders addresses differently on each node.
-func (c *Choice) hash(addr string) uint32 {
+func (c *ControllerSelector) hash(addr string) uint32 {
 	h := fnv.New32a()
-	h.Write([]byte(c.Set.Node))
+	h.Write([]byte(c.Settings.Node))
 	h.Write([]byte(addr))
 	return h.Sum32()
 }
--- a/client/calls.go
+++ b/client/calls.go
@@ -15,8 +15,8 @@
 	"peathollow/manifest"
 )
 
-// Core is the status of one controller, or the reason why it could not be read.
-type Core struct {
+// ControllerStatus is the status of one controller, or the reason why it could not be read.
+type ControllerStatus struct {
 	Control string  `json:"control"`
 	Status  *Status `json:"status,omitempty"`
 	Fault   string  `json:"fault,omitempty"`
@@ -45,23 +45,23 @@
 	return &s, nil
 }
 
-// Cores gets the list of members from any controller, and then the status of each of them.
-func (c *Client) Cores(ctx context.Context) ([]Core, error) {
+// Controllers gets the list of members from any controller, and then the status of each of them.
+func (c *Client) Controllers(ctx context.Context) ([]ControllerStatus, error) {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return nil, err
 	}
-	all := make([]Core, len(s.Members))
+	all := make([]ControllerStatus, len(s.Members))
 	forEach(len(all), func(i int) {
 		all[i].Control = s.Members[i].Control
 		var status Status
-		if err := c.At(ctx, all[i].Control, "/status", &status); err != nil {
+		if err := c.GetFrom(ctx, all[i].Control, "/status", &status); err != nil {
 			all[i].Fault = err.Error()
 			return
 		}
 		all[i].Status = &status
 	})
-	slices.SortFunc(all, func(a, b Core) int { return strings.Compare(a.Control, b.Control) })
+	slices.SortFunc(all, func(a, b ControllerStatus) int { return strings.Compare(a.Control, b.Control) })
 	return all, nil
 }
 
@@ -75,7 +75,7 @@
 	reports := make([][]Node, len(s.Members))
 	forEach(len(reports), func(i int) {
 		control := s.Members[i].Control
-		if err := c.At(ctx, control, "/nodes", &reports[i]); err != nil {
+		if err := c.GetFrom(ctx, control, "/nodes", &reports[i]); err != nil {
 			reports[i] = []Node{{Node: control, Role: Controller, Fault: err.Error()}}
 		}
 	})
@@ -88,7 +88,7 @@
 	for _, list := range reports {
 		for _, n := range list {
 			key := [2]string{n.Role, n.Node}
-			if previous, ok := latest[key]; !ok || n.HeardMs < previous.HeardMs {
+			if previous, ok := latest[key]; !ok || n.LastContactMs < previous.LastContactMs {
 				latest[key] = n
 			}
 		}
@@ -120,7 +120,7 @@
 // Config returns the configuration in force as it was sent, or nil if there is none yet.
 func (c *Client) Config(ctx context.Context) ([]byte, error) {
 	raw, _, err := c.Call(ctx, http.MethodGet, "/config", nil)
-	var refused *Refused
+	var refused *RefusedError
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return nil, nil
 	}
@@ -144,9 +144,9 @@
 	return m.Version, nil
 }
 
-// Watch polls until every node reports the given version or a later one as in force. It calls progress whenever the number
-// of these nodes changes. A node that doesn't respond or doesn't report a version counts as outstanding.
-func (c *Client) Watch(ctx context.Context, version uint64, progress func(have, of int)) error {
+// WaitForVersion polls until every node reports the given version or a later one as in force. It calls progress whenever the
+// number of these nodes changes. A node that doesn't respond or doesn't report a version counts as outstanding.
+func (c *Client) WaitForVersion(ctx context.Context, version uint64, progress func(have, of int)) error {
 	previous := -1
 	for {
 		nodes, err := c.Nodes(ctx)
--- a/client/check.go
+++ b/client/check.go
@@ -12,15 +12,15 @@
 	"peathollow/manifest"
 )
 
-// Invalid is the error for a configuration file that is not valid: the position, the key and what was expected.
-type Invalid struct {
-	File string
-	Line int    // 0 if unknown
-	Path string // of the key, for example routes[3].plant; "" for the whole document
-	Why  string
+// InvalidError is the error for a configuration file that is not valid: the position, the key and what was expected.
+type InvalidError struct {
+	File   string
+	Line   int    // 0 if unknown
+	Path   string // of the key, for example routes[3].plant; "" for the whole document
+	Reason string
 }
 
-func (e *Invalid) Error() string {
+func (e *InvalidError) Error() string {
 	position := e.File
 	if e.Line > 0 {
 		position += ":" + strconv.Itoa(e.Line)
@@ -28,7 +28,7 @@
 	if e.Path != "" {
 		position += ": " + e.Path
 	}
-	return fmt.Sprintf("%s: %s", position, e.Why)
+	return fmt.Sprintf("%s: %s", position, e.Reason)
 }
 
 // Check parses a configuration as the system does. Its error is an *Invalid.
@@ -37,10 +37,10 @@
 	if err == nil {
 		return m, nil
 	}
-	invalid := &Invalid{File: file, Why: err.Error()}
+	invalid := &InvalidError{File: file, Reason: err.Error()}
 	var validation *manifest.ValidationError
 	if errors.As(err, &validation) {
-		invalid.Path, invalid.Why = validation.Path, validation.Reason
+		invalid.Path, invalid.Reason = validation.Path, validation.Reason
 	}
 	invalid.Line = lineOf(raw, invalid.Path)
 	return nil, invalid
--- a/client/client.go
+++ b/client/client.go
@@ -46,14 +46,14 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Refused is the error for a response that a retry isn't expected to change.
-type Refused struct {
-	Status    int
-	Why, Peer string
+// RefusedError is the error for a response that a retry isn't expected to change.
+type RefusedError struct {
+	Status       int
+	Reason, Peer string
 }
 
-func (e *Refused) Error() string {
-	return fmt.Sprintf("peer %s: status %d: %s", e.Peer, e.Status, e.Why)
+func (e *RefusedError) Error() string {
+	return fmt.Sprintf("peer %s: status %d: %s", e.Peer, e.Status, e.Reason)
 }
 
 // Call sends a request until it gets a definite response, as the protocol requires of every caller. After an error, a
@@ -74,7 +74,7 @@
 			c.prefer(peer)
 			return response, peer, nil
 		case status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
-			err = &Refused{status, errorText(response), peer}
+			err = &RefusedError{status, errorText(response), peer}
 			switch refusals++; status {
 			case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
 				http.StatusUnprocessableEntity:
@@ -98,8 +98,8 @@
 	}
 }
 
-// At sends one GET request to one controller and decodes the JSON response into the value that into points to.
-func (c *Client) At(ctx context.Context, peer, path string, into any) error {
+// GetFrom sends one GET request to one controller and decodes the JSON response into the value that into points to.
+func (c *Client) GetFrom(ctx context.Context, peer, path string, into any) error {
 	status, response, err := c.once(ctx, http.MethodGet, peer, path, nil)
 	if err == nil && status != http.StatusOK {
 		err = errors.Errorf("peer %s: status %d: %s", peer, status, errorText(response))
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -92,10 +92,10 @@
 		var p fakeControllers
 		c := client.New(p.start(t, "a", status(code)), p.start(t, "b", status(code)))
 		_, _, err := c.Call(within(t, 30*time.Second), http.MethodGet, "/x", nil)
-		var refused *client.Refused
+		var refused *client.RefusedError
 		must.True(t, errors.As(err, &refused), must.Sprint(err))
 		must.Eq(t, code, refused.Status)
-		must.Eq(t, fmt.Sprint("says ", code), refused.Why)
+		must.Eq(t, fmt.Sprint("says ", code), refused.Reason)
 		must.Len(t, calls, p.called, must.Sprint(code))
 		c.Close()
 	}
@@ -111,8 +111,8 @@
 	must.ErrorContains(t, err, "GET /x: deadline reached, last error: peer "+peer+": status 503: says 503")
 }
 
-// TestWatch checks that Watch returns only when the slowest node reports the version.
-func TestWatch(t *testing.T) {
+// TestWaitForVersion checks that WaitForVersion returns only when the slowest node reports the version.
+func TestWaitForVersion(t *testing.T) {
 	var p fakeControllers
 	var self string
 	calls := 0
@@ -128,8 +128,10 @@
 	c := client.New(self)
 	defer c.Close()
 	var seen []string
-	must.NoError(t, c.Watch(within(t, 30*time.Second), 7, func(have, of int) { seen = append(seen, fmt.Sprint(have, "/", of)) }))
+	must.NoError(t, c.WaitForVersion(within(t, 30*time.Second), 7, func(have, of int) {
+		seen = append(seen, fmt.Sprint(have, "/", of))
+	}))
 	must.Eq(t, []string{"1/2", "2/2"}, seen)
-	err := c.Watch(within(t, 300*time.Millisecond), 100, func(int, int) {})
+	err := c.WaitForVersion(within(t, 300*time.Millisecond), 100, func(int, int) {})
 	must.ErrorContains(t, err, "version 100 is not reported by a, b")
 }
--- a/client/diff.go
+++ b/client/diff.go
@@ -8,8 +8,8 @@
 	"peathollow/manifest"
 )
 
-// Names lists the names that were added, removed, or kept with a changed definition.
-type Names struct {
+// NameChanges lists the names that were added, removed, or kept with a changed definition.
+type NameChanges struct {
 	Added   []string `json:"added"`
 	Removed []string `json:"removed"`
 	Changed []Change `json:"changed"`
@@ -17,30 +17,30 @@
 
 // Change lists the changed fields of a route or service. Fields is empty if the definitions can't be looked up by name.
 type Change struct {
-	Name   string  `json:"name"`
-	Fields []Field `json:"fields"`
+	Name   string        `json:"name"`
+	Fields []FieldChange `json:"fields"`
 }
 
-// Field is the value of one field before and after the change.
-type Field struct {
-	Name string `json:"name"`
-	Was  string `json:"was"`
-	Is   string `json:"is"`
+// FieldChange is the value of one field before and after the change.
+type FieldChange struct {
+	Name   string `json:"name"`
+	Before string `json:"was"`
+	After  string `json:"is"`
 }
 
 // Diff is the difference between two configurations.
 type Diff struct {
-	From     uint64  `json:"from"` // versions
-	To       uint64  `json:"to"`
-	Routes   Names   `json:"routes"`
-	Services Names   `json:"services"`
-	Limits   []Field `json:"limits"`
+	From     uint64        `json:"from"` // versions
+	To       uint64        `json:"to"`
+	Routes   NameChanges   `json:"routes"`
+	Services NameChanges   `json:"services"`
+	Limits   []FieldChange `json:"limits"`
 }
 
-// Same reports whether nothing but the version differs.
-func (d *Diff) Same() bool {
+// Empty reports whether nothing but the version differs.
+func (d *Diff) Empty() bool {
 	n := len(d.Limits)
-	for _, x := range []Names{d.Routes, d.Services} {
+	for _, x := range []NameChanges{d.Routes, d.Services} {
 		n += len(x.Added) + len(x.Removed) + len(x.Changed)
 	}
 	return n == 0
@@ -65,8 +65,9 @@
 	return all
 }
 
-func nameChanges[T any](n manifest.NameChanges, from, to map[string]*T) Names {
-	changes := Names{Added: slices.Concat([]string{}, n.Added), Removed: slices.Concat([]string{}, n.Removed), Changed: []Change{}}
+func nameChanges[T any](n manifest.NameChanges, from, to map[string]*T) NameChanges {
+	changes := NameChanges{Added: slices.Concat([]string{}, n.Added), Removed: slices.Concat([]string{}, n.Removed),
+		Changed: []Change{}}
 	for _, name := range n.Changed {
 		change := Change{Name: name}
 		if before, after := from[name], to[name]; before != nil && after != nil {
@@ -79,12 +80,12 @@
 
 // changedFields compares two structs of the same type. It ignores the position of a route in the list (Index), which has no
 // meaning.
-func changedFields(from, to any) (changes []Field) {
+func changedFields(from, to any) (changes []FieldChange) {
 	before, after := reflect.ValueOf(from), reflect.ValueOf(to)
 	for i := range before.NumField() {
 		name := before.Type().Field(i).Name
 		if x, y := fmt.Sprint(before.Field(i)), fmt.Sprint(after.Field(i)); x != y && name != "Index" {
-			changes = append(changes, Field{name, x, y})
+			changes = append(changes, FieldChange{name, x, y})
 		}
 	}
 	return changes
--- a/client/types.go
+++ b/client/types.go
@@ -14,7 +14,7 @@
 	Mixers    int      `json:"mixers"` // the count that retry budgets use; 0 while it isn't known
 	// SilentMixers are front machines that send no pull requests and from which their watchers receive no heartbeats.
 	SilentMixers []string `json:"silent-mixers,omitempty"`
-	Alone        bool     `json:"alone"` // has no contact with a majority of the controllers
+	Isolated     bool     `json:"alone"` // has no contact with a majority of the controllers
 }
 
 // Member is a controller as listed in an epoch.
@@ -33,12 +33,12 @@
 
 // Node is a machine of the system as reported by a controller.
 type Node struct {
-	Node    string `json:"node"`
-	Role    string `json:"role"`
-	Version uint64 `json:"config-version"` // in force on the node; 0 if it has none or hasn't reported it
-	HeardMs int64  `json:"heard-ms"`       // time since the last contact
-	Via     string `json:"via,omitempty"`  // the controller that reports the node
-	Fault   string `json:"fault,omitempty"`
+	Node          string `json:"node"`
+	Role          string `json:"role"`
+	Version       uint64 `json:"config-version"` // in force on the node; 0 if it has none or hasn't reported it
+	LastContactMs int64  `json:"heard-ms"`       // time since the last contact
+	Via           string `json:"via,omitempty"`  // the controller that reports the node
+	Fault         string `json:"fault,omitempty"`
 }
 
 // Searcher is an entry of the list of searchers.
--- a/cmd/peathollow/config.go
+++ b/cmd/peathollow/config.go
@@ -123,7 +123,7 @@
 				printLine("version %d acknowledged", m.Version)
 			}
 			if watch {
-				err := control.Watch(ctx, m.Version, func(have, of int) { printLine("in force on %d of %d nodes", have, of) })
+				err := control.WaitForVersion(ctx, m.Version, func(have, of int) { printLine("in force on %d of %d nodes", have, of) })
 				if err != nil {
 					return err
 				}
@@ -144,10 +144,10 @@
 			_, m, err := readConfig(c)
 			out := c.Root().Writer
 			if asJSON {
-				var invalid *client.Invalid
+				var invalid *client.InvalidError
 				if errors.As(err, &invalid) {
 					if err := printJSON(out, map[string]any{"valid": false, "file": invalid.File, "line": invalid.Line, "path": invalid.Path,
-						"why": invalid.Why}); err != nil {
+						"why": invalid.Reason}); err != nil {
 						return err
 					}
 				} else if err == nil {
@@ -190,14 +190,14 @@
 	if d.To <= d.From {
 		fmt.Fprintln(out, "the file would be acknowledged and change nothing: its version is not above the one in force")
 	}
-	if d.Same() {
+	if d.Empty() {
 		_, err := fmt.Fprintln(out, "no difference")
 		return err
 	}
 	var rows [][]any
 	for _, x := range []struct {
 		kind string
-		client.Names
+		client.NameChanges
 	}{{"route", d.Routes}, {"service", d.Services}} {
 		for _, name := range x.Added {
 			rows = append(rows, []any{"added", x.kind, name, "", ""})
@@ -210,12 +210,12 @@
 				rows = append(rows, []any{"changed", x.kind, change.Name, "", ""})
 			}
 			for _, f := range change.Fields {
-				rows = append(rows, []any{"changed", x.kind, change.Name, f.Name, f.Was + " -> " + f.Is})
+				rows = append(rows, []any{"changed", x.kind, change.Name, f.Name, f.Before + " -> " + f.After})
 			}
 		}
 	}
 	for _, f := range d.Limits {
-		rows = append(rows, []any{"changed", "limits", "", f.Name, f.Was + " -> " + f.Is})
+		rows = append(rows, []any{"changed", "limits", "", f.Name, f.Before + " -> " + f.After})
 	}
 	return printTable(out, "what|of|name|field|values", rows)
 }
--- a/cmd/peathollow/operate.go
+++ b/cmd/peathollow/operate.go
@@ -144,7 +144,7 @@
 	var r systemFlags
 	return r.command(&cli.Command{Name: "status", Usage: "Show the controllers of a running system, each with its own view of the group"}, 0,
 		func(ctx context.Context, control *client.Client, c *cli.Command) error {
-			controllers, err := control.Cores(ctx)
+			controllers, err := control.Controllers(ctx)
 			if err != nil {
 				return err
 			}
@@ -155,7 +155,7 @@
 		})
 }
 
-func showStatus(out io.Writer, controllers []client.Core) error {
+func showStatus(out io.Writer, controllers []client.ControllerStatus) error {
 	var rows [][]any
 	for _, controller := range controllers {
 		s := controller.Status
@@ -182,7 +182,7 @@
 			state = "primary"
 		}
 	}
-	if s.Alone {
+	if s.Isolated {
 		state += ", alone"
 	}
 	return state
@@ -206,7 +206,7 @@
 func showNodes(out io.Writer, list []client.Node) error {
 	var rows [][]any
 	for _, n := range list {
-		version, lastContact := fmt.Sprint(n.Version), fmt.Sprintf("%v ago", time.Duration(n.HeardMs)*time.Millisecond)
+		version, lastContact := fmt.Sprint(n.Version), fmt.Sprintf("%v ago", time.Duration(n.LastContactMs)*time.Millisecond)
 		if n.Version == 0 {
 			version = "not told"
 		}
--- a/cmd/peathollow/operate_test.go
+++ b/cmd/peathollow/operate_test.go
@@ -36,8 +36,8 @@
 		one := client.Status{Node: "core-1", ID: "i1", Zone: "a", Epoch: 4, Primary: "10.0.0.1:7080", InSync: []string{"i1", "i2"},
 			Members: members, Version: 7, Searchers: 8, Mixers: 2}
 		two := one
-		two.Node, two.ID, two.Zone, two.Version, two.Mixers, two.Alone = "core-2", "i2", "b", 6, 0, true
-		return showStatus(out, []client.Core{{Control: "10.0.0.1:8047", Status: &one}, {Control: "10.0.0.2:8047", Status: &two},
+		two.Node, two.ID, two.Zone, two.Version, two.Mixers, two.Isolated = "core-2", "i2", "b", 6, 0, true
+		return showStatus(out, []client.ControllerStatus{{Control: "10.0.0.1:8047", Status: &one}, {Control: "10.0.0.2:8047", Status: &two},
 			{Control: "10.0.0.3:8047", Fault: "silent for 1s"}})
 	})
 	golden(t, `
@@ -48,7 +48,7 @@
 `, func(out *bytes.Buffer) error {
 		return showNodes(out, []client.Node{{Node: "core-1", Role: client.Controller, Version: 7},
 			{Node: "10.0.0.3:8047", Role: client.Controller, Fault: "silent for 1s"},
-			{Node: "front-1", Role: client.Front, Version: 6, HeardMs: 40, Via: "core-1"}})
+			{Node: "front-1", Role: client.Front, Version: 6, LastContactMs: 40, Via: "core-1"}})
 	})
 	golden(t, `
 service  id   address      zone  state  capacity  slow for  software  reports to
--- a/controlplane/mixers.go
+++ b/controlplane/mixers.go
@@ -173,13 +173,13 @@
 	}
 	for _, agent := range latest {
 		list = append(list, client.Node{Node: agent.node, Role: client.Front, Version: agent.version,
-			HeardMs: time.Since(agent.lastPull).Milliseconds(), Via: c.settings.Node})
+			LastContactMs: time.Since(agent.lastPull).Milliseconds(), Via: c.settings.Node})
 	}
 	c.mu.Unlock()
 	_, silent := c.mixerCounts()
 	for _, machine := range silent {
 		if latest[machine] == nil {
-			list = append(list, client.Node{Node: machine, Role: client.Front, HeardMs: silentAge.Milliseconds(), Via: c.settings.Node,
+			list = append(list, client.Node{Node: machine, Role: client.Front, LastContactMs: silentAge.Milliseconds(), Via: c.settings.Node,
 				Fault: "silent"})
 		}
 	}
--- a/controlplane/simulation/front.go
+++ b/controlplane/simulation/front.go
@@ -81,11 +81,11 @@
 		host, _, _ := net.SplitHostPort(seed)
 		seeds = append(seeds, net.JoinHostPort(host, controlplane.DistributionPort(s)))
 	}
-	choice := agent.Choice{Set: s, Board: r.replica, Seeds: seeds}
+	choice := agent.ControllerSelector{Settings: s, Replica: r.replica, Seeds: seeds}
 	calls := uint64(0)
 	p := distribution.Puller{Replica: r.replica, Node: s.Node,
 		Incarnation: fmt.Sprint("agent/", f.index, "/", r.started.UnixNano()), Kind: "agent",
-		Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.Better, Network: r.host,
+		Choose: choice.Choose, LeaveIsolated: true, HasBetter: choice.HasBetter, Network: r.host,
 		PrepareRequest: func(a *distribution.PullRequest, _ bool) {
 			calls++
 			a.Mixer = &distribution.AgentHeartbeat{Calls: calls}
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -23,7 +23,7 @@
 	e, primary := c.driver.epoch, c.driver.primary
 	c.driver.mu.Unlock()
 	s := Status{Node: c.settings.Node, ID: string(c.driver.node.ID()), Zone: c.settings.Zone, Epoch: e.N, Primary: primary,
-		Searchers: len(c.replica.Entries()), Alone: !c.inContact(), Version: c.version()}
+		Searchers: len(c.replica.Entries()), Isolated: !c.inContact(), Version: c.version()}
 	s.Mixers, s.SilentMixers = c.mixerCounts()
 	for _, id := range e.InSync {
 		s.InSync = append(s.InSync, string(id))
--- a/lab/scale/agents.go
+++ b/lab/scale/agents.go
@@ -57,9 +57,9 @@
 	}
 	go func() {
 		for _, h := range ts.all {
-			choice := agent.Choice{Set: h.set, Board: h.board, Seeds: h.set.Seeds} // told by where they serve news
+			choice := agent.ControllerSelector{Settings: h.set, Replica: h.board, Seeds: h.set.Seeds} // told by where they serve news
 			p := distribution.Puller{Replica: h.board, Node: h.set.Node, Incarnation: h.set.Node, Kind: "agent", Choose: choice.Choose, LeaveIsolated: true,
-				HasBetter: choice.Better, OnMerge: func() { ts.merged(h) }, OnError: ts.fault, PrepareRequest: h.say}
+				HasBetter: choice.HasBetter, OnMerge: func() { ts.merged(h) }, OnError: ts.fault, PrepareRequest: h.say}
 			go p.Run(ctx)
 			go h.tick(ctx)
 			select {
