--- a/cmd/peathollow/lab.go
+++ b/cmd/peathollow/lab.go
@@ -32,7 +32,7 @@
 }
 
 func labScale() *cli.Command {
-	o := scale.Default()
+	o := scale.DefaultOptions()
 	asJSON := false
 	return operatorCommand(&cli.Command{Name: "scale",
 		Usage: "Measure the cost of the control plane with many simulated mixers and searchers and real controllers",
@@ -40,24 +40,24 @@
 			"Nothing changes for half of the time; during the other half configuration changes and drains alternate. No process is left behind.",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "mixers", Value: o.Mixers, Destination: &o.Mixers, Usage: "mixers, one of them real"},
-			&cli.IntFlag{Name: "searchers", Value: o.Search, Destination: &o.Search, Usage: "simulated searchers"},
-			&cli.IntFlag{Name: "core", Value: o.Core, Destination: &o.Core, Usage: "controllers"},
+			&cli.IntFlag{Name: "searchers", Value: o.Searchers, Destination: &o.Searchers, Usage: "simulated searchers"},
+			&cli.IntFlag{Name: "core", Value: o.Controllers, Destination: &o.Controllers, Usage: "controllers"},
 			&cli.Uint64Flag{Name: "seed", Value: o.Seed, Destination: &o.Seed,
 				Usage: "seed of the random choices in the simulated processes"},
-			&cli.DurationFlag{Name: "for", Value: o.For, Destination: &o.For, Usage: "time to measure"},
+			&cli.DurationFlag{Name: "for", Value: o.Duration, Destination: &o.Duration, Usage: "time to measure"},
 			&cli.IntFlag{Name: "routes", Value: o.Routes, Destination: &o.Routes, Usage: "routes of the configuration"},
 			&cli.IntFlag{Name: "shards", Value: o.Shards, Destination: &o.Shards, Usage: "shards of a route that is split"},
-			&cli.DurationFlag{Name: "beat-period", Value: o.Period, Destination: &o.Period,
+			&cli.DurationFlag{Name: "beat-period", Value: o.HeartbeatPeriod, Destination: &o.HeartbeatPeriod,
 				Usage: "time between heartbeats of a searcher"},
-			&cli.DurationFlag{Name: "change-every", Value: o.Every, Destination: &o.Every,
+			&cli.DurationFlag{Name: "change-every", Value: o.ChangeInterval, Destination: &o.ChangeInterval,
 				Usage: "time between configuration changes, with a drain halfway between them"},
-			&cli.FloatFlag{Name: "restarts", Value: o.Restart, Destination: &o.Restart,
+			&cli.FloatFlag{Name: "restarts", Value: o.RestartsPerMinute, Destination: &o.RestartsPerMinute,
 				Usage: "searchers per minute that drain, stop and start again"},
-			&cli.FloatFlag{Name: "crashes", Value: o.Crash, Destination: &o.Crash,
+			&cli.FloatFlag{Name: "crashes", Value: o.CrashesPerMinute, Destination: &o.CrashesPerMinute,
 				Usage: "searchers per minute that restart without notice"},
-			&cli.BoolFlag{Name: "fresh", Destination: &o.Fresh, Usage: "open a connection for each heartbeat"},
-			&cli.IntFlag{Name: "procs", Value: o.Procs, Destination: &o.Procs, Usage: "threads that each process runs at a time"},
-			&cli.DurationFlag{Name: "start-most", Value: o.Warm, Destination: &o.Warm,
+			&cli.BoolFlag{Name: "fresh", Destination: &o.FreshConnections, Usage: "open a connection for each heartbeat"},
+			&cli.IntFlag{Name: "procs", Value: o.MaxProcs, Destination: &o.MaxProcs, Usage: "threads that each process runs at a time"},
+			&cli.DurationFlag{Name: "start-most", Value: o.StartTimeout, Destination: &o.StartTimeout,
 				Usage: "time limit for all processes to know all others at the start"},
 			&cli.BoolFlag{Name: "json", Destination: &asJSON, Usage: "print JSON"},
 		}}, 0, func(ctx context.Context, c *cli.Command) error {
@@ -68,7 +68,7 @@
 		ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		began := time.Now()
-		o.Out = func(s string) { fmt.Fprintf(c.Root().ErrWriter, "%6.1f s  %s\n", time.Since(began).Seconds(), s) }
+		o.Progress = func(s string) { fmt.Fprintf(c.Root().ErrWriter, "%6.1f s  %s\n", time.Since(began).Seconds(), s) }
 		r, err := scale.Run(ctx, o)
 		if r == nil {
 			return err
@@ -84,6 +84,6 @@
 func labHollow() *cli.Command {
 	return leaf(&cli.Command{Name: "hollow", Usage: "Run simulated agents or searchers", Hidden: true}, 1, 1,
 		func(ctx context.Context, c *cli.Command) error {
-			return scale.Hollow(ctx, c.Args().First(), os.Stdin, os.Stdout)
+			return scale.RunSimulated(ctx, c.Args().First(), os.Stdin, os.Stdout)
 		})
 }
--- a/lab/scale/agents.go
+++ b/lab/scale/agents.go
@@ -23,8 +23,8 @@
 	mu         sync.Mutex
 	watches    []*watch
 	merges     int
-	faults     int
-	firstFault string
+	pullErrors int
+	firstError string
 }
 
 // watch records when each agent first knows a configuration version, or the drain of a searcher if searcherID is set.
@@ -44,30 +44,31 @@
 }
 
 // startAgents starts the task's agents and returns the handler of the parent's commands.
-func startAgents(ctx context.Context, task Task, emit func(Event)) func(Order) {
+func startAgents(ctx context.Context, task Task, emit func(Event)) func(Command) {
 	set := &agentSet{emit: emit}
 	rng := rand.New(rand.NewPCG(task.Seed, 1))
 	regionOf := regionsByZone()
 	for i := range task.Count {
 		zone := zones[rng.IntN(len(zones))]
 		s := &settings.Settings{Node: fmt.Sprintf("hollow-%04d", i), Zone: zone, Region: regionOf[zone], Zones: regionOf,
-			Seeds: task.News, BeatPeriod: task.Period}
+			Seeds: task.DistributionAddrs, BeatPeriod: task.HeartbeatPeriod}
 		incarnation := fmt.Sprintf("agent/%s/%08x", s.Node, rng.Uint32())
 		set.all = append(set.all, &simulatedAgent{index: i, settings: s,
-			replica: distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Relay: true, Period: task.Period, Start: time.Now()}))})
+			replica: distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Relay: true,
+				Period: task.HeartbeatPeriod, Start: time.Now()}))})
 	}
 	go func() {
 		for _, a := range set.all {
 			selector := agent.ControllerSelector{Settings: a.settings, Replica: a.replica, Seeds: a.settings.Seeds} // seeds are distribution addresses
 			puller := distribution.Puller{Replica: a.replica, Node: a.settings.Node, Incarnation: a.settings.Node, Kind: "agent",
 				Choose: selector.Choose, LeaveIsolated: true, HasBetter: selector.HasBetter, OnMerge: func() { set.onMerge(a) },
-				OnError: set.recordFault, PrepareRequest: a.prepareRequest}
+				OnError: set.recordError, PrepareRequest: a.prepareRequest}
 			go puller.Run(ctx)
 			go a.advanceRegistry(ctx)
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(task.Apart):
+			case <-time.After(task.StartInterval):
 			}
 		}
 	}()
@@ -75,10 +76,10 @@
 	return set.handle
 }
 
-func (set *agentSet) handle(order Order) {
-	switch order.Do {
+func (set *agentSet) handle(command Command) {
+	switch command.Action {
 	case "watch":
-		w := &watch{version: order.Version, searcherID: order.ID, known: make([]bool, len(set.all))}
+		w := &watch{version: command.Version, searcherID: command.ID, known: make([]bool, len(set.all))}
 		set.mu.Lock()
 		set.watches = append(set.watches, w)
 		set.mu.Unlock()
@@ -89,7 +90,7 @@
 	case "flush":
 		set.mu.Lock()
 		for _, w := range set.watches {
-			set.emit(Event{Kind: "known", Version: w.version, ID: w.searcherID, At: w.knownAt})
+			set.emit(Event{Kind: "known", Version: w.version, ID: w.searcherID, KnownAt: w.knownAt})
 		}
 		set.watches = nil
 		set.mu.Unlock()
@@ -113,17 +114,17 @@
 			}
 		}
 		set.mu.Lock()
-		totals := &Tally{Merges: set.merges, Faults: set.faults, First: set.firstFault, Listed: max(minListed, 0)}
+		totals := &Totals{Merges: set.merges, PullErrors: set.pullErrors, FirstError: set.firstError, MinListed: max(minListed, 0)}
 		set.mu.Unlock()
-		set.emit(Event{Kind: "tally", Tally: totals})
+		set.emit(Event{Kind: "tally", Totals: totals})
 	}
 }
 
-func (set *agentSet) recordFault(peer string, err error) {
+func (set *agentSet) recordError(peer string, err error) {
 	set.mu.Lock()
 	defer set.mu.Unlock()
-	if set.faults++; set.firstFault == "" {
-		set.firstFault = err.Error()
+	if set.pullErrors++; set.firstError == "" {
+		set.firstError = err.Error()
 	}
 }
 
@@ -173,7 +174,7 @@
 	set.watches = slices.DeleteFunc(set.watches, func(w *watch) bool {
 		complete := len(w.knownAt) == len(set.all)
 		if complete {
-			set.emit(Event{Kind: "known", Version: w.version, ID: w.searcherID, At: w.knownAt})
+			set.emit(Event{Kind: "known", Version: w.version, ID: w.searcherID, KnownAt: w.knownAt})
 		}
 		return complete
 	})
--- a/lab/scale/bench_test.go
+++ b/lab/scale/bench_test.go
@@ -154,7 +154,7 @@
 // agent that requests one.
 func BenchmarkConfig(b *testing.B) {
 	for _, shards := range []int{12, 300, 1200} {
-		options := Default()
+		options := DefaultOptions()
 		options.Shards = shards
 		var docs [2]*manifest.Manifest
 		for i := range docs {
--- a/lab/scale/changes.go
+++ b/lab/scale/changes.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return 0, 0, errors.Wrap(err, "configuration")
 	}
-	r.report.Document = len(body)
+	r.report.ConfigurationBytes = len(body)
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	start := time.Now()
@@ -30,10 +30,10 @@
 // applyChanges alternates configuration changes and drains for half of the run's time. It waits for each to reach all agents, so
 // that one that takes longer than the interval isn't hidden by the next.
 func (r *run) applyChanges(ctx context.Context) error {
-	deadline := time.Now().Add(r.For - r.For/2)
+	deadline := time.Now().Add(r.Duration - r.Duration/2)
 	drained := 0
 	for n := 0; ; n++ {
-		next := time.Now().Add(r.Every / 2)
+		next := time.Now().Add(r.ChangeInterval / 2)
 		if next.After(deadline) && n >= 2 { // even the slowest machine measures one of each
 			return nil
 		}
@@ -43,7 +43,7 @@
 				return err
 			}
 			r.report.Changes = append(r.report.Changes, propagation)
-		} else if drained < min(maxDrains, r.Search/2) {
+		} else if drained < min(maxDrains, r.Searchers/2) {
 			propagation, err := r.measureDrain(ctx, drained)
 			if err != nil {
 				return err
@@ -58,10 +58,10 @@
 }
 
 // measureChange puts the next configuration version and measures its propagation to the simulated agents.
-func (r *run) measureChange(ctx context.Context) (News, error) {
-	propagation := News{What: fmt.Sprint("version ", r.version+1), Of: r.Mixers - 1}
+func (r *run) measureChange(ctx context.Context) (Propagation, error) {
+	propagation := Propagation{Update: fmt.Sprint("version ", r.version+1), Agents: r.Mixers - 1}
 	if r.agentProcess != nil {
-		if err := r.agentProcess.send(Order{Do: "watch", Version: uint64(r.version + 1)}); err != nil {
+		if err := r.agentProcess.send(Command{Action: "watch", Version: uint64(r.version + 1)}); err != nil {
 			return propagation, err
 		}
 	}
@@ -69,32 +69,32 @@
 	if err != nil {
 		return propagation, err
 	}
-	propagation.Ack, propagation.Bytes = ackMS, r.report.Document
+	propagation.AckMS, propagation.Bytes = ackMS, r.report.ConfigurationBytes
 	return propagation, r.awaitKnown(&propagation, sent)
 }
 
 // measureDrain drains the searcher with the given index and measures how its new state reaches the simulated agents.
-func (r *run) measureDrain(ctx context.Context, index int) (News, error) {
-	propagation := News{What: "drain of " + searcherID(index, 0), Of: r.Mixers - 1}
+func (r *run) measureDrain(ctx context.Context, index int) (Propagation, error) {
+	propagation := Propagation{Update: "drain of " + searcherID(index, 0), Agents: r.Mixers - 1}
 	if r.agentProcess != nil {
-		if err := r.agentProcess.send(Order{Do: "watch", ID: searcherID(index, 0)}); err != nil {
+		if err := r.agentProcess.send(Command{Action: "watch", ID: searcherID(index, 0)}); err != nil {
 			return propagation, err
 		}
 	}
-	if err := r.searcherProcess.send(Order{Do: "drain", Index: index}); err != nil {
+	if err := r.searcherProcess.send(Command{Action: "drain", Index: index}); err != nil {
 		return propagation, err
 	}
 	event, err := r.searcherProcess.await("drained", stepTimeout, r.lateEvent)
 	if err != nil {
 		return propagation, err
 	}
-	propagation.Ack, propagation.Fault = float64(event.Acked-event.Sent)/1e6, event.Fault
-	return propagation, r.awaitKnown(&propagation, event.Sent)
+	propagation.AckMS, propagation.Fault = float64(event.AckedAt-event.SentAt)/1e6, event.Fault
+	return propagation, r.awaitKnown(&propagation, event.SentAt)
 }
 
 // awaitKnown waits until all simulated agents know the update. After stepTimeout it flushes the watch, records a fault and reports
 // the agents that do know it.
-func (r *run) awaitKnown(propagation *News, sent int64) error {
+func (r *run) awaitKnown(propagation *Propagation, sent int64) error {
 	if r.agentProcess == nil {
 		return nil
 	}
@@ -103,16 +103,16 @@
 		if r.agentProcess.hasExited() {
 			return err
 		}
-		if err := r.agentProcess.send(Order{Do: "flush"}); err != nil {
+		if err := r.agentProcess.send(Command{Action: "flush"}); err != nil {
 			return err
 		}
 		if event, err = r.agentProcess.await("known", stepTimeout, r.lateEvent); err != nil {
 			return err
 		}
 		propagation.Fault = fmt.Sprintf("not known to all agents within %v", stepTimeout)
-		r.recordFault("%s: %s", propagation.What, propagation.Fault)
+		r.recordFault("%s: %s", propagation.Update, propagation.Fault)
 	}
-	propagation.Known = summarize(elapsedMS(sent, event.At))
+	propagation.Latency = summarize(elapsedMS(sent, event.KnownAt))
 	return nil
 }
 
--- a/lab/scale/network.go
+++ b/lab/scale/network.go
@@ -79,7 +79,8 @@
 	lines := []string{"node-name=" + name, "machine-class=" + class, "ip=" + r.net.ip(machine), "zone=" + zone,
 		fmt.Sprintf("internal-ports=%d,%d", r.net.basePort, r.net.basePort+portControl-1),
 		"seeds=" + strings.Join(r.controlAddrs[:min(3, len(r.controlAddrs))], ","), "cold-start=true",
-		fmt.Sprintf("beat-period-ms=%d", r.Period.Milliseconds()), "tolerance.machine-losses=" + fmt.Sprint(min(1, (r.Core-1)/2)),
+		fmt.Sprintf("beat-period-ms=%d", r.HeartbeatPeriod.Milliseconds()),
+		"tolerance.machine-losses=" + fmt.Sprint(min(1, (r.Controllers-1)/2)),
 		"bounds.grace-s=1", fmt.Sprintf("limits.memory-mb=%d", memoryMB)}
 	for _, z := range zones {
 		lines = append(lines, "zones."+z+"="+regionsByZone()[z])
--- a/lab/scale/options.go
+++ b/lab/scale/options.go
@@ -8,24 +8,24 @@
 
 // Options configures a run.
 type Options struct {
-	Program []string      `json:"-"`         // command of this binary; a role or "lab hollow KIND" is appended
-	Env     []string      `json:"-"`         // extra environment of each child process
-	Out     func(string)  `json:"-"`         // receives progress messages; may be nil
-	Mixers  int           `json:"mixers"`    // one of them is real
-	Search  int           `json:"searchers"` // all simulated
-	Core    int           `json:"core"`      // controllers
-	Seed    uint64        `json:"seed"`
-	For     time.Duration `json:"for-ns"`          // half without changes, half with changes and drains
-	Routes  int           `json:"routes"`          // routes of the configuration
-	Shards  int           `json:"shards"`          // shards of each fan-out route
-	Period  time.Duration `json:"beat-period-ns"`  // heartbeat interval
-	Every   time.Duration `json:"change-every-ns"` // with a drain midway between two changes
-	Restart float64       `json:"restarts-a-minute"`
-	Crash   float64       `json:"crashes-a-minute"`
-	Fresh   bool          `json:"fresh-connections"` // open a connection for each heartbeat
-	Procs   int           `json:"procs"`             // GOMAXPROCS of each child
-	Warm    time.Duration `json:"start-most-ns"`     // time limit of each step of the start
-	Settle  time.Duration `json:"settle-ns"`         // pause after the start, while agents move to nearer controllers
+	Program           []string      `json:"-"`         // command of this binary; a role or "lab hollow KIND" is appended
+	Env               []string      `json:"-"`         // extra environment of each child process
+	Progress          func(string)  `json:"-"`         // receives progress messages; may be nil
+	Mixers            int           `json:"mixers"`    // one of them is real
+	Searchers         int           `json:"searchers"` // all simulated
+	Controllers       int           `json:"core"`
+	Seed              uint64        `json:"seed"`
+	Duration          time.Duration `json:"for-ns"`          // half without changes, half with changes and drains
+	Routes            int           `json:"routes"`          // routes of the configuration
+	Shards            int           `json:"shards"`          // shards of each fan-out route
+	HeartbeatPeriod   time.Duration `json:"beat-period-ns"`  // of searchers, agents and controllers
+	ChangeInterval    time.Duration `json:"change-every-ns"` // with a drain midway between two changes
+	RestartsPerMinute float64       `json:"restarts-a-minute"`
+	CrashesPerMinute  float64       `json:"crashes-a-minute"`
+	FreshConnections  bool          `json:"fresh-connections"` // open a connection for each heartbeat
+	MaxProcs          int           `json:"procs"`             // GOMAXPROCS of each child
+	StartTimeout      time.Duration `json:"start-most-ns"`     // time limit of each step of the start
+	SettleTime        time.Duration `json:"settle-ns"`         // pause after the start, while agents move to nearer controllers
 }
 
 // Limits for one machine that is shared with other users; a run may take less than half of its memory.
@@ -43,30 +43,32 @@
 		name            string
 		value, min, max int
 	}{
-		{"mixers", o.Mixers, 1, maxMixers}, {"searchers", o.Search, 1, maxSearchers}, {"core", o.Core, 1, maxControllers},
-		{"routes", o.Routes, 1, 1000}, {"shards", o.Shards, 1, 1200}, {"procs", o.Procs, 1, 8},
+		{"mixers", o.Mixers, 1, maxMixers}, {"searchers", o.Searchers, 1, maxSearchers}, {"core", o.Controllers, 1, maxControllers},
+		{"routes", o.Routes, 1, 1000}, {"shards", o.Shards, 1, 1200}, {"procs", o.MaxProcs, 1, 8},
 	} {
 		if bound.value < bound.min || bound.value > bound.max {
 			return errors.Errorf("--%s %d: must be %d to %d", bound.name, bound.value, bound.min, bound.max)
 		}
 	}
 	switch {
-	case o.For < time.Second || o.For > 5*time.Minute:
-		return errors.Errorf("--for %v: must be 1s to 5m", o.For)
-	case o.Period < 100*time.Millisecond:
-		return errors.Errorf("--beat-period %v: must be 100ms or more", o.Period)
-	case o.Every < 200*time.Millisecond:
-		return errors.Errorf("--change-every %v: must be 200ms or more", o.Every)
-	case o.Restart < 0 || o.Crash < 0 || o.Restart+o.Crash > 6000:
-		return errors.Errorf("--restarts %v, --crashes %v per minute: each must be 0 or more and their sum at most 6000", o.Restart, o.Crash)
+	case o.Duration < time.Second || o.Duration > 5*time.Minute:
+		return errors.Errorf("--for %v: must be 1s to 5m", o.Duration)
+	case o.HeartbeatPeriod < 100*time.Millisecond:
+		return errors.Errorf("--beat-period %v: must be 100ms or more", o.HeartbeatPeriod)
+	case o.ChangeInterval < 200*time.Millisecond:
+		return errors.Errorf("--change-every %v: must be 200ms or more", o.ChangeInterval)
+	case o.RestartsPerMinute < 0 || o.CrashesPerMinute < 0 || o.RestartsPerMinute+o.CrashesPerMinute > 6000:
+		return errors.Errorf("--restarts %v, --crashes %v per minute: each must be 0 or more and their sum at most 6000",
+			o.RestartsPerMinute, o.CrashesPerMinute)
 	}
 	return nil
 }
 
-// Default returns the options of a small run that fits on any machine.
-func Default() Options {
-	return Options{Mixers: 9, Search: 36, Core: 4, Seed: 1, For: 16 * time.Second, Routes: 60, Shards: 12,
-		Period: 1200 * time.Millisecond, Every: 2 * time.Second, Procs: 1, Warm: 90 * time.Second, Settle: 4 * time.Second}
+// DefaultOptions returns the options of a small run that fits on any machine.
+func DefaultOptions() Options {
+	return Options{Mixers: 9, Searchers: 36, Controllers: 4, Seed: 1, Duration: 16 * time.Second, Routes: 60, Shards: 12,
+		HeartbeatPeriod: 1200 * time.Millisecond, ChangeInterval: 2 * time.Second, MaxProcs: 1, StartTimeout: 90 * time.Second,
+		SettleTime: 4 * time.Second}
 }
 
 // zones lists the zones of the simulated fleet: two regions of three zones each.
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -23,10 +23,10 @@
 	exited     chan struct{}
 	exitErr    error // set before exited is closed
 
-	mu     sync.Mutex
-	orders *json.Encoder
-	stdin  io.Closer
-	events chan Event
+	mu       sync.Mutex
+	commands *json.Encoder
+	stdin    io.Closer
+	events   chan Event
 }
 
 // launch starts a child process whose stderr goes to a log file. Simulated processes also get pipes for commands and events.
@@ -52,7 +52,7 @@
 		if stdout, err = c.cmd.StdoutPipe(); err != nil {
 			return nil, errors.Wrap(err, name)
 		}
-		c.orders, c.stdin, c.events = json.NewEncoder(stdin), stdin, make(chan Event, 64)
+		c.commands, c.stdin, c.events = json.NewEncoder(stdin), stdin, make(chan Event, 64)
 	}
 	if err := c.cmd.Start(); err != nil {
 		return nil, errors.Wrap(err, name)
@@ -85,11 +85,11 @@
 	}
 }
 
-func (c *child) send(order Order) error {
+func (c *child) send(command Command) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.orders.Encode(order); err != nil {
-		return errors.Wrapf(err, "send command %s to process %s", order.Do, c.name)
+	if err := c.commands.Encode(command); err != nil {
+		return errors.Wrapf(err, "send command %s to process %s", command.Action, c.name)
 	}
 	return nil
 }
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -41,8 +41,8 @@
 		return nil, err
 	}
 	r := &run{Options: options, report: &Report{Options: options, Date: time.Now().UTC().Format(time.RFC3339), Go: runtime.Version(),
-		Cores: runtime.NumCPU(), LoadFrom: loadAverage()}}
-	ctx, cancel := context.WithTimeoutCause(ctx, options.Warm+options.Settle+options.For+3*stepTimeout,
+		Cores: runtime.NumCPU(), LoadBefore: loadAverage()}}
+	ctx, cancel := context.WithTimeoutCause(ctx, options.StartTimeout+options.SettleTime+options.Duration+3*stepTimeout,
 		errors.New("the run exceeded its time limit"))
 	defer cancel()
 	if r.dir, err = os.MkdirTemp("", "peathollow-scale-"); err != nil {
@@ -53,7 +53,7 @@
 			r.client.Close()
 		}
 		stopErr := stopAll(r.children, 10*time.Second)
-		r.report.LoadTo = loadAverage()
+		r.report.LoadAfter = loadAverage()
 		err = errors.Join(err, stopErr, os.RemoveAll(r.dir))
 	}()
 	ctx, abort := context.WithCancelCause(ctx)
@@ -63,12 +63,12 @@
 	if err := r.start(ctx); err != nil {
 		return r.report, err
 	}
-	r.report.StartS = time.Since(start).Seconds()
-	r.progress("all mixers know all searchers after %.1f s", r.report.StartS)
-	if !sleep(ctx, options.Settle) {
+	r.report.StartSeconds = time.Since(start).Seconds()
+	r.progress("all mixers know all searchers after %.1f s", r.report.StartSeconds)
+	if !sleep(ctx, options.SettleTime) {
 		return r.report, context.Cause(ctx)
 	}
-	if err := r.measureWindow(ctx, "quiet", func(ctx context.Context) error { sleep(ctx, options.For/2); return nil }); err != nil {
+	if err := r.measureWindow(ctx, "quiet", func(ctx context.Context) error { sleep(ctx, options.Duration/2); return nil }); err != nil {
 		return r.report, err
 	}
 	if err := r.measureWindow(ctx, "busy", r.applyChanges); err != nil {
@@ -78,8 +78,8 @@
 }
 
 func (r *run) progress(format string, args ...any) {
-	if r.Out != nil {
-		r.Out(fmt.Sprintf(format, args...))
+	if r.Progress != nil {
+		r.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
@@ -124,20 +124,20 @@
 
 // start launches all processes and waits until all mixers know all searchers.
 func (r *run) start(ctx context.Context) (err error) {
-	if r.net, err = findFreeNet(r.Core + 1); err != nil {
+	if r.net, err = findFreeNet(r.Controllers + 1); err != nil {
 		return err
 	}
-	procs := []string{fmt.Sprint("GOMAXPROCS=", r.Procs)}
-	for i := range r.Core {
+	procs := []string{fmt.Sprint("GOMAXPROCS=", r.MaxProcs)}
+	for i := range r.Controllers {
 		r.controlAddrs = append(r.controlAddrs, r.net.addr(i, portControl))
 	}
-	for i := range r.Core {
+	for i := range r.Controllers {
 		name := fmt.Sprint("controller-", i)
 		dataDir := filepath.Join(r.dir, name)
 		if err := os.Mkdir(dataDir, 0o700); err != nil {
 			return errors.Wrap(err, name)
 		}
-		settingsFile, err := r.writeSettings(name, "core", i, zoneOf(i, r.Core), "bind-addrs.control="+r.controlAddrs[i],
+		settingsFile, err := r.writeSettings(name, "core", i, zoneOf(i, r.Controllers), "bind-addrs.control="+r.controlAddrs[i],
 			"data-dir="+dataDir, "serves=supervisor", "counts-loss=true")
 		if err != nil {
 			return err
@@ -151,21 +151,21 @@
 	r.client = client.New(r.controlAddrs...)
 	if err := r.waitUntil(ctx, "all controllers are members", func(ctx context.Context) (bool, error) {
 		status, err := r.client.Status(ctx)
-		return err == nil && len(status.Members) == r.Core && status.Primary != "", err
+		return err == nil && len(status.Members) == r.Controllers && status.Primary != "", err
 	}); err != nil {
 		return err
 	}
-	r.progress("%d controllers are members", r.Core)
+	r.progress("%d controllers are members", r.Controllers)
 	if _, _, err := r.putNextVersion(ctx); err != nil {
 		return err
 	}
-	if r.searcherProcess, err = r.startSimulated("searchers", procs, r.Search); err != nil {
+	if r.searcherProcess, err = r.startSimulated("searchers", procs, r.Searchers); err != nil {
 		return err
 	}
-	if _, err := r.searcherProcess.await("ready", r.Warm, nil); err != nil {
+	if _, err := r.searcherProcess.await("ready", r.StartTimeout, nil); err != nil {
 		return err
 	}
-	r.progress("%d searchers report", r.Search)
+	r.progress("%d searchers report", r.Searchers)
 	if err := r.startFront(procs); err != nil {
 		return err
 	}
@@ -185,9 +185,10 @@
 		if err != nil || r.agentProcess == nil {
 			return err == nil, err
 		}
-		totals, err := r.totals(r.agentProcess)
-		if err == nil && totals.Listed < r.Search {
-			err = errors.Errorf("an agent lists only %d searchers; %d connections failed, first: %s", totals.Listed, totals.Faults, totals.First)
+		totals, err := r.queryTotals(r.agentProcess)
+		if err == nil && totals.MinListed < r.Searchers {
+			err = errors.Errorf("an agent lists only %d searchers; %d connections failed, first: %s",
+				totals.MinListed, totals.PullErrors, totals.FirstError)
 		}
 		return err == nil, err
 	})
@@ -195,8 +196,8 @@
 
 // startFront starts a real agent and proxy, in a zone chosen by the seed. They show the cost of what a simulated agent leaves out.
 func (r *run) startFront(procs []string) error {
-	settingsFile, err := r.writeSettings("front", "front", r.Core, zones[r.Seed%uint64(len(zones))], "serves=front",
-		"bind-addrs.front="+r.net.addr(r.Core, portFront), "bind-addrs.readiness="+r.net.addr(r.Core, portReady))
+	settingsFile, err := r.writeSettings("front", "front", r.Controllers, zones[r.Seed%uint64(len(zones))], "serves=front",
+		"bind-addrs.front="+r.net.addr(r.Controllers, portFront), "bind-addrs.readiness="+r.net.addr(r.Controllers, portReady))
 	if err != nil {
 		return err
 	}
@@ -214,27 +215,28 @@
 	if err != nil {
 		return nil, err
 	}
-	task := Task{Seed: r.Seed, Count: count, Control: r.controlAddrs, Period: r.Period, Drain: min(maxDrainTime, r.For/4),
-		Services: max(r.Shards, 12), Restart: r.Restart, Crash: r.Crash, Fresh: r.Fresh}
+	task := Task{Seed: r.Seed, Count: count, ControlAddrs: r.controlAddrs, HeartbeatPeriod: r.HeartbeatPeriod,
+		DrainTime: min(maxDrainTime, r.Duration/4), Services: max(r.Shards, 12), Restart: r.RestartsPerMinute,
+		Crash: r.CrashesPerMinute, FreshConnections: r.FreshConnections}
 	if r.Mixers > 100 { // agents on separate machines would load the list in parallel; here they share one process
-		task.Apart = 5*time.Millisecond + 10*time.Microsecond*time.Duration(r.Search)
+		task.StartInterval = 5*time.Millisecond + 10*time.Microsecond*time.Duration(r.Searchers)
 	}
-	for i := range min(3, r.Core) {
-		task.News = append(task.News, r.net.addr(i, portDistribution))
+	for i := range min(3, r.Controllers) {
+		task.DistributionAddrs = append(task.DistributionAddrs, r.net.addr(i, portDistribution))
 	}
-	if err := c.orders.Encode(task); err != nil {
+	if err := c.commands.Encode(task); err != nil {
 		return nil, errors.Wrapf(err, "task of %s", c.name)
 	}
 	return c, nil
 }
 
-// totals requests the running totals of a simulated process.
-func (r *run) totals(c *child) (*Tally, error) {
-	if err := c.send(Order{Do: "tally"}); err != nil {
+// queryTotals requests the running totals of a simulated process.
+func (r *run) queryTotals(c *child) (*Totals, error) {
+	if err := c.send(Command{Action: "tally"}); err != nil {
 		return nil, err
 	}
 	event, err := c.await("tally", stepTimeout, r.lateEvent)
-	return event.Tally, err
+	return event.Totals, err
 }
 
 // usageSummary lists what each process has used so far, for progress messages during a slow start.
@@ -250,7 +252,7 @@
 
 // waitUntil polls check until it returns true, a child process exits, or the start's time limit passes.
 func (r *run) waitUntil(ctx context.Context, condition string, check func(context.Context) (bool, error)) error {
-	ctx, cancel := context.WithTimeout(ctx, r.Warm)
+	ctx, cancel := context.WithTimeout(ctx, r.StartTimeout)
 	defer cancel()
 	var lastErr error
 	lastProgress := time.Now()
@@ -270,7 +272,8 @@
 		}
 		for _, c := range r.children {
 			if c.hasExited() {
-				return errors.Errorf("wait until %s: process %s exited: %v; its log ends with:\n%s", condition, c.name, c.exitErr, c.logTail(5))
+				return errors.Errorf("wait until %s: process %s exited: %v; its log ends with:\n%s",
+					condition, c.name, c.exitErr, c.logTail(5))
 			}
 		}
 		if !sleep(ctx, 200*time.Millisecond) {
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -43,7 +43,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	if args[0] == "lab" {
-		return Hollow(ctx, args[2], os.Stdin, os.Stdout)
+		return RunSimulated(ctx, args[2], os.Stdin, os.Stdout)
 	}
 	s, err := settings.Read(settings.FromEnvironment(os.Getenv))
 	if err != nil {
@@ -70,39 +70,40 @@
 func TestSmoke(t *testing.T) {
 	tempDir := t.TempDir()
 	t.Setenv("TMPDIR", tempDir)
-	options := Default()
+	options := DefaultOptions()
 	options.Program, options.Env = []string{os.Args[0]}, []string{childProgramEnv + "=1"}
-	options.Mixers, options.Search, options.Core, options.For = 4, 4, 2, 2*time.Second
-	options.Period, options.Every, options.Restart, options.Crash, options.Warm = 200*time.Millisecond, 500*time.Millisecond, 120, 60, 40*time.Second
-	options.Settle = 0
+	options.Mixers, options.Searchers, options.Controllers, options.Duration = 4, 4, 2, 2*time.Second
+	options.HeartbeatPeriod, options.ChangeInterval, options.RestartsPerMinute, options.CrashesPerMinute,
+		options.StartTimeout = 200*time.Millisecond, 500*time.Millisecond, 120, 60, 40*time.Second
+	options.SettleTime = 0
 	start := time.Now()
-	options.Out = func(s string) { t.Log(time.Since(start).Round(time.Millisecond), s) }
+	options.Progress = func(s string) { t.Log(time.Since(start).Round(time.Millisecond), s) }
 	r, err := Run(t.Context(), options)
 	must.NoError(t, err)
 	must.SliceEmpty(t, r.Faults)
 	must.Len(t, 2, r.Windows)
 	for _, w := range r.Windows {
 		must.Len(t, 2+1+2+1, w.Processes) // controllers, searchers, agent and proxy, agents
-		must.Greater(t, 5, w.Beats)
-		links := map[string]Link{}
-		for _, l := range w.Links {
-			links[l.From+" "+l.To] = l
+		must.Greater(t, 5, w.HeartbeatRate)
+		traffic := map[string]Traffic{}
+		for _, l := range w.Traffic {
+			traffic[l.From+" "+l.To] = l
 		}
 		for _, name := range []string{"searchers control", "agent news", "agents news", "controller mail", "controller news"} {
-			must.Greater(t, 0, links[name].Up, must.Sprint(w.Name, name))
+			must.Greater(t, 0, traffic[name].BytesUp, must.Sprint(w.Name, name))
 		}
 		for _, p := range w.Processes {
-			must.Greater(t, 0, p.CPU, must.Sprint(p.Name))
-			must.Greater(t, 1, p.PeakMB, must.Sprint(p.Name))
+			must.Greater(t, 0, p.CPUSeconds, must.Sprint(p.Name))
+			must.Greater(t, 1, p.PeakMemoryMB, must.Sprint(p.Name))
 		}
 	}
 	must.SliceNotEmpty(t, r.Changes)
 	must.SliceNotEmpty(t, r.Drains)
 	for _, propagation := range append(r.Changes, r.Drains...) {
 		must.Eq(t, "", propagation.Fault)
-		must.Eq(t, 3, propagation.Known.Count)
-		must.Greater(t, 0, propagation.Known.P50)
-		must.GreaterEq(t, propagation.Known.P99, propagation.Known.Worst)
+		must.Eq(t, 3, propagation.Latency.Count)
+		must.Greater(t, 0, propagation.Latency.P50)
+		must.GreaterEq(t, propagation.Latency.P99, propagation.Latency.Max)
 	}
 	var table bytes.Buffer
 	must.NoError(t, r.Print(&table))
@@ -121,9 +122,9 @@
 func TestCancelledRunLeavesNothing(t *testing.T) {
 	tempDir := t.TempDir()
 	t.Setenv("TMPDIR", tempDir)
-	options := Default()
+	options := DefaultOptions()
 	options.Program, options.Env = []string{os.Args[0]}, []string{childProgramEnv + "=1"}
-	options.Mixers, options.Search, options.Core = 2, 2, 1
+	options.Mixers, options.Searchers, options.Controllers = 2, 2, 1
 	ctx, cancel := context.WithTimeout(t.Context(), 700*time.Millisecond)
 	defer cancel()
 	_, err := Run(ctx, options)
@@ -147,13 +148,13 @@
 }
 
 func TestSummarize(t *testing.T) {
-	must.Eq(t, Spread{}, summarize(nil))
-	must.Eq(t, Spread{1, 7, 7, 7}, summarize([]float64{7}))
+	must.Eq(t, LatencySummary{}, summarize(nil))
+	must.Eq(t, LatencySummary{1, 7, 7, 7}, summarize([]float64{7}))
 	var ms []float64
 	for i := range 200 {
 		ms = append(ms, float64(200-i))
 	}
-	must.Eq(t, Spread{200, 100, 198, 200}, summarize(ms))
+	must.Eq(t, LatencySummary{200, 100, 198, 200}, summarize(ms))
 	must.Eq(t, []float64{0.5, -1}, elapsedMS(2_000_000, []int64{2_500_000, 1_000_000}))
 }
 
@@ -249,7 +250,7 @@
 }
 
 func TestDocument(t *testing.T) {
-	o := Default()
+	o := DefaultOptions()
 	var last []byte
 	for version := 1; version < 4; version++ {
 		raw, err := document(&o, version)
@@ -263,19 +264,19 @@
 }
 
 func TestOptionsAreBounded(t *testing.T) {
-	o := Default()
+	o := DefaultOptions()
 	must.NoError(t, o.Check())
 	for name, change := range map[string]func(*Options){
 		"mixers":       func(o *Options) { o.Mixers = 0 },
-		"searchers":    func(o *Options) { o.Search = maxSearchers + 1 },
-		"core":         func(o *Options) { o.Core = 0 },
+		"searchers":    func(o *Options) { o.Searchers = maxSearchers + 1 },
+		"core":         func(o *Options) { o.Controllers = 0 },
 		"shards":       func(o *Options) { o.Shards = 0 },
-		"for":          func(o *Options) { o.For = time.Hour },
-		"change-every": func(o *Options) { o.Every = 0 },
-		"beat-period":  func(o *Options) { o.Period = 0 },
-		"restarts":     func(o *Options) { o.Restart = -1 },
+		"for":          func(o *Options) { o.Duration = time.Hour },
+		"change-every": func(o *Options) { o.ChangeInterval = 0 },
+		"beat-period":  func(o *Options) { o.HeartbeatPeriod = 0 },
+		"restarts":     func(o *Options) { o.RestartsPerMinute = -1 },
 	} {
-		o := Default()
+		o := DefaultOptions()
 		change(&o)
 		err := o.Check()
 		must.Error(t, err)
--- a/lab/scale/searchers.go
+++ b/lab/scale/searchers.go
@@ -23,7 +23,7 @@
 	all  []*simulatedSearcher
 
 	mu        sync.Mutex
-	totals    Tally
+	totals    Totals
 	latencies []float64 // of the heartbeats since the last tally, in milliseconds
 	reported  int       // searchers whose first heartbeat call has ended
 }
@@ -49,7 +49,7 @@
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.set.mu.Lock()
-	c.set.totals.Received += int64(n)
+	c.set.totals.BytesReceived += int64(n)
 	c.set.mu.Unlock()
 	return n, err
 }
@@ -57,19 +57,19 @@
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.set.mu.Lock()
-	c.set.totals.Sent += int64(n)
+	c.set.totals.BytesSent += int64(n)
 	c.set.mu.Unlock()
 	return n, err
 }
 
 // startSearchers starts the task's searchers and returns the handler of the parent's commands.
-func startSearchers(ctx context.Context, task Task, emit func(Event)) func(Order) {
+func startSearchers(ctx context.Context, task Task, emit func(Event)) func(Command) {
 	set := &searcherSet{task: task, emit: emit}
 	rng := rand.New(rand.NewPCG(task.Seed, 2))
 	for i := range task.Count {
 		x := &simulatedSearcher{index: i, service: fmt.Sprintf("huvo%04da", i%task.Services), zone: zones[rng.IntN(len(zones))],
 			rng: rand.New(rand.NewPCG(task.Seed, uint64(i)+16)), actions: make(chan string, 1)}
-		x.controlIndex = x.rng.IntN(len(task.Control))
+		x.controlIndex = x.rng.IntN(len(task.ControlAddrs))
 		set.all = append(set.all, x)
 		go set.runSearcher(ctx, x)
 	}
@@ -79,17 +79,17 @@
 
 func searcherID(index, incarnation int) string { return fmt.Sprintf("i-%05d-%d", index, incarnation) }
 
-func (s *searcherSet) handle(order Order) {
-	switch order.Do {
+func (s *searcherSet) handle(command Command) {
+	switch command.Action {
 	case "drain":
-		s.all[order.Index].actions <- "drain"
+		s.all[command.Index].actions <- "drain"
 	case "tally":
 		s.mu.Lock()
 		totals := s.totals
 		latency := summarize(s.latencies)
-		totals.Took, s.latencies = &latency, nil
+		totals.HeartbeatLatency, s.latencies = &latency, nil
 		s.mu.Unlock()
-		s.emit(Event{Kind: "tally", Tally: &totals})
+		s.emit(Event{Kind: "tally", Totals: &totals})
 	}
 }
 
@@ -118,7 +118,7 @@
 // runSearcher sends a searcher's heartbeats and performs its drains, restarts and crashes until the context ends.
 func (s *searcherSet) runSearcher(ctx context.Context, x *simulatedSearcher) {
 	defer x.disconnect()
-	period := s.task.Period
+	period := s.task.HeartbeatPeriod
 	if !sleep(ctx, time.Duration(x.rng.Int64N(int64(period)))) {
 		return
 	}
@@ -145,15 +145,15 @@
 // replace ends the slot's incarnation and starts the next one. A crash skips the drain and the deregistration.
 func (s *searcherSet) replace(ctx context.Context, x *simulatedSearcher, action string) {
 	if action != "crash" {
-		event := Event{Kind: "drained", ID: searcherID(x.index, x.incarnation), Sent: time.Now().UnixNano()}
+		event := Event{Kind: "drained", ID: searcherID(x.index, x.incarnation), SentAt: time.Now().UnixNano()}
 		if err := s.heartbeat(ctx, x, "draining"); err != nil {
 			event.Fault = err.Error()
 		}
-		if event.Acked = time.Now().UnixNano(); action == "drain" {
+		if event.AckedAt = time.Now().UnixNano(); action == "drain" {
 			s.emit(event)
 		}
-		for remaining := s.task.Drain; remaining > 0; remaining -= s.task.Period {
-			if !sleep(ctx, min(remaining, s.task.Period)) {
+		for remaining := s.task.DrainTime; remaining > 0; remaining -= s.task.HeartbeatPeriod {
+			if !sleep(ctx, min(remaining, s.task.HeartbeatPeriod)) {
 				return
 			}
 			s.heartbeat(ctx, x, "draining")
@@ -197,7 +197,7 @@
 		return err
 	}
 	s.mu.Lock()
-	s.totals.Beats++
+	s.totals.Heartbeats++
 	s.latencies = append(s.latencies, float64(time.Since(start))/1e6)
 	s.mu.Unlock()
 	var reply struct {
@@ -207,7 +207,7 @@
 		x.target = reply.Target
 		x.disconnect()
 	}
-	if s.task.Fresh {
+	if s.task.FreshConnections {
 		x.disconnect()
 	}
 	return nil
@@ -216,7 +216,7 @@
 // call performs a control request and tries each control address at most twice.
 func (s *searcherSet) call(ctx context.Context, x *simulatedSearcher, method string, body []byte) ([]byte, error) {
 	var lastErr error
-	for range 2 * len(s.task.Control) {
+	for range 2 * len(s.task.ControlAddrs) {
 		response, err := s.callOnce(ctx, x, method, body)
 		if err == nil || ctx.Err() != nil {
 			return response, err
@@ -224,10 +224,10 @@
 		lastErr = err
 		x.disconnect()
 		x.target = ""
-		x.controlIndex = (x.controlIndex + 1) % len(s.task.Control)
+		x.controlIndex = (x.controlIndex + 1) % len(s.task.ControlAddrs)
 		s.mu.Lock()
-		if s.totals.Failed++; s.totals.First == "" {
-			s.totals.First = err.Error()
+		if s.totals.FailedCalls++; s.totals.FirstError == "" {
+			s.totals.FirstError = err.Error()
 		}
 		s.mu.Unlock()
 	}
@@ -238,7 +238,7 @@
 func (s *searcherSet) callOnce(ctx context.Context, x *simulatedSearcher, method string, body []byte) ([]byte, error) {
 	peer := x.target
 	if peer == "" {
-		peer = s.task.Control[x.controlIndex]
+		peer = s.task.ControlAddrs[x.controlIndex]
 	}
 	if x.conn == nil {
 		dialer := net.Dialer{Timeout: time.Second}
--- a/lab/scale/window.go
+++ b/lab/scale/window.go
@@ -16,14 +16,14 @@
 // measureWindow reads all counters before and after it calls during, and adds the differences to the report as a window.
 func (r *run) measureWindow(ctx context.Context, name string, during func(context.Context) error) error {
 	window := Window{Name: name}
-	totals := func(c *child) Tally {
+	totals := func(c *child) Totals {
 		if c == nil {
-			return Tally{}
+			return Totals{}
 		}
-		t, err := r.totals(c)
+		t, err := r.queryTotals(c)
 		if err != nil {
 			r.recordFault("%v", err)
-			return Tally{}
+			return Totals{}
 		}
 		return *t
 	}
@@ -49,20 +49,20 @@
 	}
 	for i, c := range r.children {
 		cpu := (after[i].cpu - before[i].cpu).Seconds()
-		window.Processes = append(window.Processes, Took{c.name, c.role, cpu, cpu / window.Seconds,
+		window.Processes = append(window.Processes, ProcessUsage{c.name, c.role, cpu, cpu / window.Seconds,
 			float64(after[i].peakMemory) / (1 << 20), float64(after[i].memory) / (1 << 20)})
 	}
-	window.Links, window.Load = meter.links(window.Seconds), loadAverage()
+	window.Traffic, window.LoadAverage = meter.traffic(window.Seconds), loadAverage()
 	agentsAfter, searchersAfter := totals(r.agentProcess), totals(r.searcherProcess)
-	window.Beats, window.Dials = float64(searchersAfter.Beats-searchersBefore.Beats)/window.Seconds,
+	window.HeartbeatRate, window.ConnectionRate = float64(searchersAfter.Heartbeats-searchersBefore.Heartbeats)/window.Seconds,
 		float64(searchersAfter.Dials-searchersBefore.Dials)/window.Seconds
-	window.BeatBytes = float64(searchersAfter.Sent+searchersAfter.Received-searchersBefore.Sent-searchersBefore.Received) /
-		float64(max(1, searchersAfter.Beats-searchersBefore.Beats))
-	if searchersAfter.Took != nil {
-		window.Beat = *searchersAfter.Took
+	window.BytesPerHeartbeat = float64(searchersAfter.BytesSent+searchersAfter.BytesReceived-
+		searchersBefore.BytesSent-searchersBefore.BytesReceived) / float64(max(1, searchersAfter.Heartbeats-searchersBefore.Heartbeats))
+	if searchersAfter.HeartbeatLatency != nil {
+		window.HeartbeatLatency = *searchersAfter.HeartbeatLatency
 	}
-	window.Merges = float64(agentsAfter.Merges-agentsBefore.Merges) / window.Seconds / float64(max(1, r.Mixers-1))
-	r.report.Windows, r.report.Hollow = append(r.report.Windows, window), []Tally{agentsAfter, searchersAfter}
+	window.MergeRate = float64(agentsAfter.Merges-agentsBefore.Merges) / window.Seconds / float64(max(1, r.Mixers-1))
+	r.report.Windows, r.report.Simulated = append(r.report.Windows, window), []Totals{agentsAfter, searchersAfter}
 	r.progress("%s: measured", name)
 	return nil
 }
@@ -97,7 +97,7 @@
 	for port, name := range map[int]string{portConsensus: "mail", portDistribution: "news", portCalls: "calls", portControl: "control"} {
 		m.portNames[uint16(r.net.basePort+port)] = name
 	}
-	for i := range r.Core {
+	for i := range r.Controllers {
 		m.controllerAddrs[netip.MustParseAddr(r.net.ip(i))] = true
 	}
 	return m
@@ -145,23 +145,23 @@
 	return nil
 }
 
-func (m *trafficMeter) links(seconds float64) []Link {
-	sums := map[[2]string]*Link{}
+func (m *trafficMeter) traffic(seconds float64) []Traffic {
+	sums := map[[2]string]*Traffic{}
 	for cookie, s := range m.latest {
 		key := [2]string{m.callers[cookie], m.portNames[s.remote.Port()]}
-		link := sums[key]
-		if link == nil {
-			link = &Link{From: key[0], To: key[1]}
-			sums[key] = link
+		traffic := sums[key]
+		if traffic == nil {
+			traffic = &Traffic{From: key[0], To: key[1]}
+			sums[key] = traffic
 		}
 		base := m.baseline[cookie]
-		link.Conns++
-		link.Up += float64(s.bytesSent-base.bytesSent) / seconds
-		link.Down += float64(s.bytesReceived-base.bytesReceived) / seconds
-		link.UpMsgs += float64(s.segmentsOut-base.segmentsOut) / seconds
-		link.DownMsgs += float64(s.segmentsIn-base.segmentsIn) / seconds
+		traffic.Connections++
+		traffic.BytesUp += float64(s.bytesSent-base.bytesSent) / seconds
+		traffic.BytesDown += float64(s.bytesReceived-base.bytesReceived) / seconds
+		traffic.SegmentsUp += float64(s.segmentsOut-base.segmentsOut) / seconds
+		traffic.SegmentsDown += float64(s.segmentsIn-base.segmentsIn) / seconds
 	}
-	var list []Link
+	var list []Traffic
 	for _, key := range slices.SortedFunc(maps.Keys(sums), func(a, b [2]string) int {
 		return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1]))
 	}) {
