--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is where configuration is read, checked and given defaults, for the mixer on sockets and for
-// the bench's wire alike.
+// Package config reads and validates configuration and applies its defaults, both for the mixer that serves on sockets
+// and for the wire protocol of the bench.
 package config
 
 import (
@@ -15,7 +15,7 @@
 	"peathollow/internal/proto"
 )
 
-// Config is all that a mixer on sockets is told at its start.
+// Config holds everything that a mixer on sockets receives at its start.
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
@@ -24,19 +24,19 @@
 	Known                   proto.List
 	Settings                Settings
 	Ours                    Ours
-	told                    map[string]string // what can't change without a start, by key as it is written
+	fixed                   map[string]string // values that only a restart can change, by key as written in the file
 }
 
-// Differs names the keys, told or left out, in which another configuration asks for what only a start can give.
+// Differs returns the sorted keys, present or missing, whose change to the values of another configuration needs a restart.
 func (c Config) Differs(d Config) []string {
 	var keys []string
-	for k, v := range c.told {
-		if w, ok := d.told[k]; !ok || v != w {
+	for k, v := range c.fixed {
+		if w, ok := d.fixed[k]; !ok || v != w {
 			keys = append(keys, k)
 		}
 	}
-	for k := range d.told {
-		if _, ok := c.told[k]; !ok {
+	for k := range d.fixed {
+		if _, ok := c.fixed[k]; !ok {
 			keys = append(keys, k)
 		}
 	}
@@ -49,10 +49,11 @@
 	defaultCores   = 1
 	defaultMemory  = 192
 	defaultSockets = 1024
-	leastMemory    = 32
-	leastSockets   = 64
+	minMemory      = 32
+	minSockets     = 64
 )
 
+// file is the JSON form of the platform's configuration.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -67,27 +68,28 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the file named by ROUTER_CONFIG. The other ROUTER_ variables stand in for what it leaves out. A settings
-// file of ours comes with PEATHOLLOW_SETTINGS.
+// Load reads the file named by ROUTER_CONFIG. The other ROUTER_ variables supply values that the file leaves out. The
+// program's own settings file is named by PEATHOLLOW_SETTINGS; without it their defaults apply.
 func Load(env func(string) string, read func(string) ([]byte, error)) (Config, error) {
-	c, err := platform(env, read)
+	c, err := loadPlatform(env, read)
 	if err != nil {
 		return c, err
 	}
-	ours := env("PEATHOLLOW_SETTINGS")
-	if ours == "" {
+	path := env("PEATHOLLOW_SETTINGS")
+	if path == "" {
 		c.Ours = Defaults()
 		return c, nil
 	}
-	text, err := read(ours)
+	text, err := read(path)
 	if err != nil {
 		return c, fmt.Errorf("PEATHOLLOW_SETTINGS: %w", err)
 	}
-	c.Ours, err = ReadOurs(ours, text)
+	c.Ours, err = ReadOurs(path, text)
 	return c, err
 }
 
-func platform(env func(string) string, read func(string) ([]byte, error)) (Config, error) {
+// loadPlatform reads the platform's configuration file.
+func loadPlatform(env func(string) string, read func(string) ([]byte, error)) (Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
 		return Config{}, fmt.Errorf("ROUTER_CONFIG: not set")
@@ -99,6 +101,7 @@
 	return parse(text, env)
 }
 
+// parse decodes and validates the platform's configuration.
 func parse(text []byte, env func(string) string) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -107,9 +110,9 @@
 	c := Config{Name: cmp.Or(f.Name, env("ROUTER_NAME")), Listen: cmp.Or(f.Listen, env("ROUTER_LISTEN")),
 		Discovery: cmp.Or(f.Discovery, env("ROUTER_DISCOVERY")), Cores: defaultCores, MemoryMB: defaultMemory,
 		Sockets: defaultSockets}
-	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return c, fmt.Errorf("%s: not an address with a port: %q", a.key, a.value)
+	for _, address := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
+		if _, _, err := net.SplitHostPort(address.value); err != nil {
+			return c, fmt.Errorf("%s: not an address with a port: %q", address.key, address.value)
 		}
 	}
 	var err error
@@ -128,10 +131,10 @@
 	switch {
 	case !(c.Cores > 0):
 		return c, fmt.Errorf("limits.cores: must be above 0")
-	case c.MemoryMB < leastMemory:
-		return c, fmt.Errorf("limits.memory_mb: must be %d or more", leastMemory)
-	case c.Sockets < leastSockets:
-		return c, fmt.Errorf("limits.sockets: must be %d or more", leastSockets)
+	case c.MemoryMB < minMemory:
+		return c, fmt.Errorf("limits.memory_mb: must be %d or more", minMemory)
+	case c.Sockets < minSockets:
+		return c, fmt.Errorf("limits.sockets: must be %d or more", minSockets)
 	}
 	if len(f.Known) > 0 {
 		if c.Known, err = proto.ReadList(f.Known); err != nil {
@@ -148,10 +151,10 @@
 	if c.Settings, err = Read(kv, c.Seed); err != nil {
 		return c, err
 	}
-	c.told = map[string]string{"name": c.Name, "listen": c.Listen, "seed": f.Seed, "limits.cores": fmt.Sprint(c.Cores),
+	c.fixed = map[string]string{"name": c.Name, "listen": c.Listen, "seed": f.Seed, "limits.cores": fmt.Sprint(c.Cores),
 		"limits.memory_mb": fmt.Sprint(c.MemoryMB), "limits.sockets": fmt.Sprint(c.Sockets)}
 	for k, v := range kv {
-		c.told["settings."+k] = v
+		c.fixed["settings."+k] = v
 	}
 	if len(c.Settings.Types) == 0 {
 		return c, fmt.Errorf("setting requestClasses: names no table type")
@@ -162,42 +165,44 @@
 	return c, nil
 }
 
-// flatten turns nested settings into the wire's paths and values.
+// flatten converts nested JSON settings into the path and value pairs of the wire protocol.
 func flatten(text []byte) (map[string]string, error) {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
 	var v any
-	if err := d.Decode(&v); err != nil {
+	if err := decoder.Decode(&v); err != nil {
 		return nil, err
 	}
 	if _, ok := v.(map[string]any); !ok {
 		return nil, fmt.Errorf("not an object")
 	}
 	kv := map[string]string{}
-	lay(kv, "", v)
+	flattenInto(kv, "", v)
 	return kv, nil
 }
 
-func lay(kv map[string]string, path string, v any) {
+// flattenInto adds the paths and values below one node. A list yields its length, its joined scalar values, and the
+// paths of the objects in it.
+func flattenInto(kv map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		if path != "" {
 			path += "."
 		}
 		for k, x := range v {
-			lay(kv, path+k, x)
+			flattenInto(kv, path+k, x)
 		}
 	case []any:
-		words := make([]string, 0, len(v))
+		values := make([]string, 0, len(v))
 		for i, x := range v {
 			if _, ok := x.(map[string]any); ok {
-				lay(kv, fmt.Sprintf("%s.%d", path, i), x)
+				flattenInto(kv, fmt.Sprintf("%s.%d", path, i), x)
 			} else {
-				words = append(words, fmt.Sprint(x))
+				values = append(values, fmt.Sprint(x))
 			}
 		}
 		kv[path+".count"] = strconv.Itoa(len(v))
-		kv[path] = strings.Join(words, ",")
+		kv[path] = strings.Join(values, ",")
 	case nil:
 	default:
 		kv[path] = fmt.Sprint(v)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,6 +11,7 @@
 	"peathollow/policy"
 )
 
+// text returns a valid platform configuration.
 func text(t *testing.T) string {
 	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{} }, nil)
 	if err != nil {
@@ -24,7 +25,7 @@
 	return Load(func(string) string { return "" }, func(string) ([]byte, error) { return []byte(text), nil })
 }
 
-func TestWhatIsReadAndWhatIsLeftOut(t *testing.T) {
+func TestParseValuesAndDefaults(t *testing.T) {
 	c, err := parse([]byte(text(t)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +49,7 @@
 	}
 }
 
-// A faulty configuration ends the start with one message that names the key.
+// TestMessagesNameTheKey checks that each error of an invalid configuration names the key at fault.
 func TestMessagesNameTheKey(t *testing.T) {
 	good := text(t)
 	for _, c := range []struct{ old, new, want string }{
@@ -84,8 +85,8 @@
 	}
 }
 
-// A reload says which keys have to wait for a start; where discovery is need not.
-func TestWhatDiffersIsNamed(t *testing.T) {
+// TestDiffersNamesKeys checks that a reload names the keys that need a restart. The address of discovery is not one of them.
+func TestDiffersNamesKeys(t *testing.T) {
 	env := func(string) string { return "" }
 	good := text(t)
 	a, err := parse([]byte(good), env)
--- a/internal/config/ours_test.go
+++ b/internal/config/ours_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestOursDefaultsAndWhatIsRead(t *testing.T) {
+func TestOursDefaultsAndValues(t *testing.T) {
 	o, err := ReadOurs("x", nil)
 	if err != nil || o.Duties.On || o.Log.Level != "info" || o.Duties.Lease != 2500*time.Millisecond {
 		t.Errorf("%+v %v", o, err)
@@ -19,8 +19,8 @@
 	}
 }
 
-// The help is itself a settings file, and says what holds without one.
-func TestHelpIsAFile(t *testing.T) {
+// TestHelpIsValidSettingsFile checks that the help text is itself a valid settings file with the default values.
+func TestHelpIsValidSettingsFile(t *testing.T) {
 	o, err := ReadOurs("help", []byte(Help()))
 	if d, _ := ReadOurs("x", nil); err != nil || o.Duties != d.Duties || o.Log != d.Log {
 		t.Errorf("%v %+v", err, o)
@@ -32,7 +32,7 @@
 	}
 }
 
-// Messages name file, section, key and what is allowed.
+// TestOursMessages checks that error messages name the file, the section, the key and the allowed values.
 func TestOursMessages(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[duties]\ninterval = fast", `f.ini: [duties] interval: "fast" is not allowed; allowed is a time from 100ms to 1h0m0s`},
--- a/internal/settings/descriptors.go
+++ b/internal/settings/descriptors.go
@@ -3,14 +3,14 @@
 import "cmp"
 
 const (
-	// descriptorsKept are those that the platform keeps for files; the rest is for sockets.
-	descriptorsKept = 200
-	// descriptorsUsual are there where nothing is told.
-	descriptorsUsual = 4096
+	// descriptorsKept is the number of descriptors that the platform reserves for files; the others are for sockets.
+	reservedDescriptors = 200
+	// descriptorsUsual is the descriptor limit assumed where the settings state none.
+	defaultDescriptors = 4096
 )
 
-// CallersMost is how many connections callers from outside may have open: half of what there is for sockets, the other half being
-// for what this process dials and for its peers.
+// CallersMost returns the maximum number of open connections from external clients: half of the descriptors for sockets. The
+// other half is for the connections that this process dials and for its peers.
 func (s *Settings) CallersMost() int {
-	return max(1, (cmp.Or(s.FileLimit, descriptorsUsual)-descriptorsKept)/2)
+	return max(1, (cmp.Or(s.FileLimit, defaultDescriptors)-reservedDescriptors)/2)
 }
--- a/internal/settings/descriptors_test.go
+++ b/internal/settings/descriptors_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestCallersMost: callers never get more than half of what is left for sockets, and at least one connection.
+// TestCallersMost checks that clients get at most half of the descriptors for sockets, and at least one connection.
 func TestCallersMost(t *testing.T) {
 	for limit, most := range map[int]int{0: 1948, 1: 1, 200: 1, 232: 16, 4100: 1950} {
 		s := Settings{FileLimit: limit}
--- a/internal/settings/far.go
+++ b/internal/settings/far.go
@@ -1,6 +1,6 @@
 package settings
 
-// Between says how far two zones are from each other: 0 the same, 1 in one region, 2 else or unknown.
+// Between returns the distance of two zones: 0 for the same zone, 1 for zones of one region, 2 otherwise or if unknown.
 func (s *Settings) Between(a, b string) int {
 	switch {
 	case a == b:
@@ -11,5 +11,5 @@
 	return 2
 }
 
-// Far says how far a zone is from this machine's.
+// Far returns the distance of a zone from this machine's zone.
 func (s *Settings) Far(zone string) int { return s.Between(s.Zone, zone) }
--- a/internal/settings/kinds.go
+++ b/internal/settings/kinds.go
@@ -12,11 +12,11 @@
 	"github.com/go-faster/errors"
 )
 
-// errValue says that a value isn't of its kind or is out of bounds; the table
-// knows what was expected, so that the message needs no more.
+// errValue reports that a value isn't of its kind or is out of bounds. The
+// message is completed from the table, which states what was expected.
 var errValue = errors.New("not as expected")
 
-// expected is the part of a message that says what a value should have been.
+// expected describes the valid values, for error messages.
 func (t *Setting) expected() string {
 	if t.Bounds == "" {
 		return t.Kind
@@ -93,16 +93,16 @@
 }
 
 func number(key, def string, low, high float64, help string, field func(*Settings) *float64) Setting {
-	return Setting{key, "number", def, between(low, high), help, func(s *Settings, v string) (err error) {
-		*field(s), err = within(v, low, high)
+	return Setting{key, "number", def, bounds(low, high), help, func(s *Settings, v string) (err error) {
+		*field(s), err = parseNumber(v, low, high)
 		return err
 	}}
 }
 
-// count takes 284.0 for 284, since figures may be written as fractions.
+// count accepts 284.0 for 284, since whole numbers may be written with a fraction.
 func count(key, def string, low, high float64, help string, field func(*Settings) *int) Setting {
-	return Setting{key, "whole number", def, between(low, high), help, func(s *Settings, v string) error {
-		f, err := within(v, low, high)
+	return Setting{key, "whole number", def, bounds(low, high), help, func(s *Settings, v string) error {
+		f, err := parseNumber(v, low, high)
 		if err != nil || f != math.Trunc(f) {
 			return errValue
 		}
@@ -120,19 +120,19 @@
 }
 
 func duration(key, kind, def string, low float64, unit time.Duration, help string, field func(*Settings) *time.Duration) Setting {
-	high := float64(1000 * time.Hour / unit) // sums of such times don't overflow
-	return Setting{key, kind, def, between(low, high), help, func(s *Settings, v string) error {
-		f, err := within(v, low, high)
+	high := float64(1000 * time.Hour / unit) // low enough that sums of durations don't overflow
+	return Setting{key, kind, def, bounds(low, high), help, func(s *Settings, v string) error {
+		f, err := parseNumber(v, low, high)
 		*field(s) = time.Duration(math.Round(f * float64(unit)))
 		return err
 	}}
 }
 
-func between(low, high float64) string {
+func bounds(low, high float64) string {
 	return fmt.Sprintf("%s to %s", strconv.FormatFloat(low, 'f', -1, 64), strconv.FormatFloat(high, 'f', -1, 64))
 }
 
-func within(v string, low, high float64) (float64, error) {
+func parseNumber(v string, low, high float64) (float64, error) {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(f >= low && f <= high) {
 		return 0, errValue
@@ -140,7 +140,7 @@
 	return f, nil
 }
 
-// split cuts a list at its commas; empty places are left out.
+// split splits a list at its commas and drops empty elements.
 func split(v string) (list []string) {
 	for _, e := range strings.Split(v, ",") {
 		if e = strings.TrimSpace(e); e != "" {
--- a/internal/settings/leave_test.go
+++ b/internal/settings/leave_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestEndsWithinTheGrace: whatever the grace, the first five sixths of it are used, and the agent outlasts its proxy.
+// TestEndsWithinTheGrace checks for many grace periods that a proxy works for at least the first five sixths of it, that the
+// agent ends after its proxy, and that both end within the grace period.
 func TestEndsWithinTheGrace(t *testing.T) {
 	for grace := 100 * time.Millisecond; grace <= time.Minute; grace += 100 * time.Millisecond {
 		s := Settings{Grace: grace}
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -8,19 +8,19 @@
 	"github.com/go-faster/errors"
 )
 
-// need is a setting that a role can't do without.
-type need struct {
-	key   string
-	given func(*Settings) bool
+// requirement is a setting that a role can't run without.
+type requirement struct {
+	key     string
+	present func(*Settings) bool
 }
 
-var everyRole = []need{
+var commonRequirements = []requirement{
 	{"node-name", func(s *Settings) bool { return s.Node != "" }},
 	{"zone", func(s *Settings) bool { return s.Zone != "" }},
 	{"seeds", func(s *Settings) bool { return len(s.Seeds) > 0 }},
 }
 
-var needs = map[string][]need{
+var requirements = map[string][]requirement{
 	"proxy": {
 		{"bind-addrs.front", func(s *Settings) bool { return s.Front != "" }},
 		{"bind-addrs.readiness", func(s *Settings) bool { return s.Readiness != "" }},
@@ -31,11 +31,11 @@
 	},
 }
 
-// lacks names a setting that a role can't do without and that isn't there; "" if all are.
-func (s *Settings) lacks(role string) string {
-	for _, list := range [][]need{needs[role], everyRole} {
+// missing returns the key of a setting that a role requires and that is absent, or "" if none is.
+func (s *Settings) missing(role string) string {
+	for _, list := range [][]requirement{requirements[role], commonRequirements} {
 		for _, n := range list {
-			if !n.given(s) {
+			if !n.present(s) {
 				return n.key
 			}
 		}
@@ -43,45 +43,46 @@
 	return ""
 }
 
-// How long a settings file that can't be used is waited for, and how often it is read meanwhile: it may be half written. One
-// that lacks nothing but the end of its last line is taken once it has stayed as it is for a while.
+// A settings file that can't be used may be half written, so it is read again at this interval for a limited time. A file that
+// lacks only the newline at its end is accepted once it hasn't changed for a while.
 const (
-	tornMost   = 2 * time.Second
-	tornEvery  = 50 * time.Millisecond
-	openEnded  = 300 * time.Millisecond
-	endOfALine = '\n'
+	readTimeout    = 2 * time.Second
+	readInterval   = 50 * time.Millisecond
+	noNewlineDelay = 300 * time.Millisecond
+	newline        = '\n'
 )
 
-// ReadFor reads the settings of a process that is to run a role, which must all be there. A file that can't be used, or that
-// is cut off, is read again for a while: what it says of the bounds is mostly at its end, and has defaults.
+// ReadFor reads the settings of a process that runs a role and requires all settings that the role needs. A file that is
+// invalid or truncated is read again for a while: a truncated file may look valid, as the bounds are mostly at its end and
+// have defaults.
 func ReadFor(role, path string) (*Settings, error) {
 	var last []byte
-	began, same := time.Now(), time.Now()
-	for ; ; time.Sleep(tornEvery) {
+	start, unchangedSince := time.Now(), time.Now()
+	for ; ; time.Sleep(readInterval) {
 		raw, err := os.ReadFile(path)
 		if !bytes.Equal(raw, last) {
-			last, same = raw, time.Now()
+			last, unchangedSince = raw, time.Now()
 		}
 		var s *Settings
 		if err == nil {
 			s, err = parseFor(role, raw)
 		}
-		if err == nil && (raw[len(raw)-1] == endOfALine || time.Since(same) > openEnded) {
+		if err == nil && (raw[len(raw)-1] == newline || time.Since(unchangedSince) > noNewlineDelay) {
 			return s, nil
 		}
-		if err != nil && time.Since(began) > tornMost {
+		if err != nil && time.Since(start) > readTimeout {
 			return nil, errors.Wrapf(err, "settings %s", path)
 		}
 	}
 }
 
-// parseFor reads settings that hold all that a role needs.
+// parseFor parses settings and checks that all that a role requires are present.
 func parseFor(role string, raw []byte) (*Settings, error) {
 	s, err := parse(raw)
 	if err != nil {
 		return nil, err
 	}
-	if key := s.lacks(role); key != "" {
+	if key := s.missing(role); key != "" {
 		return nil, errors.Errorf("%s: missing, a %s needs it", key, role)
 	}
 	return s, nil
--- a/internal/settings/roles_test.go
+++ b/internal/settings/roles_test.go
@@ -11,12 +11,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestReadForWaitsForTheRest: a file that is cut off behind all that a role needs is read again: its bounds are to come. The code
-// before took the defaults (soak seed 618: an agent that served for the default grace after SIGTERM, and was killed).
+// TestReadForWaitsForTheRest checks that a file which is truncated after all settings that a role needs is read again, since its
+// bounds are still missing. An earlier version took the defaults (soak seed 618: an agent served for the default grace period
+// after SIGTERM, and was killed).
 func TestReadForWaitsForTheRest(t *testing.T) {
 	const whole = "node-name=front-0\nip=127.0.0.1\nzone=z\ninternal-ports=7080,7095\nseeds=127.0.0.2:1\nbounds.grace-s=2\n"
 	path := filepath.Join(t.TempDir(), "settings")
-	must.NoError(t, syscall.Mkfifo(path, 0o600)) // the first reading gets what is written here
+	must.NoError(t, syscall.Mkfifo(path, 0o600)) // the first read gets the truncated text
 	written := make(chan error, 1)
 	go func() {
 		f, err := os.OpenFile(path, os.O_WRONLY, 0)
@@ -32,8 +33,8 @@
 	must.Eq(t, 2*time.Second, s.Grace)
 }
 
-// TestReadForTakesAFileWithoutAnEnd: a file whose last line has no end, and that stays so, is one that somebody wrote so.
-func TestReadForTakesAFileWithoutAnEnd(t *testing.T) {
+// TestReadForAcceptsMissingNewline checks that a file whose last line stays without a newline is accepted.
+func TestReadForAcceptsMissingNewline(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	must.NoError(t, os.WriteFile(path, []byte("node-name=front-0\nip=127.0.0.1\nzone=z\ninternal-ports=7080,7095\nseeds=127.0.0.2:1\nbounds.grace-s=3"), 0o600))
 	s, err := ReadFor("agent", path)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,17 +12,17 @@
 	"peathollow/internal/figures"
 )
 
-// Settings is what a process is told about itself and the rules in force.
+// Settings describes a process and the rules in force.
 type Settings struct {
 	Node, Role, Class, IP, Zone, Region string
 	Zones                               map[string]string // zone -> region
-	Front, Readiness, Control           string            // addresses to serve at; "" when absent
-	PortFirst, PortLast                 int               // free for use between mixers, both included
+	Front, Readiness, Control           string            // addresses to listen on; "" when absent
+	PortFirst, PortLast                 int               // inclusive range of ports for use between mixers
 	Seeds                               []string
 	ColdStart, CountsLoss               bool
 
-	CPUShare      float64 // of a core
-	Cores         int     // how many times as fast that core is
+	CPUShare      float64 // share of a core
+	Cores         int     // speed factor of that core
 	MemoryMB      int
 	FileLimit     int
 	BandwidthMbps float64
@@ -40,7 +40,8 @@
 	RetryRatio, RetrySlack                                  float64
 	ConfigMode                                              string
 
-	// Relay is where a test wants this process to dial through; see keepalive.TCP. Metrics comes from the command line.
+	// Relay is the address of the relay through which this process dials in tests; see keepalive.TCP. Metrics comes from the
+	// command line.
 	Relay   string
 	Metrics figures.Address
 }
@@ -48,10 +49,10 @@
 const (
 	pathVariable = "PEATHOLLOW_SETTINGS"
 	defaultPath  = "/etc/peathollow/local.conf"
-	maxBytes     = 1 << 20 // the file takes some 2 KiB
+	maxBytes     = 1 << 20 // the file is usually about 2 KiB
 )
 
-// FromEnvironment gives the path of the settings file.
+// FromEnvironment returns the path of the settings file.
 func FromEnvironment(getenv func(string) string) string {
 	if path := getenv(pathVariable); path != "" {
 		return path
@@ -60,9 +61,9 @@
 }
 
 // Read reads and checks the settings file. Its error names the file and, when
-// a value is at fault, the key, the line and what was expected. The file may
-// be replaced while it is read: a caller that already has settings keeps them
-// on an error and reads again.
+// a value is invalid, the key, the line and what was expected. The file may be
+// replaced while it is read: on an error, a caller that already has settings
+// keeps them and reads again.
 func Read(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -80,8 +81,8 @@
 		return nil, errors.Errorf("expected at most %d bytes, got %d", maxBytes, len(raw))
 	}
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
-	// The lines are a.b=value and know no escapes: a backslash is itself, also
-	// where it would make an unknown field unreadable.
+	// The lines are a.b=value without escapes: a backslash stands for itself,
+	// also in an unknown field that it would make unreadable.
 	file, err := loader.LoadBytes(bytes.ReplaceAll(raw, []byte(`\`), []byte(`\\`)))
 	if err != nil {
 		return nil, errors.Wrap(err, "unreadable")
@@ -98,9 +99,9 @@
 	return s, nil
 }
 
-// read sets one setting. An empty value counts as absent.
+// read sets one setting from the file. An empty value counts as absent.
 func (t *Setting) read(s *Settings, file *properties.Properties, raw []byte) error {
-	if prefix, many := strings.CutSuffix(t.Key, "*"); many {
+	if prefix, wildcard := strings.CutSuffix(t.Key, "*"); wildcard {
 		for _, key := range file.Keys() {
 			if name, ok := strings.CutPrefix(key, prefix); ok && name != "" {
 				value, _ := file.Get(key)
@@ -121,8 +122,8 @@
 	return nil
 }
 
-// line finds the line that a key's value comes from: the last one that has it,
-// 0 if the file writes it in some unusual way.
+// line returns the number of the line that a key's value comes from: the last
+// one with that key, or 0 if the file writes the key in an unusual way.
 func line(raw []byte, key string) (n int) {
 	for i, l := range strings.Split(string(raw), "\n") {
 		if rest, ok := strings.CutPrefix(strings.TrimSpace(l), key); ok && strings.IndexAny(rest, "=: \t") == 0 {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestReadRefusesAndTakes(t *testing.T) {
+func TestReadRejectsAndAccepts(t *testing.T) {
 	for _, c := range []struct{ old, new, message string }{
 		{"ip=10.1.0.21\n", "", "ip: missing, expected IP address"},
 		{"internal-ports=7080,7095", "internal-ports=", "internal-ports: missing, expected two ports"},
@@ -87,7 +87,7 @@
 		{"node-name=", strings.Repeat("#", maxBytes) + "\n", "at most"},
 
 		{"limits.memory-mb=280", "limits.memory-mb=280.0", ""},
-		{"region=tx-central\n", "", ""}, // that of the zone
+		{"region=tx-central\n", "", ""}, // taken from the zone
 		{"seeds=", "seeds= ,", ""},
 		{"serves=supervisor", `serves=\u12 ${serves} \`, ""},
 		{"serves=supervisor", "just words\n\n# note\nnewer.field: [1, {x}]", ""},
@@ -108,8 +108,8 @@
 	must.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// The table stands in for documentation, so each row must be whole and its
-// default must pass its own check.
+// TestList checks that each setting of the table is unique and complete, since
+// the table serves as documentation, and that its default passes its own check.
 func TestList(t *testing.T) {
 	seen := map[string]bool{}
 	for _, l := range List() {
