--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -15,58 +15,63 @@
 )
 
 const (
-	folder = "hold" // within the data folder; the name is that of the first release
-	// asidePrefix begins the names of folders that were set aside, followed by a number that rises.
-	asidePrefix = folder + ".damaged-"
-	// asideMost is how many of them are kept; the disk is small.
-	asideMost = 3
+	folder = "hold" // subfolder of the data folder; the name dates from the first release
+	// damagedPrefix starts the names of folders that were set aside; an increasing number follows.
+	damagedPrefix = folder + ".damaged-"
+	// maxDamaged is the number of these folders that are kept; the disk is small.
+	maxDamaged = 3
 )
 
-// damaged is the fault of a record that is whole on disk and provably not what was written.
+// damaged is the error of a record that was read from disk without an error and is provably not what was written.
 type damaged string
 
 func (d damaged) Error() string { return string(d) }
 
-type quiet struct{}
+// discardLogger drops pebble's log and turns its fatal errors into panics.
+type discardLogger struct{}
 
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(f string, a ...any) {
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(f string, a ...any) {
 	panic(errors.Errorf(f, a...))
 }
 
-// Open opens the data folder, or makes it. What it remembers is nil when it is empty. lost says why earlier contents are
-// provably wrong: they are set aside then, and the store is empty. Any other fault is an error and leaves everything as it
-// is: another process that has the folder open, a full disk, a limit of files, records of another format.
-func Open(dir string) (s *Store, saved *consensus.Saved, lost, err error) {
+// Open opens the data folder or creates it. saved is nil if the folder is empty. damage states why earlier contents are
+// provably wrong: in this case they are set aside and the store is empty. Any other failure is returned as err and leaves
+// everything unchanged: another process that has the folder open, a full disk, a limit of open files, records of another
+// format.
+func Open(dir string) (s *Store, saved *consensus.Saved, damage, err error) {
 	return OpenOn(vfs.Default, dir)
 }
 
-// OpenOn is Open on a file system of the caller's.
-func OpenOn(fs vfs.FS, dir string) (s *Store, saved *consensus.Saved, lost, err error) {
+// OpenOn is Open on the given file system.
+func OpenOn(fs vfs.FS, dir string) (s *Store, saved *consensus.Saved, damage, err error) {
 	s, saved, err = open(fs, dir)
 	if err == nil || !provablyWrong(err) {
 		return s, saved, nil, err
 	}
-	lost = err
+	damage = err
 	if err := setAside(fs, dir); err != nil {
-		return nil, nil, lost, errors.Wrap(err, "set aside")
+		return nil, nil, damage, errors.Wrap(err, "set aside")
 	}
 	s, saved, err = open(fs, dir)
-	return s, saved, lost, err
+	return s, saved, damage, err
 }
 
-// Predecessor tells that contents of this disk were set aside, now or in an earlier life: its machine is no founder.
+// Predecessor reports whether contents of this disk were set aside, now or in an earlier incarnation. Such a machine must not
+// take part in the cold start as a founder.
 func (s *Store) Predecessor() bool { return s.predecessor }
 
+// provablyWrong reports whether an error proves that the contents of the disk are damaged.
 func provablyWrong(err error) bool {
 	var d damaged
 	return errors.As(err, &d) || pebble.IsCorruptionError(err)
 }
 
-// setAside renames the folder, so that nothing of it is gone, and makes the new name last.
+// setAside renames the folder, which preserves its contents, and syncs the new name. The oldest folders set aside beyond the
+// maximum are removed.
 func setAside(fs vfs.FS, dir string) error {
-	numbers, err := asides(fs, dir)
+	numbers, err := damagedFolders(fs, dir)
 	if err != nil {
 		return err
 	}
@@ -74,11 +79,11 @@
 	if len(numbers) > 0 {
 		next = numbers[len(numbers)-1] + 1
 	}
-	name := func(n int) string { return filepath.Join(dir, asidePrefix+strconv.Itoa(n)) }
+	name := func(n int) string { return filepath.Join(dir, damagedPrefix+strconv.Itoa(n)) }
 	if err := fs.Rename(filepath.Join(dir, folder), name(next)); err != nil {
 		return errors.Wrap(err, "rename")
 	}
-	for len(numbers) >= asideMost {
+	for len(numbers) >= maxDamaged {
 		if err := fs.RemoveAll(name(numbers[0])); err != nil {
 			return errors.Wrap(err, "remove the oldest")
 		}
@@ -87,18 +92,18 @@
 	return syncFolder(fs, dir)
 }
 
-// asides lists the numbers of the folders set aside, rising.
-func asides(fs vfs.FS, dir string) ([]int, error) {
+// damagedFolders returns the numbers of the folders set aside, in ascending order.
+func damagedFolders(fs vfs.FS, dir string) ([]int, error) {
 	names, err := fs.List(dir)
 	if oserror.IsNotExist(err) {
-		return nil, nil // it is made with the store
+		return nil, nil // created together with the store
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "list")
 	}
 	var numbers []int
 	for _, name := range names {
-		if n, err := strconv.Atoi(strings.TrimPrefix(name, asidePrefix)); err == nil && strings.HasPrefix(name, asidePrefix) {
+		if n, err := strconv.Atoi(strings.TrimPrefix(name, damagedPrefix)); err == nil && strings.HasPrefix(name, damagedPrefix) {
 			numbers = append(numbers, n)
 		}
 	}
@@ -106,6 +111,7 @@
 	return numbers, nil
 }
 
+// syncFolder makes the names in a folder durable.
 func syncFolder(fs vfs.FS, dir string) error {
 	d, err := fs.OpenDir(dir)
 	if err != nil {
@@ -118,16 +124,16 @@
 	return nil
 }
 
-// open opens the store and reads the control state; on an error the store is closed again.
+// open opens the store and reads the control state. On an error it closes the store again.
 func open(fs vfs.FS, dir string) (*Store, *consensus.Saved, error) {
-	numbers, err := asides(fs, dir)
+	numbers, err := damagedFolders(fs, dir)
 	if err != nil {
 		return nil, nil, err
 	}
 	cache := pebble.NewCache(512 << 10)
 	defer cache.Unref()
-	db, err := pebble.Open(filepath.Join(dir, folder), &pebble.Options{FS: patient{fs}, Cache: cache, MemTableSize: 1 << 20,
-		MaxOpenFiles: 64, Logger: quiet{}, FormatMajorVersion: pebble.FormatNewest, MemTableStopWritesThreshold: 3})
+	db, err := pebble.Open(filepath.Join(dir, folder), &pebble.Options{FS: retryFS{fs}, Cache: cache, MemTableSize: 1 << 20,
+		MaxOpenFiles: 64, Logger: discardLogger{}, FormatMajorVersion: pebble.FormatNewest, MemTableStopWritesThreshold: 3})
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "open")
 	}
@@ -140,14 +146,14 @@
 	return s, saved, nil
 }
 
-// load reads the control state; nil if there is none.
+// load reads the control state, or returns nil if there is none.
 func (s *Store) load() (*consensus.Saved, error) {
 	saved, found := &consensus.Saved{}, 0
 	for _, r := range []struct {
-		key string
-		to  any
+		key         string
+		destination any
 	}{{keyID, &saved.ID}, {keyVote, &saved.Vote}, {keyCopy, &saved.Copy}} {
-		ok, err := s.read(r.key, r.to)
+		ok, err := s.read(r.key, r.destination)
 		if err != nil {
 			return nil, errors.Wrapf(err, "read %s", r.key)
 		}
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -20,7 +20,7 @@
 	"peathollow/consensus"
 )
 
-// files gives the names below a folder with their sizes.
+// files returns the sizes of the files below a folder, by path.
 func files(t *testing.T, dir string) map[string]int64 {
 	t.Helper()
 	out := map[string]int64{}
@@ -40,20 +40,20 @@
 	must.NoError(t, s.Write(&consensus.Write{ID: id, Vote: &consensus.Vote{Promised: consensus.Ballot{Round: round, ID: id}}}))
 }
 
-// A fault of opening that proves nothing wrong with the contents leaves them as they are. The code before removed the
-// folder of a process that had it open, and that of a disk that was full.
-func TestOpenKeepsWhatItCannotRead(t *testing.T) {
+// TestOpenFailureKeepsContents checks that a failure to open which doesn't prove the contents damaged leaves them unchanged.
+// An earlier version removed the folder while another process had it open, and when the disk was full.
+func TestOpenFailureKeepsContents(t *testing.T) {
 	t.Run("another process has it open", func(t *testing.T) {
 		dir := t.TempDir()
 		s, _, _ := reopen(t, nil, dir)
 		write(t, s, "me", 7)
 		before := files(t, dir)
-		_, _, lost, err := Open(dir)
+		_, _, damage, err := Open(dir)
 		must.Error(t, err)
-		must.NoError(t, lost)
+		must.NoError(t, damage)
 		must.Eq(t, before, files(t, dir))
-		s, saved, lost := reopen(t, s, dir)
-		must.NoError(t, lost)
+		s, saved, damage := reopen(t, s, dir)
+		must.NoError(t, damage)
 		must.Eq(t, uint64(7), saved.Vote.Promised.Round)
 		must.NoError(t, s.Close())
 	})
@@ -65,14 +65,15 @@
 		must.NoError(t, s.db.Set([]byte(keyID), record, pebble.Sync))
 		must.NoError(t, s.Close())
 		for range 2 {
-			_, _, lost, err := Open(dir)
+			_, _, damage, err := Open(dir)
 			must.ErrorContains(t, err, "record of format 3, 2 is known")
-			must.NoError(t, lost)
+			must.NoError(t, damage)
 		}
 		must.SliceLen(t, 1, names(t, dir))
 	})
-	// Any call that reads may fail at any time, as at a limit of files or a fault of the disk: no error may cost what was
-	// kept. Folders are opened to be synced, where a failure ends the process.
+	// Any read call may fail at any time, for example at a limit of open files or a fault of the disk. No such error may
+	// lose stored records. Opening a folder is left out: folders are opened to be synced, and a failure there ends the
+	// process.
 	t.Run("any reading call fails", func(t *testing.T) {
 		for call := int32(0); ; call++ {
 			mem := vfs.NewMem()
@@ -91,9 +92,9 @@
 			if s, _, _, err := OpenOn(faulty, "data"); err == nil {
 				s.Close()
 			}
-			s, saved, lost, err := OpenOn(mem, "data")
+			s, saved, damage, err := OpenOn(mem, "data")
 			must.NoError(t, err)
-			must.NoError(t, lost, must.Sprint("call ", call))
+			must.NoError(t, damage, must.Sprint("call ", call))
 			must.NotNil(t, saved)
 			must.Eq(t, uint64(7), saved.Vote.Promised.Round)
 			must.NoError(t, s.Close())
@@ -115,7 +116,8 @@
 	return out
 }
 
-// What is provably wrong is set aside under another name; the machine is then no founder, whatever its settings say.
+// TestDamagedRecordsAreSetAside checks that provably damaged contents are set aside under another name, and that the machine
+// then isn't a founder, whatever its settings state.
 func TestDamagedRecordsAreSetAside(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := reopen(t, nil, dir)
@@ -123,20 +125,20 @@
 	for i := range 5 {
 		write(t, s, "me", uint64(i))
 		must.NoError(t, s.db.Set([]byte(keyVote), []byte("torn"), pebble.Sync))
-		var lost error
-		s, _, lost = reopen(t, s, dir)
-		must.Error(t, lost)
+		var damage error
+		s, _, damage = reopen(t, s, dir)
+		must.Error(t, damage)
 		must.True(t, s.Predecessor())
 	}
 	must.Eq(t, []string{"hold", "hold.damaged-3", "hold.damaged-4", "hold.damaged-5"}, names(t, dir))
-	s, _, lost := reopen(t, s, dir)
-	must.NoError(t, lost)
+	s, _, damage := reopen(t, s, dir)
+	must.NoError(t, damage)
 	must.True(t, s.Predecessor())
 	must.NoError(t, s.Close())
 }
 
-// Power is lost at any moment of the first start, of a write, or of a start after that, and of what was not synced any
-// part is there: the store opens, and holds at least what Write returned for.
+// TestPowerLossAtAnyMoment loses power at each file system call of the first start, of writes and of later starts, and keeps
+// a random part of the unsynced data. The store must open and contain at least all that a completed Write stored.
 func TestPowerLossAtAnyMoment(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for call := int32(0); ; call++ {
@@ -144,23 +146,23 @@
 		var at atomic.Int32
 		var once sync.Once
 		var crashed *vfs.MemFS
-		var written, kept atomic.Uint64
-		watched := errorfs.Wrap(mem, errorfs.InjectorFunc(func(op errorfs.Op) error {
+		var written, durable atomic.Uint64
+		observed := errorfs.Wrap(mem, errorfs.InjectorFunc(func(op errorfs.Op) error {
 			if at.Add(1)-1 == call {
 				once.Do(func() {
-					kept.Store(written.Load())
+					durable.Store(written.Load())
 					crashed = mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: rng.IntN(101), RNG: rng})
 				})
 			}
 			return nil
 		}))
-		for life := range uint64(3) {
-			s, _, lost, err := OpenOn(watched, "data")
+		for incarnation := range uint64(3) {
+			s, _, damage, err := OpenOn(observed, "data")
 			must.NoError(t, err)
-			must.NoError(t, lost)
+			must.NoError(t, damage)
 			for i := range uint64(3) {
-				write(t, s, "me", life*3+i+1)
-				written.Store(life*3 + i + 1)
+				write(t, s, "me", incarnation*3+i+1)
+				written.Store(incarnation*3 + i + 1)
 			}
 			must.NoError(t, s.Close())
 		}
@@ -168,20 +170,20 @@
 			must.Greater(t, 50, int(call))
 			return
 		}
-		s, saved, lost, err := OpenOn(crashed, "data")
+		s, saved, damage, err := OpenOn(crashed, "data")
 		must.NoError(t, err, must.Sprint("call ", call))
-		must.NoError(t, lost, must.Sprint("call ", call))
-		if least := kept.Load(); least > 0 {
+		must.NoError(t, damage, must.Sprint("call ", call))
+		if minimum := durable.Load(); minimum > 0 {
 			must.NotNil(t, saved)
-			must.GreaterEq(t, least, saved.Vote.Promised.Round)
+			must.GreaterEq(t, minimum, saved.Vote.Promised.Round)
 		}
 		must.NoError(t, s.Close())
 	}
 }
 
-// A disk that is full holds writes up and ends nothing; when there is room again they are done. The code before ended the
-// process at the first refused write.
-func TestFullDiskHoldsWritesUp(t *testing.T) {
+// TestFullDiskDelaysWrites checks that a full disk delays writes and doesn't end the process, and that they complete once there
+// is space again. An earlier version ended the process at the first refused write.
+func TestFullDiskDelaysWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := vfs.NewMem()
 		var full atomic.Bool
@@ -201,7 +203,7 @@
 		}()
 		select {
 		case <-done:
-			t.Error("a full disk took a write")
+			t.Error("a full disk accepted a write")
 		case <-time.After(30 * time.Second):
 		}
 		full.Store(false)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,8 +1,8 @@
-// Package storage keeps a core machine's control state on disk: its identity, its vote and its copy of the configuration,
-// each record with a format version and a checksum, synced before it is answered for. The store is pebble. Records that
-// are provably wrong are set aside, and the machine starts as one with an empty disk; any other fault of opening is an
-// error and changes nothing (open.go). A disk that takes no writes for a while holds them up, and nothing else
-// (patient.go). The package decides nothing: consensus says what is written and when.
+// Package storage keeps a controller's state on disk: its identity, its vote and its copy of the configuration. Each record
+// has a format version and a checksum, and is synced before it is acknowledged. The store is pebble. Records that are
+// provably wrong are set aside, and the machine starts like one with an empty disk; any other failure to open is an error
+// and changes nothing (open.go). A disk that refuses writes for a while delays them and has no other effect (retryfs.go).
+// The package makes no decisions: consensus determines what is written and when.
 package storage
 
 import (
@@ -18,40 +18,42 @@
 	"peathollow/registry"
 )
 
-// format is that of all records. A record of another format is an error: it belongs to another version of the program.
+// format is the format version of all records. A record of another format is an error: it belongs to another version of the
+// program.
 const format = 2
 
-// The records, by key.
+// Keys of the records.
 const (
 	keyID   = "id"
 	keyVote = "vote"
 	keyCopy = "copy"
-	// keyForce holds the configuration last known to be in force. It may lag behind the copy, which may hold one whose
-	// fate is open.
+	// keyForce holds the configuration last known to be in force. It may be older than that of the copy, which may not be
+	// decided yet.
 	keyForce = "force"
-	// keySearchers begins the keys of searchers, by id.
+	// keySearchers is the prefix of the searchers' keys; the searcher's id follows.
 	keySearchers = "yard/"
 )
 
-// Store is an open folder.
+// Store is an open data folder.
 type Store struct {
 	db          *pebble.DB
 	predecessor bool
 }
 
-func (s *Store) read(key string, to any) (bool, error) {
-	v, done, err := s.db.Get([]byte(key))
+// read decodes the record of a key into destination and reports whether there is one.
+func (s *Store) read(key string, destination any) (bool, error) {
+	value, closer, err := s.db.Get([]byte(key))
 	if errors.Is(err, pebble.ErrNotFound) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	defer done.Close()
-	return true, decode(v, to)
+	defer closer.Close()
+	return true, decode(value, destination)
 }
 
-// Write syncs what a write holds, all of it or nothing.
+// Write stores and syncs the parts that a write contains, atomically.
 func (s *Store) Write(w *consensus.Write) error {
 	b := s.db.NewBatch()
 	defer b.Close()
@@ -71,12 +73,12 @@
 		}
 	}
 	if err := b.Commit(pebble.Sync); err != nil {
-		return errors.Wrap(err, "sync") // of nil it would be an error too
+		return errors.Wrap(err, "sync") // errors.Wrap returns an error for nil too
 	}
 	return nil
 }
 
-// PutForce keeps the configuration that is in force.
+// PutForce stores the configuration that is in force.
 func (s *Store) PutForce(d consensus.Document) error {
 	if err := s.db.Set([]byte(keyForce), encode(d), pebble.Sync); err != nil {
 		return errors.Wrap(err, "sync configuration")
@@ -84,8 +86,8 @@
 	return nil
 }
 
-// PutSearchers keeps what has changed in the list of searchers, also that one is gone, and forgets the ids named: a
-// searcher that is gone must not come back from another disk that was not told in time.
+// PutSearchers stores changed entries of the list of searchers, also those of removed ones, and deletes the entries of the
+// ids in forget. A removed searcher keeps its entry so that it doesn't come back from another disk that missed the removal.
 func (s *Store) PutSearchers(changed []registry.Entry, forget []string) error {
 	b := s.db.NewBatch()
 	defer b.Close()
@@ -100,16 +102,16 @@
 			return errors.Wrap(err, "forget searchers")
 		}
 	}
-	// Synced, though nothing hangs on it: after a loss of power unsynced bytes may come back in part, and these
-	// records share their log with those that count.
+	// Synced, although no caller depends on the durability of these records: after a loss of power unsynced bytes may
+	// be restored in part, and these records share their log with those that must be durable.
 	if err := b.Commit(pebble.Sync); err != nil {
 		return errors.Wrap(err, "sync searchers")
 	}
 	return nil
 }
 
-// Remembered gives the configuration and the searchers last kept. A record that can't be read is passed over: both are
-// told again by others.
+// Remembered returns the configuration and the searchers that were stored last. A record that can't be read is skipped:
+// other machines send both again.
 func (s *Store) Remembered() (*consensus.Document, []registry.Entry) {
 	var doc *consensus.Document
 	var d consensus.Document
@@ -131,15 +133,15 @@
 	return doc, list
 }
 
-// Close closes the folder.
+// Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// encode gives a record: format, checksum of the rest, contents.
+// encode returns a record: format, checksum of the contents, contents in gob encoding.
 func encode(x any) []byte {
 	var out bytes.Buffer
 	out.Write(make([]byte, 9))
 	if err := gob.NewEncoder(&out).Encode(x); err != nil {
-		panic(err) // our own plain types
+		panic(err) // can't happen for the plain types stored here
 	}
 	b := out.Bytes()
 	b[0] = format
@@ -147,14 +149,15 @@
 	return b
 }
 
-func decode(b []byte, to any) error {
+// decode checks a record and decodes its contents into destination.
+func decode(b []byte, destination any) error {
 	switch {
 	case len(b) < 9:
-		return damaged("record is cut short")
+		return damaged("record is truncated")
 	case b[0] != format:
 		return errors.Errorf("record of format %d, %d is known", b[0], format)
 	case binary.LittleEndian.Uint64(b[1:]) != xxh3.Hash(b[9:]):
 		return damaged("checksum does not match")
 	}
-	return gob.NewDecoder(bytes.NewReader(b[9:])).Decode(to)
+	return gob.NewDecoder(bytes.NewReader(b[9:])).Decode(destination)
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -12,30 +12,31 @@
 	"peathollow/registry"
 )
 
+// reopen closes a store, unless it is nil, and opens its folder again.
 func reopen(t *testing.T, s *Store, dir string) (*Store, *consensus.Saved, error) {
 	t.Helper()
 	if s != nil {
 		must.NoError(t, s.Close())
 	}
-	s, saved, lost, err := Open(dir)
+	s, saved, damage, err := Open(dir)
 	must.NoError(t, err)
-	return s, saved, lost
+	return s, saved, damage
 }
 
-func TestRecordsComeBack(t *testing.T) {
+func TestRecordsAreRestored(t *testing.T) {
 	dir := t.TempDir()
-	s, saved, lost := reopen(t, nil, dir)
-	must.NoError(t, lost)
+	s, saved, damage := reopen(t, nil, dir)
+	must.NoError(t, damage)
 	must.Nil(t, saved)
 	vote := consensus.Vote{Promised: consensus.Ballot{Round: 3, ID: "a"}, Known: consensus.Epoch{N: 2, Primary: "a"}}
 	kept := consensus.Copy{Stamp: consensus.Stamp{Epoch: 2, Revision: 7},
 		State: consensus.State{Revision: 7, Doc: consensus.Document{Version: 7, Body: []byte("seven")}}}
 	must.NoError(t, s.Write(&consensus.Write{Token: 1, ID: "me", Vote: &vote, Copy: &kept}))
-	s, saved, lost = reopen(t, s, dir)
-	must.NoError(t, lost)
+	s, saved, damage = reopen(t, s, dir)
+	must.NoError(t, damage)
 	must.Eq(t, &consensus.Saved{ID: "me", Vote: vote, Copy: kept}, saved)
 
-	// Parts that a write leaves out stay as they were.
+	// Records that a write leaves out are unchanged.
 	vote.Promised.Round = 4
 	must.NoError(t, s.Write(&consensus.Write{Token: 2, Vote: &vote}))
 	s, saved, _ = reopen(t, s, dir)
@@ -43,7 +44,7 @@
 	must.NoError(t, s.Close())
 }
 
-func TestListAndConfigurationInForceComeBack(t *testing.T) {
+func TestSearchersAndConfigurationAreRestored(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := reopen(t, nil, dir)
 	doc, list := s.Remembered()
@@ -56,24 +57,24 @@
 	must.NoError(t, s.PutSearchers([]registry.Entry{entry("i", registry.Ready), entry("j", registry.Draining)}, nil))
 	must.NoError(t, s.PutSearchers([]registry.Entry{entry("i", registry.Gone)}, nil))
 	_, list = s.Remembered()
-	must.Eq(t, []registry.Entry{entry("i", registry.Gone), entry("j", registry.Draining)}, list) // it must not come back
+	must.Eq(t, []registry.Entry{entry("i", registry.Gone), entry("j", registry.Draining)}, list) // a removed searcher keeps its entry
 	must.NoError(t, s.PutSearchers(nil, []string{"i"}))
-	s, saved, lost := reopen(t, s, dir)
-	must.NoError(t, lost)
-	must.Nil(t, saved) // neither is a vote or a copy
+	s, saved, damage := reopen(t, s, dir)
+	must.NoError(t, damage)
+	must.Nil(t, saved) // neither record is part of the control state
 	doc, list = s.Remembered()
 	must.Eq(t, &consensus.Document{Version: 5, Body: []byte("five")}, doc)
 	must.Eq(t, []registry.Entry{entry("j", registry.Draining)}, list)
 
-	// A searcher that can't be read is passed over.
+	// A searcher whose record can't be read is skipped.
 	must.NoError(t, s.db.Set([]byte(keySearchers+"j"), []byte("torn"), pebble.Sync))
 	_, list = s.Remembered()
 	must.SliceEmpty(t, list)
 	must.NoError(t, s.Close())
 }
 
-// A record that doesn't hold what was written is never guessed at: the machine starts as one with an empty disk.
-func TestWhatCannotBeReadIsLost(t *testing.T) {
+// TestDamagedRecordEmptiesStore checks that a damaged record is never used: the machine starts like one with an empty disk.
+func TestDamagedRecordEmptiesStore(t *testing.T) {
 	good := encode(consensus.ID("me"))
 	flip := append([]byte(nil), good...)
 	flip[len(flip)-1] ^= 1
@@ -83,13 +84,13 @@
 			s, _, _ := reopen(t, nil, dir)
 			must.NoError(t, s.Write(&consensus.Write{ID: "me", Vote: &consensus.Vote{}}))
 			must.NoError(t, s.db.Set([]byte(keyID), record, pebble.Sync))
-			s, saved, lost := reopen(t, s, dir)
-			must.Error(t, lost)
+			s, saved, damage := reopen(t, s, dir)
+			must.Error(t, damage)
 			must.Nil(t, saved)
-			// It serves again, and remembers from here on.
+			// The store works again and keeps what is written from here on.
 			must.NoError(t, s.Write(&consensus.Write{ID: "anew"}))
-			s, saved, lost = reopen(t, s, dir)
-			must.NoError(t, lost)
+			s, saved, damage = reopen(t, s, dir)
+			must.NoError(t, damage)
 			must.Eq(t, "anew", saved.ID)
 			must.NoError(t, s.Close())
 		})
@@ -98,19 +99,19 @@
 		dir := t.TempDir()
 		s, _, _ := reopen(t, nil, dir)
 		must.NoError(t, s.Write(&consensus.Write{Vote: &consensus.Vote{}}))
-		s, saved, lost := reopen(t, s, dir)
-		must.Error(t, lost)
+		s, saved, damage := reopen(t, s, dir)
+		must.Error(t, damage)
 		must.Nil(t, saved)
 		must.NoError(t, s.Close())
 	})
-	t.Run("a foreign folder", func(t *testing.T) { // is no record of ours: nobody may clear it
+	t.Run("a foreign folder", func(t *testing.T) { // not written by this program, so it must not be removed
 		dir := t.TempDir()
 		at := filepath.Join(dir, "hold")
 		must.NoError(t, os.MkdirAll(at, 0o700))
 		must.NoError(t, os.WriteFile(filepath.Join(at, "CURRENT"), []byte("MANIFEST-something\n"), 0o600))
-		_, _, lost, err := Open(dir)
+		_, _, damage, err := Open(dir)
 		must.ErrorContains(t, err, "hold")
-		must.NoError(t, lost)
+		must.NoError(t, damage)
 		left, err := os.ReadFile(filepath.Join(at, "CURRENT"))
 		must.NoError(t, err)
 		must.Eq(t, "MANIFEST-something\n", string(left))
