--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -1,5 +1,5 @@
-// Package member keeps up which other instances seem alive and carries their messages, by gossip
-// (hashicorp/memberlist) that is sealed with keys from a file. The mixer's duties use it through Group.Send and the
-// Events they hand in. It decides nothing: who looks after what is package duty's, and a view may be wrong.
-// Nothing of it runs unless the settings file turns duties on.
+// Package member tracks which other instances appear to be alive and carries messages between instances. It uses gossip
+// (hashicorp/memberlist), encrypted with keys from a file. The mixer's duties use it through Group.Send and the Events that
+// they pass in. It makes no decisions: package duty determines which instance is responsible for what, and a view may be
+// wrong. Nothing in it runs unless the settings file enables duties.
 package member
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -14,59 +14,61 @@
 	"go.uber.org/zap"
 )
 
-// Limits are the sizes and times of a group.
+// Limits holds the size limits and timings of a group.
 type Limits struct {
-	Packet int           // bytes that go as one datagram; longer messages take a connection
-	Queue  int           // messages waiting for one peer; beyond it the oldest go
-	Send   time.Duration // for a peer to take a message on a connection
-	Rejoin time.Duration // between tries to reach seeds, while nobody else is known
-	Leave  time.Duration // for others to hear that this one leaves
-	Probe  time.Duration // between signs of life asked of one peer
+	Packet int           // maximum size of a datagram; longer messages go over a connection
+	Queue  int           // maximum number of messages queued for one peer; beyond it the oldest are dropped
+	Send   time.Duration // timeout for a peer to accept a message on a connection
+	Rejoin time.Duration // interval between attempts to reach missing seeds
+	Leave  time.Duration // time limit for notifying the others that this instance leaves
+	Probe  time.Duration // interval between probes of one peer
 }
 
-// Config is what a group is joined with.
+// Config describes how to join a group.
 type Config struct {
 	Name  string
-	Inc   uint64 // this start's incarnation, higher than the one before
-	Bind  string // address and port, for datagrams and connections alike
+	Inc   uint64 // incarnation of this start, higher than the previous one
+	Bind  string // address and port, for both datagrams and connections
 	Seeds []string
 	Keys  string // path of the key file
 }
 
-// Events are told from the group's own goroutines, and must not block.
+// Events receives notifications from the group's own goroutines. Its methods must not block.
 type Events interface {
-	View(others map[string]uint64) // name and incarnation of all that seem alive but this one
-	Message(b []byte)              // b is the receiver's
+	View(others map[string]uint64) // names and incarnations of all other instances that appear to be alive
+	Message(b []byte)              // the receiver owns b
 }
 
-// Group is this instance among the others.
+// Group is this instance's membership among the other instances.
 type Group struct {
-	cfg  Config
-	lim  Limits
-	ev   Events
-	log  *zap.Logger
-	list *memberlist.Memberlist
-	ring *memberlist.Keyring
+	cfg     Config
+	limits  Limits
+	events  Events
+	log     *zap.Logger
+	list    *memberlist.Memberlist
+	keyring *memberlist.Keyring
 
-	mu     sync.Mutex
-	peers  map[string]*peer
-	closed chan struct{}
-	all    sync.WaitGroup
-	told   counts
+	mu         sync.Mutex
+	peers      map[string]*peer
+	closed     chan struct{}
+	goroutines sync.WaitGroup
+	counts     counts
 }
 
+// counts are the numbers of messages that were dropped from full queues, could not be delivered, and were sent.
 type counts struct{ dropped, unsent, sent uint64 }
 
+// peer is another instance and the queue of messages for it.
 type peer struct {
-	node  *memberlist.Node
-	inc   uint64
-	queue [][]byte
-	wake  chan struct{}
-	gone  chan struct{}
+	node        *memberlist.Node
+	incarnation uint64
+	queue       [][]byte
+	wake        chan struct{}
+	removed     chan struct{}
 }
 
-// Join begins to take part. That no seed can be reached is no error: it goes on trying.
-func Join(cfg Config, lim Limits, ev Events, log *zap.Logger) (*Group, error) {
+// Join joins the group. Unreachable seeds are not an error: the group keeps trying to reach them.
+func Join(cfg Config, limits Limits, events Events, log *zap.Logger) (*Group, error) {
 	host, port, err := net.SplitHostPort(cfg.Bind)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -79,36 +81,37 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Group{cfg: cfg, lim: lim, ev: ev, log: log, peers: map[string]*peer{}, closed: make(chan struct{})}
-	if g.ring, err = memberlist.NewKeyring(keys, keys[0]); err != nil {
+	g := &Group{cfg: cfg, limits: limits, events: events, log: log, peers: map[string]*peer{}, closed: make(chan struct{})}
+	if g.keyring, err = memberlist.NewKeyring(keys, keys[0]); err != nil {
 		return nil, errors.New("members: keys that can't be used")
 	}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.BindAddr, c.BindPort, c.AdvertisePort = cfg.Name, host, n, n
 	c.AdvertiseAddr = host
-	c.Keyring, c.GossipVerifyIncoming, c.GossipVerifyOutgoing = g.ring, true, true
+	c.Keyring, c.GossipVerifyIncoming, c.GossipVerifyOutgoing = g.keyring, true, true
 	c.Delegate, c.Events = delegate{g}, delegate{g}
 	c.Logger = zap.NewStdLog(log.WithOptions(zap.IncreaseLevel(zap.WarnLevel)))
 	c.LogOutput = nil
-	c.ProbeInterval, c.ProbeTimeout = lim.Probe, lim.Probe/2
-	c.TCPTimeout, c.GossipInterval = lim.Send, lim.Probe/5
-	c.UDPBufferSize = lim.Packet
-	// A process that starts again under its name, maybe elsewhere, takes the place of the dead one at once.
-	c.DeadNodeReclaimTime = lim.Probe
+	c.ProbeInterval, c.ProbeTimeout = limits.Probe, limits.Probe/2
+	c.TCPTimeout, c.GossipInterval = limits.Send, limits.Probe/5
+	c.UDPBufferSize = limits.Packet
+	// A process that restarts under the same name, possibly at another address, replaces its dead predecessor at once.
+	c.DeadNodeReclaimTime = limits.Probe
 	if g.list, err = memberlist.Create(c); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	g.all.Go(g.join)
+	g.goroutines.Go(g.join)
 	return g, nil
 }
 
-// join looks for others: all seeds while nobody is known, then one at a time of those not there. Seeds may be dead, this
-// one's own address, or all there will be. Against two sides that were cut off for so long that each holds the other for
-// dead: with some known on either side, nobody would ask there again.
+// join contacts seeds: all of them while no other instance is known, and after that one missing seed at a time. Seeds may be
+// dead, this instance's own address, or all the instances that there will be. Missing seeds are contacted although others
+// are known, since after a long network partition each side considers the other dead: with known instances on both sides,
+// neither would contact the other again.
 func (g *Group) join() {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
-	for turn := 0; ; turn++ {
+	for round := 0; ; round++ {
 		select {
 		case <-g.closed:
 			return
@@ -116,7 +119,7 @@
 		}
 		seeds := g.missing()
 		if g.list.NumMembers() > 1 && len(seeds) > 1 {
-			seeds = seeds[turn%len(seeds):][:1]
+			seeds = seeds[round%len(seeds):][:1]
 		}
 		if len(seeds) > 0 {
 			n, err := g.list.Join(seeds)
@@ -124,27 +127,27 @@
 				g.log.Debug("seeds not reached", zap.Int("reached", n), zap.Error(err))
 			}
 		}
-		wait.Reset(g.lim.Rejoin)
+		wait.Reset(g.limits.Rejoin)
 	}
 }
 
-// missing are the seeds at whose addresses nobody is known to live.
+// missing returns the seeds at whose addresses no live instance is known.
 func (g *Group) missing() []string {
-	there := map[string]bool{}
+	known := map[string]bool{}
 	for _, n := range g.list.Members() {
-		there[n.Address()] = true
+		known[n.Address()] = true
 	}
 	var seeds []string
 	for _, s := range g.cfg.Seeds {
-		if !there[s] {
+		if !known[s] {
 			seeds = append(seeds, s)
 		}
 	}
 	return seeds
 }
 
-// Send hands a message over for one peer, or for all others where no name is given. It never waits: what a peer does
-// not take in time is dropped, oldest first, as lost messages are what package duty is made for.
+// Send queues a message for one peer, or for all peers if the name is empty. It never blocks: messages that a peer doesn't
+// accept in time are dropped, oldest first, as package duty is designed for lost messages.
 func (g *Group) Send(to string, b []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -152,9 +155,9 @@
 		if to != "" && name != to {
 			continue
 		}
-		if len(p.queue) >= g.lim.Queue {
+		if len(p.queue) >= g.limits.Queue {
 			p.queue = p.queue[1:]
-			g.told.dropped++
+			g.counts.dropped++
 		}
 		p.queue = append(p.queue, b)
 		select {
@@ -164,11 +167,11 @@
 	}
 }
 
-// serve sends what waits for one peer. A slow one holds up only itself.
+// serve sends the messages queued for one peer. Each peer has its own goroutine, so that a slow one delays no other.
 func (g *Group) serve(p *peer) {
 	for {
 		select {
-		case <-p.gone:
+		case <-p.removed:
 			return
 		case <-g.closed:
 			return
@@ -185,43 +188,43 @@
 			node := p.node
 			g.mu.Unlock()
 			var err error
-			if len(b) <= g.lim.Packet/2 {
+			if len(b) <= g.limits.Packet/2 {
 				err = g.list.SendBestEffort(node, b)
 			} else {
 				err = g.list.SendReliable(node, b)
 			}
 			g.mu.Lock()
-			if g.told.sent++; err != nil {
-				g.told.unsent++
+			if g.counts.sent++; err != nil {
+				g.counts.unsent++
 			}
 			g.mu.Unlock()
 		}
 	}
 }
 
-// Rotate reads the key file again. Keys that are new are understood from now on, the first seals, and those no longer
-// there are forgotten. A file that can't be used changes nothing.
+// Rotate reads the key file again. New keys are accepted for decryption, the first key of the file encrypts from now on, and
+// keys that are no longer in the file are removed. An invalid file changes nothing.
 func (g *Group) Rotate() error {
 	keys, err := ReadKeys(g.cfg.Keys)
 	if err != nil {
 		return err
 	}
 	for _, k := range keys {
-		if err := g.ring.AddKey(k); err != nil {
+		if err := g.keyring.AddKey(k); err != nil {
 			return errors.New("members: a key that can't be used")
 		}
 	}
-	if err := g.ring.UseKey(keys[0]); err != nil {
+	if err := g.keyring.UseKey(keys[0]); err != nil {
 		return errors.New("members: the first key can't be used")
 	}
-	for _, old := range g.ring.GetKeys() {
+	for _, old := range g.keyring.GetKeys() {
 		if !contains(keys, old) {
-			if err := g.ring.RemoveKey(old); err != nil {
+			if err := g.keyring.RemoveKey(old); err != nil {
 				return errors.New("members: an old key can't be removed")
 			}
 		}
 	}
-	g.log.Info("keys read again", zap.Int("keys", len(keys)))
+	g.log.Info("keys reloaded", zap.Int("keys", len(keys)))
 	return nil
 }
 
@@ -234,27 +237,29 @@
 	return false
 }
 
-// Counts are messages given to peers, not taken by them, and dropped before.
+// Counts returns the numbers of messages sent to peers, of those among them that failed, and of those dropped from full
+// queues.
 func (g *Group) Counts() (sent, unsent, dropped uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.told.sent, g.told.unsent, g.told.dropped
+	return g.counts.sent, g.counts.unsent, g.counts.dropped
 }
 
-// Leave says goodbye, after what is queued has gone out or its time is over, and ends the group.
+// Leave waits for a limited time until queued messages are sent, notifies the others, and ends the group.
 func (g *Group) Leave() error {
-	until := time.Now().Add(g.lim.Leave / 2)
-	for g.waiting() && time.Now().Before(until) {
-		time.Sleep(time.Millisecond) // no event says that all queues are empty, and only a leaving process waits
+	deadline := time.Now().Add(g.limits.Leave / 2)
+	for g.hasQueued() && time.Now().Before(deadline) {
+		time.Sleep(time.Millisecond) // no event signals that all queues are empty, and only a leaving process waits
 	}
-	err := g.list.Leave(g.lim.Leave / 2)
+	err := g.list.Leave(g.limits.Leave / 2)
 	close(g.closed)
 	err = errors.Join(err, g.list.Shutdown())
-	g.all.Wait()
+	g.goroutines.Wait()
 	return err
 }
 
-func (g *Group) waiting() bool {
+// hasQueued reports whether any message is queued.
+func (g *Group) hasQueued() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
@@ -265,12 +270,12 @@
 	return false
 }
 
-// delegate is the library's side of it.
+// delegate implements the library's callback interfaces.
 type delegate struct{ g *Group }
 
 func (d delegate) NodeMeta(int) []byte { return binary.LittleEndian.AppendUint64(nil, d.g.cfg.Inc) }
 
-func (d delegate) NotifyMsg(b []byte) { d.g.ev.Message(bytes.Clone(b)) } // the buffer is the library's
+func (d delegate) NotifyMsg(b []byte) { d.g.events.Message(bytes.Clone(b)) } // the library reuses the buffer
 
 func (d delegate) GetBroadcasts(int, int) [][]byte { return nil }
 func (d delegate) LocalState(bool) []byte          { return nil }
@@ -280,7 +285,8 @@
 func (d delegate) NotifyUpdate(n *memberlist.Node) { d.g.change(n, true) }
 func (d delegate) NotifyLeave(n *memberlist.Node)  { d.g.change(n, false) }
 
-// change follows what the library believes. One whose incarnation can't be read is not of this program.
+// change applies a membership change that the library reports. A node without a readable incarnation doesn't belong to this
+// program and is treated as absent.
 func (g *Group) change(n *memberlist.Node, alive bool) {
 	if n.Name == g.cfg.Name {
 		return
@@ -290,22 +296,22 @@
 	switch {
 	case !alive || len(n.Meta) != 8:
 		if p != nil {
-			close(p.gone)
+			close(p.removed)
 			delete(g.peers, n.Name)
 		}
 	default:
 		if p == nil {
-			p = &peer{wake: make(chan struct{}, 1), gone: make(chan struct{})}
+			p = &peer{wake: make(chan struct{}, 1), removed: make(chan struct{})}
 			g.peers[n.Name] = p
-			g.all.Go(func() { g.serve(p) })
+			g.goroutines.Go(func() { g.serve(p) })
 		}
-		at := *n // the library goes on writing to its own
-		p.node, p.inc = &at, binary.LittleEndian.Uint64(n.Meta)
+		node := *n // the library keeps modifying its own copy
+		p.node, p.incarnation = &node, binary.LittleEndian.Uint64(n.Meta)
 	}
 	view := make(map[string]uint64, len(g.peers))
 	for name, p := range g.peers {
-		view[name] = p.inc
+		view[name] = p.incarnation
 	}
 	g.mu.Unlock()
-	g.ev.View(view)
+	g.events.View(view)
 }
--- a/internal/member/keys.go
+++ b/internal/member/keys.go
@@ -11,34 +11,34 @@
 	"strings"
 )
 
-// Bounds of a key file.
+// Limits of a key file.
 const (
-	keyBytes = 4 << 10
-	keysMost = 8
+	maxKeyFileBytes = 4 << 10
+	maxKeys         = 8
 )
 
-// ReadKeys reads a key file: a key on each line, 16, 24 or 32 bytes in base64, the one that seals first; the others
-// are still understood. Lines that are empty or begin with # say nothing. The file must be its owner's alone. No
-// error holds any of its text.
+// ReadKeys reads a key file with one key per line, of 16, 24 or 32 bytes in base64. The first key encrypts; the others are
+// accepted for decryption only. Empty lines and lines that begin with # are ignored. The file must be accessible to its
+// owner only. No error contains any text of the file.
 func ReadKeys(path string) ([][]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		// The path is the operator's own; what os says of it holds nothing of the file.
+		// The error contains the path, which the operator chose, and nothing of the file's contents.
 		return nil, fmt.Errorf("key file: %w", err)
 	}
 	defer f.Close()
-	st, err := f.Stat()
+	info, err := f.Stat()
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("key file: %w", err)
-	case !st.Mode().IsRegular():
+	case !info.Mode().IsRegular():
 		return nil, fmt.Errorf("key file %s: not a regular file", path)
-	case st.Mode().Perm()&0o077 != 0:
-		return nil, fmt.Errorf("key file %s: others may use it (mode %v); chmod 600", path, st.Mode().Perm()&fs.ModePerm)
-	case st.Size() > keyBytes:
-		return nil, fmt.Errorf("key file %s: more than %d bytes", path, keyBytes)
+	case info.Mode().Perm()&0o077 != 0:
+		return nil, fmt.Errorf("key file %s: accessible to others (mode %v); chmod 600", path, info.Mode().Perm()&fs.ModePerm)
+	case info.Size() > maxKeyFileBytes:
+		return nil, fmt.Errorf("key file %s: more than %d bytes", path, maxKeyFileBytes)
 	}
-	text := make([]byte, keyBytes)
+	text := make([]byte, maxKeyFileBytes)
 	n, err := f.Read(text)
 	if err != nil {
 		return nil, fmt.Errorf("key file %s: empty or unreadable", path)
@@ -46,6 +46,7 @@
 	return parseKeys(path, text[:n])
 }
 
+// parseKeys parses the text of a key file; path is for error messages only.
 func parseKeys(path string, text []byte) ([][]byte, error) {
 	var keys [][]byte
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -66,8 +67,8 @@
 				return nil, fmt.Errorf("key file %s, line %d: the same key twice", path, n)
 			}
 		}
-		if keys = append(keys, key); len(keys) > keysMost {
-			return nil, fmt.Errorf("key file %s: more than %d keys", path, keysMost)
+		if keys = append(keys, key); len(keys) > maxKeys {
+			return nil, fmt.Errorf("key file %s: more than %d keys", path, maxKeys)
 		}
 	}
 	if err := lines.Err(); err != nil {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -15,23 +15,24 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-var quick = Limits{Packet: 1400, Queue: 16, Send: time.Second, Rejoin: 100 * time.Millisecond, Leave: 4 * time.Second,
+var testLimits = Limits{Packet: 1400, Queue: 16, Send: time.Second, Rejoin: 100 * time.Millisecond, Leave: 4 * time.Second,
 	Probe: 200 * time.Millisecond}
 
-type ears struct {
-	views chan map[string]uint64
-	heard chan string
+// recorder passes on the events of a group.
+type recorder struct {
+	views    chan map[string]uint64
+	messages chan string
 }
 
-func (e ears) View(v map[string]uint64) { e.views <- v }
-func (e ears) Message(b []byte)         { e.heard <- string(b) }
+func (r recorder) View(v map[string]uint64) { r.views <- v }
+func (r recorder) Message(b []byte)         { r.messages <- string(b) }
 
-// until waits for a view of others by name.
-func (e ears) until(t *testing.T, want ...string) map[string]uint64 {
+// awaitView waits for a view that consists of exactly the named instances.
+func (r recorder) awaitView(t *testing.T, want ...string) map[string]uint64 {
 	t.Helper()
-	for over := time.After(20 * time.Second); ; {
+	for timeout := time.After(20 * time.Second); ; {
 		select {
-		case v := <-e.views:
+		case v := <-r.views:
 			n := 0
 			for _, w := range want {
 				if _, ok := v[w]; ok {
@@ -41,22 +42,23 @@
 			if n == len(want) && len(v) == n {
 				return v
 			}
-		case <-over:
+		case <-timeout:
 			t.Fatalf("no view of %v", want)
 		}
 	}
 }
 
-func (e ears) message(t *testing.T, want string) {
+// awaitMessage waits for a message with the given text.
+func (r recorder) awaitMessage(t *testing.T, want string) {
 	t.Helper()
-	for over := time.After(20 * time.Second); ; {
+	for timeout := time.After(20 * time.Second); ; {
 		select {
-		case got := <-e.heard:
+		case got := <-r.messages:
 			if got == want {
 				return
 			}
-		case <-over:
-			t.Fatalf("%q was not heard", want)
+		case <-timeout:
+			t.Fatalf("message %q was not received", want)
 		}
 	}
 }
@@ -77,8 +79,8 @@
 	}
 }
 
-// free is an address nobody listens at.
-func free(t *testing.T) string {
+// freeAddress returns an address at which no process listens.
+func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -87,44 +89,44 @@
 	return ln.Addr().String()
 }
 
-func join(t *testing.T, name string, inc uint64, bind, keys string, seeds ...string) (*Group, ears, *observer.ObservedLogs) {
+func join(t *testing.T, name string, incarnation uint64, bind, keys string, seeds ...string) (*Group, recorder, *observer.ObservedLogs) {
 	t.Helper()
-	e := ears{make(chan map[string]uint64, 1000), make(chan string, 1000)}
+	r := recorder{make(chan map[string]uint64, 1000), make(chan string, 1000)}
 	core, logs := observer.New(zap.DebugLevel)
-	g, err := Join(Config{Name: name, Inc: inc, Bind: bind, Seeds: seeds, Keys: keys}, quick, e, zap.New(core))
+	g, err := Join(Config{Name: name, Inc: incarnation, Bind: bind, Seeds: seeds, Keys: keys}, testLimits, r, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return g, e, logs
+	return g, r, logs
 }
 
-// Three find each other though the first seed is dead, hear messages long and short, see who leaves and who comes
-// back under its name with a new incarnation.
-func TestThreeTalk(t *testing.T) {
-	keys, at := keyFile(t, key(0)), []string{free(t), free(t), free(t)}
-	dead := free(t)
-	a, ea, logs := join(t, "a", 1, at[0], keys, dead, at[1])
-	b, eb, _ := join(t, "b", 1, at[1], keys, dead, at[0])
-	c, ec, _ := join(t, "c", 7, at[2], keys, dead, at[0])
-	if v := ea.until(t, "b", "c"); v["c"] != 7 {
+// TestThreeInstances checks that three instances find each other although the first seed is dead, receive short and long
+// messages, and see an instance leave and return under its name with a new incarnation.
+func TestThreeInstances(t *testing.T) {
+	keys, addresses := keyFile(t, key(0)), []string{freeAddress(t), freeAddress(t), freeAddress(t)}
+	dead := freeAddress(t)
+	a, recorderA, logs := join(t, "a", 1, addresses[0], keys, dead, addresses[1])
+	b, recorderB, _ := join(t, "b", 1, addresses[1], keys, dead, addresses[0])
+	c, recorderC, _ := join(t, "c", 7, addresses[2], keys, dead, addresses[0])
+	if v := recorderA.awaitView(t, "b", "c"); v["c"] != 7 {
 		t.Errorf("%v", v)
 	}
-	eb.until(t, "a", "c")
-	ec.until(t, "a", "b")
+	recorderB.awaitView(t, "a", "c")
+	recorderC.awaitView(t, "a", "b")
 	long := strings.Repeat("x", 20_000)
 	for _, text := range []string{"short", long} {
 		a.Send("", []byte(text))
-		eb.message(t, text)
-		ec.message(t, text)
+		recorderB.awaitMessage(t, text)
+		recorderC.awaitMessage(t, text)
 	}
 	b.Send("c", []byte("for one"))
-	ec.message(t, "for one")
+	recorderC.awaitMessage(t, "for one")
 	if err := c.Leave(); err != nil {
 		t.Error(err)
 	}
-	ea.until(t, "b")
-	c, _, _ = join(t, "c", 8, at[2], keys, at[1])
-	if v := ea.until(t, "b", "c"); v["c"] != 8 {
+	recorderA.awaitView(t, "b")
+	c, _, _ = join(t, "c", 8, addresses[2], keys, addresses[1])
+	if v := recorderA.awaitView(t, "b", "c"); v["c"] != 8 {
 		t.Errorf("%v", v)
 	}
 	for _, g := range []*Group{a, b, c} {
@@ -139,38 +141,40 @@
 	}
 }
 
-// Who has another key hears nothing and is not heard; keys can be exchanged step by step while all go on talking.
-// A seed that is not there yet is asked again though others are known: it is told of no seeds itself, and comes in all the
-// same. Against two sides that a long cut has made strangers, which never asked there again.
-func TestAMissingSeedIsAskedAgain(t *testing.T) {
+// TestMissingSeedIsContactedAgain checks that a seed which starts later is contacted although other instances are known: it
+// has no seeds itself and joins nevertheless. Guards against two sides of a long network partition that consider each other
+// dead and never contact each other again.
+func TestMissingSeedIsContactedAgain(t *testing.T) {
 	keys := keyFile(t, key(0))
-	binds := []string{free(t), free(t), free(t)}
-	a, ears0, _ := join(t, "a", 1, binds[0], keys, binds...)
+	binds := []string{freeAddress(t), freeAddress(t), freeAddress(t)}
+	a, recorderA, _ := join(t, "a", 1, binds[0], keys, binds...)
 	defer a.Leave()
 	b, _, _ := join(t, "b", 1, binds[1], keys, binds...)
 	defer b.Leave()
-	ears0.until(t, "b")
+	recorderA.awaitView(t, "b")
 	c, _, _ := join(t, "c", 1, binds[2], keys)
 	defer c.Leave()
-	ears0.until(t, "b", "c")
-	if left := a.missing(); len(left) > 0 {
-		t.Errorf("missing: %v", left)
+	recorderA.awaitView(t, "b", "c")
+	if missing := a.missing(); len(missing) > 0 {
+		t.Errorf("missing: %v", missing)
 	}
 }
 
+// TestKeys checks that an instance with another key neither receives messages nor is seen, and that keys can be rotated step
+// by step while messages keep arriving.
 func TestKeys(t *testing.T) {
-	ka, kb, at := keyFile(t, key(0)), keyFile(t, key(0)), []string{free(t), free(t), free(t)}
-	a, ea, _ := join(t, "a", 1, at[0], ka)
-	b, eb, _ := join(t, "b", 1, at[1], kb, at[0])
-	stranger, es, _ := join(t, "s", 1, at[2], keyFile(t, key(5)), at[0], at[1])
-	ea.until(t, "b")
-	eb.until(t, "a")
-	say := func(n int) {
+	ka, kb, addresses := keyFile(t, key(0)), keyFile(t, key(0)), []string{freeAddress(t), freeAddress(t), freeAddress(t)}
+	a, recorderA, _ := join(t, "a", 1, addresses[0], ka)
+	b, recorderB, _ := join(t, "b", 1, addresses[1], kb, addresses[0])
+	stranger, strangerRecorder, _ := join(t, "s", 1, addresses[2], keyFile(t, key(5)), addresses[0], addresses[1])
+	recorderA.awaitView(t, "b")
+	recorderB.awaitView(t, "a")
+	exchange := func(n int) {
 		t.Helper()
 		a.Send("", fmt.Append(nil, "a", n))
-		eb.message(t, fmt.Sprint("a", n))
+		recorderB.awaitMessage(t, fmt.Sprint("a", n))
 		b.Send("", fmt.Append(nil, "b", n))
-		ea.message(t, fmt.Sprint("b", n))
+		recorderA.awaitMessage(t, fmt.Sprint("b", n))
 	}
 	for n, step := range [][]string{{key(0), key(1)}, {key(1), key(0)}, {key(1)}} {
 		for _, one := range []struct {
@@ -181,22 +185,22 @@
 			if err := one.g.Rotate(); err != nil {
 				t.Fatal(err)
 			}
-			say(10*n + len(one.g.cfg.Name))
+			exchange(10*n + len(one.g.cfg.Name))
 		}
 	}
-	// A file that can't be used changes nothing.
+	// An invalid file changes nothing.
 	if err := os.Chmod(ka, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if err := a.Rotate(); err == nil {
-		t.Error("a key file that others may read was taken")
+		t.Error("a key file that others may read was accepted")
 	}
-	say(99)
+	exchange(99)
 	stranger.mu.Lock()
 	known := len(stranger.peers)
 	stranger.mu.Unlock()
-	if known > 0 || len(es.views) > 0 || len(es.heard) > 0 {
-		t.Errorf("who has no key knows %d", known)
+	if known > 0 || len(strangerRecorder.views) > 0 || len(strangerRecorder.messages) > 0 {
+		t.Errorf("an instance without the key knows %d others", known)
 	}
 	for _, g := range []*Group{a, b, stranger} {
 		g.Leave()
@@ -219,25 +223,26 @@
 	for _, mode := range []os.FileMode{0o640, 0o604, 0o660} {
 		os.Chmod(path, mode)
 		if _, err := ReadKeys(path); err == nil {
-			t.Errorf("mode %v is taken", mode)
+			t.Errorf("mode %v is accepted", mode)
 		}
 	}
 	if _, err := ReadKeys(t.TempDir()); err == nil {
-		t.Error("a folder is taken")
+		t.Error("a folder is accepted")
 	}
 	if _, err := ReadKeys("/nowhere"); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 }
 
-// A peer that takes nothing holds up nobody, and what waits for it is bounded: the newest stays.
-func TestAStuckPeerIsBounded(t *testing.T) {
-	g := &Group{lim: Limits{Queue: 3}, peers: map[string]*peer{"stuck": {wake: make(chan struct{}, 1)}, "other": {wake: make(chan struct{}, 1)}}}
+// TestStuckPeerQueueIsBounded checks that a peer which accepts nothing doesn't delay other peers, and that its queue is
+// bounded and keeps the newest messages.
+func TestStuckPeerQueueIsBounded(t *testing.T) {
+	g := &Group{limits: Limits{Queue: 3}, peers: map[string]*peer{"stuck": {wake: make(chan struct{}, 1)}, "other": {wake: make(chan struct{}, 1)}}}
 	for n := range 10 {
 		g.Send("stuck", []byte{byte(n)})
 	}
-	if q := g.peers["stuck"].queue; len(q) != 3 || q[2][0] != 9 || g.told.dropped != 7 || len(g.peers["other"].queue) != 0 {
-		t.Errorf("%v, dropped %d", q, g.told.dropped)
+	if q := g.peers["stuck"].queue; len(q) != 3 || q[2][0] != 9 || g.counts.dropped != 7 || len(g.peers["other"].queue) != 0 {
+		t.Errorf("%v, dropped %d", q, g.counts.dropped)
 	}
 }
 
@@ -245,7 +250,7 @@
 	f.Add([]byte(key(0) + "\n#x\n" + key(1)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		keys, err := parseKeys("f", b)
-		if err == nil && (len(keys) == 0 || len(keys) > keysMost) {
+		if err == nil && (len(keys) == 0 || len(keys) > maxKeys) {
 			t.Errorf("%d keys", len(keys))
 		}
 	})
