--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,5 @@
-// Package discovery follows the list of searchers: the whole list first, then an unbroken watch.
+// Package discovery follows the list of searchers at the discovery service: it fetches the full list first and then watches
+// for changes by long polling.
 package discovery
 
 import (
@@ -14,180 +15,184 @@
 	"peathollow/policy"
 )
 
-// Limits are the sizes and times of the watch.
+// Limits holds the size limits and timings of the watch.
 type Limits struct {
-	Body  int64         // bytes of an answer
-	Call  time.Duration // for an answer that need not wait
-	Wait  time.Duration // a watch may wait
-	Pause time.Duration // after a failure that came at once, unless asked sooner
+	Body  int64         // maximum size of a response in bytes
+	Call  time.Duration // timeout of a request that doesn't wait for changes
+	Wait  time.Duration // how long the service may hold a watch request, in addition to Call
+	Pause time.Duration // pause after an immediate failure, unless Ask ends it sooner
 }
 
-// Watcher asks one discovery service at a time.
+// Watcher follows one discovery service at a time.
 type Watcher struct {
-	lim  Limits
-	kick chan struct{}
+	limits Limits
+	wake   chan struct{}
 
-	mu    sync.Mutex
-	addr  string
-	leave context.CancelFunc // ends what goes on at the address; nil before Run
+	mu     sync.Mutex
+	addr   string
+	cancel context.CancelFunc // cancels the requests to the address; nil before Run
 }
 
-// New makes a watcher; nothing is asked before Run.
-func New(addr string, lim Limits) *Watcher {
-	return &Watcher{addr: addr, lim: lim, kick: make(chan struct{}, 1)}
+// New returns a watcher, which sends no request before Run.
+func New(addr string, limits Limits) *Watcher {
+	return &Watcher{addr: addr, limits: limits, wake: make(chan struct{}, 1)}
 }
 
-// Move makes it follow the service at another address. A call in hand is dropped, not waited for: the old service
-// may hang, and what the new one has to tell is due soon after the word to move.
+// Move makes the watcher follow the service at another address. It cancels a pending request and doesn't wait for it: the
+// old service may hang, and the updates of the new one are due soon after the instruction to move.
 func (w *Watcher) Move(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
 		return
 	}
-	if w.addr = addr; w.leave != nil {
-		w.leave()
+	if w.addr = addr; w.cancel != nil {
+		w.cancel()
 	}
 }
 
-// Whole asks for the whole list once, beside the watch.
+// Whole fetches the full list once, independently of the watch.
 func (w *Watcher) Whole(ctx context.Context) (proto.List, error) {
 	w.mu.Lock()
 	addr := w.addr
 	w.mu.Unlock()
-	tr := &http.Transport{MaxConnsPerHost: 1, DisableKeepAlives: true, DisableCompression: true}
-	defer tr.CloseIdleConnections()
-	return (&watch{addr: addr, lim: w.lim, http: http.Client{Transport: tr}}).next(ctx, true)
+	transport := &http.Transport{MaxConnsPerHost: 1, DisableKeepAlives: true, DisableCompression: true}
+	defer transport.CloseIdleConnections()
+	return (&session{addr: addr, limits: w.limits, http: http.Client{Transport: transport}}).next(ctx, true)
 }
 
-// Anew drops the watch in hand and begins one with the whole list.
+// Anew cancels the current watch and starts a new one with the full list.
 func (w *Watcher) Anew() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.leave != nil {
-		w.leave()
+	if w.cancel != nil {
+		w.cancel()
 	}
 }
 
-// Ask cuts a pause short.
+// Ask ends a pause after a failure.
 func (w *Watcher) Ask() {
 	select {
-	case w.kick <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-var errOld = errors.New("an older version than before")
+var errOlderVersion = errors.New("version is older than the previous one")
 
-// Run follows the list until the context ends and hands on what it is told, in order.
-func (w *Watcher) Run(ctx context.Context, tell func(policy.ListMode, proto.List)) {
+// Run follows the list until the context ends and passes each update to handle, in order.
+func (w *Watcher) Run(ctx context.Context, handle func(policy.ListMode, proto.List)) {
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
+		watchCtx, cancel := context.WithCancel(ctx)
 		w.mu.Lock()
 		addr := w.addr
-		w.leave = leave
+		w.cancel = cancel
 		w.mu.Unlock()
-		w.follow(here, addr, tell)
-		leave()
+		w.follow(watchCtx, addr, handle)
+		cancel()
 	}
 }
 
-// watch is what holds for one address only: its connection, and the version last told there.
-type watch struct {
-	addr string
-	lim  Limits
-	http http.Client
-	at   int64
+// session is the state for one address: its connection and the version last received from it.
+type session struct {
+	addr    string
+	limits  Limits
+	http    http.Client
+	version int64
 }
 
-// follow starts with the whole list: versions of one service owe nothing to those of another.
-func (w *Watcher) follow(ctx context.Context, addr string, tell func(policy.ListMode, proto.List)) {
-	tr := &http.Transport{MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, DisableCompression: true}
-	defer tr.CloseIdleConnections()
-	at := watch{addr: addr, lim: w.lim, http: http.Client{Transport: tr}}
-	for whole := true; ctx.Err() == nil; {
-		l, err := at.next(ctx, whole)
+// follow watches the service at an address until the context ends. It starts with the full list, since the versions of one
+// service are unrelated to those of another.
+func (w *Watcher) follow(ctx context.Context, addr string, handle func(policy.ListMode, proto.List)) {
+	transport := &http.Transport{MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, DisableCompression: true}
+	defer transport.CloseIdleConnections()
+	current := session{addr: addr, limits: w.limits, http: http.Client{Transport: transport}}
+	for full := true; ctx.Err() == nil; {
+		list, err := current.next(ctx, full)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			// Only a version that went back makes the list held worthless; a silent service does not.
-			whole = whole || errors.Is(err, errOld)
-			tell(policy.Unavailable, proto.List{})
-			// A call that fell silent has taken its time already, and what it missed counts as told soon after that:
-			// it is made anew at once. A rest is for those that fail at once, which would else follow one another.
+			// Only a version that decreases invalidates the list received so far; an unresponsive service does not.
+			full = full || errors.Is(err, errOlderVersion)
+			handle(policy.Unavailable, proto.List{})
+			// A request that timed out has taken its time already, and the updates that it missed are due soon after
+			// that, so it is repeated at once. The pause is for immediate failures, which would otherwise be repeated in
+			// quick succession.
 			if !errors.Is(err, context.DeadlineExceeded) {
-				w.rest(ctx)
+				w.pause(ctx)
 			}
 			continue
 		}
-		whole = false
-		at.at = l.Version
+		full = false
+		current.version = list.Version
 		switch {
-		case l.Whole:
-			tell(policy.Full, l)
-		case len(l.Hosts) > 0:
-			tell(policy.Changes, l)
+		case list.Whole:
+			handle(policy.Full, list)
+		case len(list.Hosts) > 0:
+			handle(policy.Changes, list)
 		}
 	}
 }
 
-func (w *Watcher) rest(ctx context.Context) {
+// pause waits after a failure, until the time is over or Ask is called.
+func (w *Watcher) pause(ctx context.Context) {
 	select {
-	case <-w.kick: // one from before the failure asks for nothing new
+	case <-w.wake: // drops an Ask from before the failure
 	default:
 	}
-	t := time.NewTimer(w.lim.Pause)
+	t := time.NewTimer(w.limits.Pause)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-w.kick:
+	case <-w.wake:
 	}
 }
 
-func (w *watch) next(ctx context.Context, whole bool) (l proto.List, err error) {
+// next requests the full list, or waits for changes since the last version. It converts a panic into an error.
+func (s *session) next(ctx context.Context, full bool) (list proto.List, err error) {
 	defer func() {
-		if e := recover(); e != nil {
-			err = fmt.Errorf("discovery: panic: %v", e)
+		if panicked := recover(); panicked != nil {
+			err = fmt.Errorf("discovery: panic: %v", panicked)
 		}
 	}()
-	url, limit := "http://"+w.addr+"/v1/endpoints", w.lim.Call
-	if !whole {
-		url += fmt.Sprintf("?after=%d&wait_ms=%d", w.at, w.lim.Wait.Milliseconds())
-		limit += w.lim.Wait
-	}
-	ctx, done := context.WithTimeout(ctx, limit)
-	defer done()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	url, timeout := "http://"+s.addr+"/v1/endpoints", s.limits.Call
+	if !full {
+		url += fmt.Sprintf("?after=%d&wait_ms=%d", s.version, s.limits.Wait.Milliseconds())
+		timeout += s.limits.Wait
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return proto.List{}, fmt.Errorf("discovery: %w", err)
 	}
-	res, err := w.http.Do(req)
+	response, err := s.http.Do(request)
 	if err != nil {
 		return proto.List{}, fmt.Errorf("discovery: %w", err)
 	}
-	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, w.lim.Body+1))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, s.limits.Body+1))
 	switch {
 	case err != nil:
 		return proto.List{}, fmt.Errorf("discovery: %w", err)
-	case res.StatusCode != http.StatusOK:
-		return proto.List{}, fmt.Errorf("discovery: status %d", res.StatusCode)
-	case int64(len(body)) > w.lim.Body:
-		return proto.List{}, fmt.Errorf("discovery: more than %d bytes", w.lim.Body)
+	case response.StatusCode != http.StatusOK:
+		return proto.List{}, fmt.Errorf("discovery: status %d", response.StatusCode)
+	case int64(len(body)) > s.limits.Body:
+		return proto.List{}, fmt.Errorf("discovery: more than %d bytes", s.limits.Body)
 	}
-	if l, err = proto.ReadList(body); err != nil {
-		return l, fmt.Errorf("discovery: %w", err)
+	if list, err = proto.ReadList(body); err != nil {
+		return list, fmt.Errorf("discovery: %w", err)
 	}
-	if !whole && l.Version < w.at {
-		return l, errOld
+	if !full && list.Version < s.version {
+		return list, errOlderVersion
 	}
-	if !whole && !l.Whole && l.Version == w.at {
-		l.Hosts = nil // told before
+	if !full && !list.Whole && list.Version == s.version {
+		list.Hosts = nil // nothing new
 	}
-	if whole && !l.Whole {
-		return l, errors.New("discovery: changes where the whole list was asked for")
+	if full && !list.Whole {
+		return list, errors.New("discovery: got changes instead of the full list")
 	}
-	return l, nil
+	return list, nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,38 +10,40 @@
 	"peathollow/policy"
 )
 
-type told struct {
+// update is one call of the watcher's handler.
+type update struct {
 	mode policy.ListMode
 	list proto.List
 }
 
-func follow(t *testing.T, lim Limits) (*standin.Discovery, *Watcher, func() told) {
+// follow runs a watcher against a discovery service with one searcher, and returns a function that awaits its next update.
+func follow(t *testing.T, limits Limits) (*standin.Discovery, *Watcher, func() update) {
 	t.Helper()
 	d, err := standin.NewDiscovery("127.0.0.1:0", []standin.Host{{Host: "a", Dial: "127.0.0.1:1", Health: "up"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := make(chan told, 100)
-	w := New(d.Addr(), lim)
-	ctx, stop := context.WithCancel(context.Background())
+	updates := make(chan update, 100)
+	w := New(d.Addr(), limits)
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		w.Run(ctx, func(m policy.ListMode, l proto.List) { heard <- told{m, l} })
+		w.Run(ctx, func(m policy.ListMode, l proto.List) { updates <- update{m, l} })
 		close(ended)
 	}()
-	t.Cleanup(func() { stop(); <-ended; d.Close() })
-	return d, w, func() told {
+	t.Cleanup(func() { cancel(); <-ended; d.Close() })
+	return d, w, func() update {
 		select {
-		case x := <-heard:
+		case x := <-updates:
 			return x
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing told")
-			return told{}
+			t.Fatal("no update")
+			return update{}
 		}
 	}
 }
 
-func TestTheWholeListThenChanges(t *testing.T) {
+func TestFullListThenChanges(t *testing.T) {
 	d, _, next := follow(t, Limits{Body: 1 << 20, Call: 5 * time.Second, Wait: 5 * time.Second, Pause: time.Millisecond})
 	if x := next(); x.mode != policy.Full || len(x.list.Hosts) != 1 {
 		t.Errorf("%+v", x)
@@ -56,8 +58,9 @@
 	}
 }
 
-// A silent service is asked again, and what was missed comes as changes; the list held stays good meanwhile.
-func TestASilentServiceIsAskedAgain(t *testing.T) {
+// TestUnresponsiveServiceIsAskedAgain checks that an unresponsive service is asked again and that the missed updates arrive as
+// changes, so that the list received before remains valid.
+func TestUnresponsiveServiceIsAskedAgain(t *testing.T) {
 	d, w, next := follow(t, Limits{Body: 1 << 20, Call: 500 * time.Millisecond, Wait: time.Millisecond, Pause: time.Hour})
 	next()
 	d.SetSilent(true)
@@ -76,12 +79,13 @@
 	}
 }
 
-// A watch that falls silent is broken and made anew at once, without the rest after a failure and without being asked:
-// what it missed counts as told 2 s after its wait is over, and a rest of a second on top of the time it was given
-// came too late for that. One silent watch after the other costs one call each, never a burst of them.
-func TestASilentWatchIsMadeAnewAtOnce(t *testing.T) {
-	lim := Limits{Body: 1 << 20, Call: 200 * time.Millisecond, Wait: 200 * time.Millisecond, Pause: time.Hour}
-	d, _, next := follow(t, lim)
+// TestUnresponsiveWatchIsRepeatedAtOnce checks that a watch request without a response is cancelled and repeated at once, without
+// the pause after a failure and without a call of Ask. The updates that it missed are due 2 s after its wait is over, and a
+// pause of a second in addition to its timeout was too late for that. Successive unresponsive watches cost one request each,
+// never a burst.
+func TestUnresponsiveWatchIsRepeatedAtOnce(t *testing.T) {
+	limits := Limits{Body: 1 << 20, Call: 200 * time.Millisecond, Wait: 200 * time.Millisecond, Pause: time.Hour}
+	d, _, next := follow(t, limits)
 	next()
 	for i := range 3 {
 		d.AwaitWatch() // the watch is open
@@ -94,35 +98,36 @@
 		if x := next(); x.mode != policy.Changes || x.list.Hosts[0].Name != "b" {
 			t.Errorf("%+v", x)
 		}
-		if took := time.Since(at); took < lim.Call {
-			t.Errorf("told after %v: the watch was not silent", took)
+		if took := time.Since(at); took < limits.Call {
+			t.Errorf("update after %v: the watch was not unresponsive", took)
 		}
 	}
 }
 
-// Lists may come indented, with keys not known here.
-func TestAnIndentedList(t *testing.T) {
+// TestIndentedList checks that a list may be indented and contain unknown keys.
+func TestIndentedList(t *testing.T) {
 	d, _, next := follow(t, Limits{Body: 1 << 10, Call: 5 * time.Second, Wait: time.Millisecond, Pause: time.Millisecond})
 	next()
 	d.SetGarbage("{\n  \"seq\": 7,\n  \"whole\": true,\n  \"later\": {\"a\": [1]},\n  \"hosts\": [\n    {\n      \"host\": \"c\",\n" +
 		"      \"dial\": \"127.0.0.1:3\",\n      \"health\": \"up\",\n      \"share\": 1\n    }\n  ]\n}\n")
 	for x := next(); x.mode != policy.Full || x.list.Version != 7 || x.list.Hosts[0].Name != "c"; x = next() {
 		if x.mode == policy.Unavailable {
-			t.Fatal("an indented list was not taken")
+			t.Fatal("an indented list was not accepted")
 		}
 	}
 }
 
-func TestAMalformedAnswerIsDropped(t *testing.T) {
+// TestMalformedResponseIsDropped checks that malformed responses are dropped and that the watcher recovers afterwards.
+func TestMalformedResponseIsDropped(t *testing.T) {
 	d, _, next := follow(t, Limits{Body: 1 << 10, Call: 5 * time.Second, Wait: time.Millisecond, Pause: time.Millisecond})
 	next()
 	for _, junk := range []string{"no json", `{"whole":true}`, `{"seq":99,"hosts":[{"host":""}]}`} {
 		d.SetGarbage(junk)
 		for x := next(); x.mode != policy.Unavailable; x = next() {
-			t.Errorf("%q: told %+v", junk, x)
+			t.Errorf("%q: update %+v", junk, x)
 		}
 	}
-	// An older version makes the list held worthless: the whole one is asked for.
+	// An older version invalidates the list received so far: the full list is requested.
 	d.SetGarbage(`{"seq":0,"whole":true,"hosts":[]}`)
 	for x := next(); x.mode != policy.Full; x = next() {
 	}
@@ -131,9 +136,10 @@
 	}
 }
 
-// A move is not held up by a call that hangs at the old address, and starts with the whole list of the new one,
-// whose versions owe nothing to the old one's. Against following a service that has been taken away.
-func TestAMoveStartsAnew(t *testing.T) {
+// TestMoveStartsWithFullList checks that a move isn't delayed by a request that hangs at the old address, and that it starts with
+// the full list of the new service, whose versions are unrelated to those of the old one. Guards against following a service
+// that was removed.
+func TestMoveStartsWithFullList(t *testing.T) {
 	d, w, next := follow(t, Limits{Body: 1 << 20, Call: time.Hour, Wait: time.Hour, Pause: time.Hour})
 	for range 5 {
 		d.SetHost(standin.Host{Host: "a", Dial: "127.0.0.1:1", Health: "up"})
