--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -15,30 +15,30 @@
 	"peathollow/policy"
 )
 
-// Letters of frames.
+// Letters that identify the types of frames.
 const (
-	LetterCall   = 'D'
-	LetterGiveUp = 'K'
-	LetterAnswer = 'O'
-	LetterProbe  = 'I'
-	LetterLoad   = 'U'
-	LetterEnd    = 'Z'
+	LetterCall   = 'D' // requests for parts
+	LetterGiveUp = 'K' // cancels a part
+	LetterAnswer = 'O' // response for a part
+	LetterProbe  = 'I' // health check, and its reply
+	LetterLoad   = 'U' // request for a load report, and its reply
+	LetterEnd    = 'Z' // ends the connection; the contents state why
 )
 
-// Call is one part on its way to a searcher.
+// Call is the request for one part, as sent to a searcher.
 type Call struct {
 	ID    string
 	Shard int
-	Until time.Time // how long the mixer waits
+	Until time.Time // when the mixer stops waiting
 	Key   string
-	From  []int // for a second step: the shards that were in
-	Whole bool  // and whether the first step's answer was
+	From  []int // for a second step: the shards whose results the first step included
+	Whole bool  // for a second step: whether the first step's answer was complete
 	Text  string
 }
 
-// AppendCalls writes one frame that carries the parts of one call, leaving at that time.
+// AppendCalls appends one frame with the requests for one or more parts. The remaining times are computed from now.
 func AppendCalls(b []byte, now time.Time, calls ...Call) []byte {
-	at := len(b)
+	start := len(b)
 	b = append(b, 0, 0, 0, 0, LetterCall)
 	for i := range calls {
 		c := &calls[i]
@@ -67,39 +67,41 @@
 		b = append(strconv.AppendInt(b, int64(len(c.Text)), 10), '\n')
 		b = append(b, c.Text...)
 	}
-	return seal(b, at)
+	return seal(b, start)
 }
 
-// AppendGiveUp writes the frame that gives up one part.
+// AppendGiveUp appends the frame that cancels one part.
 func AppendGiveUp(b []byte, id string) []byte {
-	at := len(b)
+	start := len(b)
 	b = append(b, 0, 0, 0, 0, LetterGiveUp)
-	return seal(append(b, id...), at)
+	return seal(append(b, id...), start)
 }
 
-// AppendProbe writes a probe of either letter.
+// AppendProbe appends a probe, whose letter is that of a health check or of a load report.
 func AppendProbe(b []byte, letter byte) []byte { return append(b, 1, 0, 0, 0, letter) }
 
-// AppendProbed writes a searcher's answer to one.
-func AppendProbed(b []byte, letter byte, word string) []byte {
-	at := len(b)
+// AppendProbed appends a searcher's reply to a probe.
+func AppendProbed(b []byte, letter byte, text string) []byte {
+	start := len(b)
 	b = append(b, 0, 0, 0, 0, letter)
-	return seal(append(b, word...), at)
+	return seal(append(b, text...), start)
 }
 
-func seal(b []byte, at int) []byte {
-	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-4))
+// seal writes the length of the frame that begins at the given offset.
+func seal(b []byte, start int) []byte {
+	binary.LittleEndian.PutUint32(b[start:], uint32(len(b)-start-4))
 	return b
 }
 
-// ReadFrame reads one frame into buf, grown as needed, and gives its letter and the rest.
-func ReadFrame(r io.Reader, buf []byte, most int) (letter byte, rest, grown []byte, err error) {
-	var head [4]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
+// ReadFrame reads one frame of at most limit bytes into buf, grown as needed, and returns its letter, the rest of its contents
+// and the buffer.
+func ReadFrame(r io.Reader, buf []byte, limit int) (letter byte, contents, grown []byte, err error) {
+	var header [4]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, buf, err
 	}
-	n := binary.LittleEndian.Uint32(head[:])
-	if n < 1 || uint64(n) > uint64(most) {
+	n := binary.LittleEndian.Uint32(header[:])
+	if n < 1 || uint64(n) > uint64(limit) {
 		return 0, nil, buf, fmt.Errorf("frame of %d bytes", n)
 	}
 	if cap(buf) < int(n) {
@@ -112,16 +114,16 @@
 	return buf[0], buf[1:], buf, nil
 }
 
-// HoldsFrame tells whether a reader holds a whole frame already.
+// HoldsFrame reports whether a complete frame is buffered in a reader.
 func HoldsFrame(r *bufio.Reader) bool {
 	if r.Buffered() < 4 {
 		return false
 	}
-	head, err := r.Peek(4)
-	return err == nil && uint64(r.Buffered()) >= 4+uint64(binary.LittleEndian.Uint32(head))
+	header, err := r.Peek(4)
+	return err == nil && uint64(r.Buffered()) >= 4+uint64(binary.LittleEndian.Uint32(header))
 }
 
-// Answer is a searcher's word on one part.
+// Answer is a searcher's response to the request for one part.
 type Answer struct {
 	ID    string
 	End   policy.Outcome
@@ -129,35 +131,35 @@
 	Value string
 }
 
-// ErrMute is why a connection ends that says nothing when it is asked for a receipt.
+// ErrMute is the reason for closing a connection whose searcher doesn't reply to a probe that was sent to confirm receipt.
 var ErrMute = errors.New("silent when asked for a receipt")
 
-var ends = map[string]policy.Outcome{"200": policy.Succeeded, "500": policy.Failed, "503": policy.Overloaded}
+var outcomes = map[string]policy.Outcome{"200": policy.Succeeded, "500": policy.Failed, "503": policy.Overloaded}
 
 var (
 	errAnswer = errors.New("unreadable answer")
 	errCall   = errors.New("unreadable call")
 )
 
-// ReadAnswer decodes the rest of an answer's frame.
-func ReadAnswer(rest []byte) (Answer, error) {
-	line, value, ok := bytes.Cut(rest, []byte{'\n'})
-	f := bytes.SplitN(line, []byte{' '}, 4)
-	if !ok || len(f) < 4 || len(f[0]) == 0 {
+// ReadAnswer decodes the contents of an answer's frame, without its letter.
+func ReadAnswer(contents []byte) (Answer, error) {
+	line, value, ok := bytes.Cut(contents, []byte{'\n'})
+	fields := bytes.SplitN(line, []byte{' '}, 4)
+	if !ok || len(fields) < 4 || len(fields[0]) == 0 {
 		return Answer{}, errAnswer
 	}
-	end, ok := ends[string(f[1])]
+	end, ok := outcomes[string(fields[1])]
 	if !ok {
 		return Answer{}, errAnswer
 	}
-	a := Answer{ID: string(f[0]), End: end}
-	if string(f[2]) != "-" {
+	a := Answer{ID: string(fields[0]), End: end}
+	if string(fields[2]) != "-" {
 		var err error
-		if a.Score, err = strconv.ParseFloat(string(f[2]), 64); err != nil || math.IsNaN(a.Score) || math.IsInf(a.Score, 0) {
+		if a.Score, err = strconv.ParseFloat(string(fields[2]), 64); err != nil || math.IsNaN(a.Score) || math.IsInf(a.Score, 0) {
 			return Answer{}, errAnswer
 		}
 	}
-	// Text that is none would reach the client as something else than the searcher's value.
+	// Invalid UTF-8 would be altered on its way to the client, which would get another value than the searcher sent.
 	if end == policy.Succeeded {
 		if a.Value = string(value); !utf8.ValidString(a.Value) {
 			return Answer{}, errAnswer
@@ -166,21 +168,21 @@
 	return a, nil
 }
 
-// ReadCalls decodes the rest of a call's frame, as a searcher does; times are counted from now.
-func ReadCalls(rest []byte, now time.Time) ([]Call, error) {
+// ReadCalls decodes the contents of a frame written by AppendCalls, as a searcher does. Times are relative to now.
+func ReadCalls(contents []byte, now time.Time) ([]Call, error) {
 	var calls []Call
-	for len(rest) > 0 {
-		line, after, ok := bytes.Cut(rest, []byte{'\n'})
-		f := bytes.Split(line, []byte{' '})
-		if !ok || len(f) != 4 {
+	for len(contents) > 0 {
+		line, remaining, ok := bytes.Cut(contents, []byte{'\n'})
+		fields := bytes.Split(line, []byte{' '})
+		if !ok || len(fields) != 4 {
 			return nil, errCall
 		}
-		c := Call{ID: string(f[0])}
-		n, err := strconv.Atoi(string(f[3]))
-		if c.Shard, _ = strconv.Atoi(string(f[1])); err != nil || n < 0 || n > len(after) {
+		c := Call{ID: string(fields[0])}
+		n, err := strconv.Atoi(string(fields[3]))
+		if c.Shard, _ = strconv.Atoi(string(fields[1])); err != nil || n < 0 || n > len(remaining) {
 			return nil, errCall
 		}
-		for _, kv := range bytes.Split(f[2], []byte{','}) {
+		for _, kv := range bytes.Split(fields[2], []byte{','}) {
 			k, v, _ := bytes.Cut(kv, []byte{'='})
 			switch string(k) {
 			case "d":
@@ -203,16 +205,16 @@
 				c.Whole = string(v) == "1"
 			}
 		}
-		c.Text, rest = string(after[:n]), after[n:]
+		c.Text, contents = string(remaining[:n]), remaining[n:]
 		calls = append(calls, c)
 	}
 	return calls, nil
 }
 
-// AppendAnswer writes a searcher's word on one part.
+// AppendAnswer appends the frame with a searcher's response to the request for one part.
 func AppendAnswer(b []byte, id string, end int, score uint64, value string) []byte {
-	at := len(b)
+	start := len(b)
 	b = append(b, 0, 0, 0, 0, LetterAnswer)
 	b = fmt.Appendf(b, "%s %d %d -\n%s", id, end, score, value)
-	return seal(b, at)
+	return seal(b, start)
 }
--- a/internal/proto/list.go
+++ b/internal/proto/list.go
@@ -9,25 +9,25 @@
 	"peathollow/policy"
 )
 
-// List is discovery's answer: the whole list of searchers, or what changed.
+// List is discovery's response: the full list of searchers, or the changed ones.
 type List struct {
 	Version int64
 	Whole   bool
 	Hosts   []Host
 }
 
-// Host is one searcher as discovery tells of it.
+// Host is one searcher as reported by discovery.
 type Host struct {
 	Name, Addr string
 	State      policy.SearcherState
 	Cell       int
 	Weight     float64
-	Born       time.Time // zero: long ago
+	Born       time.Time // start of the searcher; zero if it started long ago
 }
 
-var standings = map[string]policy.SearcherState{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone}
+var states = map[string]policy.SearcherState{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone}
 
-// ReadList decodes what discovery answers.
+// ReadList decodes a response of discovery.
 func ReadList(text []byte) (List, error) {
 	var raw struct {
 		Seq   *int64 `json:"seq"`
@@ -47,26 +47,26 @@
 	if raw.Seq == nil {
 		return List{}, fmt.Errorf("list: no seq")
 	}
-	l := List{Version: *raw.Seq, Whole: raw.Whole, Hosts: make([]Host, 0, len(raw.Hosts))}
+	list := List{Version: *raw.Seq, Whole: raw.Whole, Hosts: make([]Host, 0, len(raw.Hosts))}
 	for _, h := range raw.Hosts {
-		st, ok := standings[h.Health]
+		state, ok := states[h.Health]
 		if !ok || h.Host == "" {
 			return List{}, fmt.Errorf("list: host %.60q has health %.20q", h.Host, h.Health)
 		}
-		if _, _, err := net.SplitHostPort(h.Dial); err != nil && st != policy.Gone {
+		if _, _, err := net.SplitHostPort(h.Dial); err != nil && state != policy.Gone {
 			return List{}, fmt.Errorf("list: host %.60q: dial %.60q", h.Host, h.Dial)
 		}
-		e := Host{Name: h.Host, Addr: h.Dial, State: st, Cell: -1, Weight: 1}
+		host := Host{Name: h.Host, Addr: h.Dial, State: state, Cell: -1, Weight: 1}
 		if h.Block != nil {
-			e.Cell = *h.Block
+			host.Cell = *h.Block
 		}
 		if h.Share != nil {
-			e.Weight = *h.Share
+			host.Weight = *h.Share
 		}
 		if h.Born > 0 {
-			e.Born = time.UnixMicro(int64(h.Born * 1000))
+			host.Born = time.UnixMicro(int64(h.Born * 1000))
 		}
-		l.Hosts = append(l.Hosts, e)
+		list.Hosts = append(list.Hosts, host)
 	}
-	return l, nil
+	return list, nil
 }
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -14,18 +14,18 @@
 
 var t0 = time.UnixMilli(1796129758000)
 
-func TestACallThereAndBack(t *testing.T) {
+func TestCallRoundTrip(t *testing.T) {
 	calls := []Call{
 		{ID: "9b1f03aa5c7e2d41.3", Shard: 3, Until: t0.Add(240 * time.Millisecond), Key: "5c0f", Text: "c41e 77d0"},
 		{ID: "9b1f03aa5c7e2d41.9.fetch", Shard: 9, Until: t0.Add(time.Second), From: []int{3, 5, 9}, Whole: true, Text: ""},
 	}
 	b := AppendCalls(nil, t0, calls...)
 	want := "9b1f03aa5c7e2d41.3 3 d=240,k=5c0f 9\nc41e 77d09b1f03aa5c7e2d41.9.fetch 9 d=1000,from=3+5+9,whole=1 0\n"
-	letter, rest, _, err := ReadFrame(bytes.NewReader(b), nil, 1<<10)
-	if err != nil || letter != 'D' || string(rest) != want {
-		t.Fatalf("%c %q %v", letter, rest, err)
+	letter, contents, _, err := ReadFrame(bytes.NewReader(b), nil, 1<<10)
+	if err != nil || letter != 'D' || string(contents) != want {
+		t.Fatalf("%c %q %v", letter, contents, err)
 	}
-	if got, err := ReadCalls(rest, t0); err != nil || !reflect.DeepEqual(got, calls) {
+	if got, err := ReadCalls(contents, t0); err != nil || !reflect.DeepEqual(got, calls) {
 		t.Errorf("%+v %v", got, err)
 	}
 	if got := string(AppendGiveUp(nil, "a.3")); got != "\x04\x00\x00\x00Ka.3" {
@@ -33,10 +33,10 @@
 	}
 }
 
-func TestAnswersAsSearchersGiveThem(t *testing.T) {
+func TestReadAnswer(t *testing.T) {
 	for text, want := range map[string]Answer{
 		"9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2": {ID: "9b1f.3", End: policy.Succeeded, Score: 1840277719, Value: "5be2"},
-		"9b1f.3 200 7 \xff\xfe =,\x00\n5be2":               {ID: "9b1f.3", End: policy.Succeeded, Score: 7, Value: "5be2"}, // nobody needs the report
+		"9b1f.3 200 7 \xff\xfe =,\x00\n5be2":               {ID: "9b1f.3", End: policy.Succeeded, Score: 7, Value: "5be2"}, // the load report isn't decoded
 		"9b1f.3 503 0 -\n":                                 {ID: "9b1f.3", End: policy.Overloaded},
 		"9b1f.3 500 - -\n":                                 {ID: "9b1f.3", End: policy.Failed},
 	} {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestFramesThatCannotBe(t *testing.T) {
+func TestInvalidFrames(t *testing.T) {
 	for _, b := range []string{"", "\x00\x00\x00\x00", "\xff\xff\xff\xffO", "\x05\x00\x00\x00O"} {
 		if _, _, _, err := ReadFrame(bytes.NewReader([]byte(b)), nil, 1<<10); err == nil {
 			t.Errorf("%q was read", b)
@@ -65,7 +65,7 @@
 		"Req-Deadline": {wait}, "Idempotency-Key": {"5c0f"}, "Req-Retry": {"1"}}}
 }
 
-func TestAQueryAsClientsSendIt(t *testing.T) {
+func TestReadQuery(t *testing.T) {
 	body := `{"parts":[{"id":3,"w":0.25,"hint":9000,"tag":"00"},{"id":9,"w":0.75}],"expr":"c41e"}`
 	got, err := ReadQuery(request("checkout/more", "9b1f", "480500u"), []byte(body))
 	want := Query{ID: "9b1f", Class: "checkout", Tenant: "acme", Key: "5c0f", Wait: 480500 * time.Microsecond, Retry: true,
@@ -81,8 +81,8 @@
 	}
 }
 
-// What can't be served honestly is told so at the door, with the field at fault.
-func TestAQueryThatCannotBe(t *testing.T) {
+// TestInvalidQueries checks that invalid queries are rejected with the field at fault.
+func TestInvalidQueries(t *testing.T) {
 	good := `{"parts":[{"id":3,"w":0.25},{"id":9,"w":0.75}],"expr":"x"}`
 	for _, c := range []struct{ wait, body, want string }{
 		{"480m", `{"parts":[{"id":3,"w":0.25},{"id":9,"w":0.7}],"expr":"x"}`, "add up"},
@@ -107,7 +107,7 @@
 	if _, err := ReadQuery(r, []byte(good)); err == nil || !strings.Contains(err.Error(), "Req-Deadline: comes twice") {
 		t.Error(err)
 	}
-	// Weights may be rounded, and left out together.
+	// Weights may be rounded, and may be omitted for all parts.
 	for _, body := range []string{`{"parts":[{"id":3,"w":0.3333},{"id":9,"w":0.3333},{"id":1,"w":0.3333}],"expr":"x"}`,
 		`{"parts":[{"id":3},{"id":9}],"expr":"x"}`} {
 		if _, err := ReadQuery(request("c", "a", "480m"), []byte(body)); err != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestAListAsDiscoveryGivesIt(t *testing.T) {
+func TestReadList(t *testing.T) {
 	got, err := ReadList([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s-5b","dial":"10.1.0.18:3000","site":"a",
 		"class":"m2","block":3,"health":"draining","share":0.5,"born_ms":1796129758000},{"host":"s-6","health":"removed"}]}`))
 	want := List{Version: 43, Hosts: []Host{{"s-5b", "10.1.0.18:3000", policy.Draining, 3, 0.5, t0},
@@ -132,23 +132,24 @@
 	}
 }
 
-// What comes from outside may be anything; what was read must survive being written again.
+// FuzzFrames checks that arbitrary frames are decoded without a panic and that decoded answers are valid.
 func FuzzFrames(f *testing.F) {
 	f.Add(AppendCalls(nil, t0, Call{ID: "a.3", Shard: 3, Until: t0.Add(time.Second), Text: "x"}))
 	f.Add(AppendAnswer(nil, "a.3", 200, 7, "v"))
 	f.Add([]byte("\xff\xff\xff\xffO"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		letter, rest, _, err := ReadFrame(bytes.NewReader(b), nil, 1<<10)
+		letter, contents, _, err := ReadFrame(bytes.NewReader(b), nil, 1<<10)
 		if err != nil {
 			return
 		}
-		if a, err := ReadAnswer(rest); err == nil && letter == LetterAnswer && (a.ID == "" || a.Score != a.Score) {
+		if a, err := ReadAnswer(contents); err == nil && letter == LetterAnswer && (a.ID == "" || a.Score != a.Score) {
 			t.Errorf("%+v", a)
 		}
-		ReadCalls(rest, t0)
+		ReadCalls(contents, t0)
 	})
 }
 
+// FuzzQuery checks that decoded queries are valid and that their values survive encoding and decoding as calls.
 func FuzzQuery(f *testing.F) {
 	f.Add("a", "480m", []byte(`{"parts":[{"id":3,"w":0.5}],"expr":"x"}`))
 	f.Add("a b", "1e309u", []byte(`{"parts":[{"id":-3}],"expr":1}`))
@@ -162,8 +163,8 @@
 				t.Errorf("%+v", p)
 			}
 			c := Call{ID: q.ID, Shard: p.Shard, Until: t0.Add(time.Second), Key: q.Key, Text: q.Text}
-			_, rest, _, err := ReadFrame(bytes.NewReader(AppendCalls(nil, t0, c)), nil, 1<<20)
-			if got, err2 := ReadCalls(rest, t0); err != nil || err2 != nil || !reflect.DeepEqual(got, []Call{c}) {
+			_, contents, _, err := ReadFrame(bytes.NewReader(AppendCalls(nil, t0, c)), nil, 1<<20)
+			if got, err2 := ReadCalls(contents, t0); err != nil || err2 != nil || !reflect.DeepEqual(got, []Call{c}) {
 				t.Errorf("%+v became %+v (%v %v)", c, got, err, err2)
 			}
 		}
--- a/internal/proto/query.go
+++ b/internal/proto/query.go
@@ -1,5 +1,5 @@
-// Package proto holds the messages of the platform's protocol as small typed values. Each is decoded once and
-// encoded once; nothing is decided here.
+// Package proto decodes and encodes the messages of the platform's protocol as small typed values. Each message is decoded
+// once and encoded once; the package makes no decisions.
 package proto
 
 import (
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// Part is one part of a query as its client names it.
+// Part is one part of a query, as its client states it.
 type Part struct {
 	Shard  int
 	Weight float64
-	Hint   time.Duration
+	Hint   time.Duration // the client's estimate of the work
 }
 
 // Query is a client's request.
@@ -26,7 +26,7 @@
 	Wait                   time.Duration // how long the client waits for the answer
 	Retry                  bool
 	Parts                  []Part
-	Text                   string // what every part carries
+	Text                   string // sent with every part
 }
 
 // Row is the value of one part in an answer.
@@ -35,20 +35,21 @@
 	Value string `json:"data"`
 }
 
+// answer is the JSON form of the answer to a query.
 type answer struct {
 	Exact bool  `json:"exact"`
 	Rows  []Row `json:"rows"`
 }
 
-// sumSpare is what weights may miss one by: a hundred parts, each rounded to the fourth digit.
-const sumSpare = 0.005
+// weightTolerance is how far the sum of weights may differ from 1: it covers a hundred parts, each rounded to four digits.
+const weightTolerance = 0.005
 
-// ReadQuery decodes a request's head and body.
+// ReadQuery decodes the headers and the body of a client's request.
 func ReadQuery(r *http.Request, body []byte) (Query, error) {
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	q := Query{ID: r.Header.Get("Req-Id"), Class: class, Tenant: r.Header.Get("Req-Owner"),
 		Key: r.Header.Get("Idempotency-Key"), Retry: r.Header.Get("Req-Retry") == "1"}
-	if err := word("Req-Id", q.ID); err != nil {
+	if err := validateToken("Req-Id", q.ID); err != nil {
 		return q, err
 	}
 	for _, name := range []string{"Req-Id", "Req-Owner", "Req-Deadline", "Idempotency-Key"} {
@@ -57,12 +58,12 @@
 		}
 	}
 	if q.Key != "" {
-		if err := word("Idempotency-Key", q.Key); err != nil {
+		if err := validateToken("Idempotency-Key", q.Key); err != nil {
 			return q, err
 		}
 	}
 	var err error
-	if q.Wait, err = deadline(r.Header.Get("Req-Deadline")); err != nil {
+	if q.Wait, err = parseDeadline(r.Header.Get("Req-Deadline")); err != nil {
 		return q, err
 	}
 	var raw struct {
@@ -84,7 +85,7 @@
 		return q, errors.New("body: no parts")
 	}
 	q.Parts = make([]Part, len(raw.Parts))
-	sum, told := 0.0, 0
+	sum, weighted := 0.0, 0
 	for i, p := range raw.Parts {
 		if p.ID == nil || *p.ID < 0 {
 			return q, fmt.Errorf("body: part %d has no id", i)
@@ -96,19 +97,20 @@
 				return q, fmt.Errorf("body: part %d has weight %v", i, *p.W)
 			}
 			q.Parts[i].Weight = *p.W
-			told++
+			weighted++
 		}
 		sum += q.Parts[i].Weight
 	}
-	// Shares of one whole: what is in is judged by them, so an answer could not be honest with any others.
-	if told > 0 && told < len(q.Parts) || math.Abs(sum-1) > sumSpare {
-		return q, fmt.Errorf("body: weights of %d of %d parts add up to %v, not to 1", told, len(q.Parts), sum)
+	// The weights are shares of the whole result and determine its reported coverage. Any other sum would make that coverage
+	// wrong.
+	if weighted > 0 && weighted < len(q.Parts) || math.Abs(sum-1) > weightTolerance {
+		return q, fmt.Errorf("body: weights of %d of %d parts add up to %v, not to 1", weighted, len(q.Parts), sum)
 	}
 	return q, nil
 }
 
-// word guards the searchers' frames, whose fields end at spaces and commas, against what a header may hold.
-func word(name, s string) error {
+// validateToken checks that a header value can be a field in the searchers' frames, where spaces and commas end fields.
+func validateToken(name, s string) error {
 	if s == "" || len(s) > 128 {
 		return fmt.Errorf("%s: missing or too long", name)
 	}
@@ -120,7 +122,8 @@
 	return nil
 }
 
-func deadline(s string) (time.Duration, error) {
+// parseDeadline parses a number with the unit m for milliseconds or u for microseconds.
+func parseDeadline(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	n, ok := strings.CutSuffix(s, "m")
 	if !ok {
@@ -128,21 +131,21 @@
 		n, ok = strings.CutSuffix(s, "u")
 	}
 	x, err := strconv.ParseFloat(n, 64)
-	// ParseFloat alone takes more than a number followed by a unit: names, hexadecimal figures, underscores.
+	// ParseFloat alone also accepts names such as Inf, hexadecimal numbers and underscores.
 	if !ok || err != nil || strings.Trim(n, "-.0123456789") != "" || !(x >= -1e9 && x <= 1e12) {
 		return 0, fmt.Errorf("Req-Deadline: unreadable: %.40q", s)
 	}
 	return time.Duration(x * float64(unit)), nil
 }
 
-// WriteAnswer encodes the answer to a query.
-func WriteAnswer(whole bool, rows []Row) []byte {
+// WriteAnswer encodes the answer to a query. exact states whether the result is complete.
+func WriteAnswer(exact bool, rows []Row) []byte {
 	if rows == nil {
 		rows = []Row{}
 	}
-	b, err := json.Marshal(answer{Exact: whole, Rows: rows})
+	b, err := json.Marshal(answer{Exact: exact, Rows: rows})
 	if err != nil {
-		panic(err) // strings, numbers and a flag always encode
+		panic(err) // strings, numbers and booleans can always be encoded
 	}
 	return b
 }
