--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures serves what a process tells of itself as text, in the exposition format that Prometheus reads. Figures
-// are collected when they are asked for, so that they cost nothing in between.
+// Package figures serves the metrics of a process in the Prometheus text exposition format. Metrics are collected when they
+// are scraped, so that they cost nothing in between.
 package figures
 
 import (
@@ -18,13 +18,14 @@
 	"peathollow/internal/invariant"
 )
 
-// Label is one label of a figure.
+// Label is one label of a metric.
 type Label struct{ Name, Value string }
 
-// Emit tells one figure. A name that ends in _total is a counter's, any other a gauge's; units stand in the name.
+// Emit reports the value of one metric. A name that ends in _total is a counter's, any other a gauge's. Units are part of the
+// name.
 type Emit func(name string, value float64, labels ...Label)
 
-// Truth gives a condition as a figure.
+// Truth converts a condition to a metric's value: 1 if it holds, 0 otherwise.
 func Truth(holds bool) float64 {
 	if holds {
 		return 1
@@ -32,16 +33,16 @@
 	return 0
 }
 
-// Source tells the figures of the moment.
+// Source emits the current metrics of a process.
 type Source func(Emit)
 
-// Address is where figures are served: PORT/PATH, as the deploy file names it.
+// Address is the port and path at which metrics are served, written as PORT/PATH in the deployment file.
 type Address struct {
 	Port int
 	Path string
 }
 
-// ParseAddress reads PORT/PATH.
+// ParseAddress parses an address written as PORT/PATH.
 func ParseAddress(text string) (Address, error) {
 	port, path, _ := strings.Cut(text, "/")
 	n, err := strconv.Atoi(port)
@@ -52,53 +53,54 @@
 }
 
 const (
-	prefix        = "peathollow_"
-	headerTimeout = 2 * time.Second
-	writeTimeout  = 5 * time.Second
-	idleTimeout   = 30 * time.Second
-	headerMost    = 8 << 10
+	prefix         = "peathollow_"
+	headerTimeout  = 2 * time.Second
+	writeTimeout   = 5 * time.Second
+	idleTimeout    = 30 * time.Second
+	maxHeaderBytes = 8 << 10
 )
 
-// ServeFor serves the figures of a process until ctx ends, where an address was given. Without them the process serves
-// on; why is logged.
-func ServeFor(ctx context.Context, l *log.Logger, ip string, at Address, source Source) {
-	if at == (Address{}) {
+// ServeFor serves the metrics of a process until ctx ends, unless the address is empty. A failure is logged and doesn't affect
+// the process otherwise.
+func ServeFor(ctx context.Context, logger *log.Logger, ip string, address Address, source Source) {
+	if address == (Address{}) {
 		return
 	}
-	if err := Serve(ctx, ip, at, source); err != nil && ctx.Err() == nil {
-		l.Error().Str("event", "metrics").Err(err).Msg("")
+	if err := Serve(ctx, ip, address, source); err != nil && ctx.Err() == nil {
+		logger.Error().Str("event", "metrics").Err(err).Msg("")
 	}
 }
 
-// Serve tells the figures of a source at an address of this machine until ctx ends.
-func Serve(ctx context.Context, ip string, at Address, source Source) error {
-	ln, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(at.Port)))
+// Serve serves the metrics of a source at an address of this machine until ctx ends.
+func Serve(ctx context.Context, ip string, address Address, source Source) error {
+	ln, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(address.Port)))
 	if err != nil {
 		return errors.Wrap(err, "listen, metrics")
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+at.Path, Handler(source))
+	mux.Handle("GET "+address.Path, Handler(source))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: headerMost}
+		MaxHeaderBytes: maxHeaderBytes}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	return errors.Wrap(server.Serve(ln), "serve, metrics")
 }
 
-// Handler answers with the figures of a source and the violations of invariants.
+// Handler returns a handler that serves the metrics of a source and the counts of invariant violations.
 func Handler(source Source) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{source})
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{ErrorHandling: promhttp.ContinueOnError})
 }
 
-// collector is a source as the library takes it. Which figures there are shows as they are collected.
+// collector adapts a source to the Prometheus library. It is unchecked: its set of metrics is known only when they are
+// collected.
 type collector struct{ source Source }
 
-// Describe announces nothing.
+// Describe sends no descriptions, which makes the collector unchecked.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect tells all figures.
+// Collect sends all metrics.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	emit := func(name string, value float64, labels ...Label) {
 		names, values := make([]string, len(labels)), make([]string, len(labels))
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -10,21 +10,21 @@
 )
 
 func TestParseAddress(t *testing.T) {
-	at, err := ParseAddress("9464/metrics")
+	address, err := ParseAddress("9464/metrics")
 	must.NoError(t, err)
-	must.Eq(t, Address{9464, "/metrics"}, at)
+	must.Eq(t, Address{9464, "/metrics"}, address)
 	for _, bad := range []string{"", "9464", "9464/", "/metrics", "0/metrics", "70000/m", "x/metrics"} {
 		_, err := ParseAddress(bad)
 		must.ErrorContains(t, err, "PORT/PATH", must.Sprint(bad))
 	}
 }
 
-// TestViolationsAreTold: a violation shows among the figures of any process.
-func TestViolationsAreTold(t *testing.T) {
+// TestViolationsAreExported checks that the metrics of every process include invariant violations.
+func TestViolationsAreExported(t *testing.T) {
 	defer invariant.SetFatal(invariant.SetFatal(false))
 	invariant.Violated(invariant.VersionRises, "a test")
-	answer := httptest.NewRecorder()
-	Handler(func(emit Emit) { emit("searchers_listed", 4) }).ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
-	must.StrContains(t, answer.Body.String(), "peathollow_searchers_listed 4")
-	must.StrContains(t, answer.Body.String(), `peathollow_invariant_violations_total{name="version_rises"} 1`)
+	response := httptest.NewRecorder()
+	Handler(func(emit Emit) { emit("searchers_listed", 4) }).ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
+	must.StrContains(t, response.Body.String(), "peathollow_searchers_listed 4")
+	must.StrContains(t, response.Body.String(), `peathollow_invariant_violations_total{name="version_rises"} 1`)
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant checks what must always hold while the program runs. A violation is counted by name and reported with
-// what was seen; it ends the process only where that was asked for, in tests and in the soak. In service the program goes
-// on: what it does next is for the code beside the check to say.
+// Package invariant checks conditions that must always hold while the program runs. A violation is counted by name and
+// reported with details. It ends the process only where that is enabled, in tests and in the soak. In production the program
+// continues, and the code next to the check determines what it does.
 package invariant
 
 import (
@@ -10,36 +10,37 @@
 	"sync"
 )
 
-// Name names an invariant, in logs and metrics.
+// Name identifies an invariant in logs and metrics.
 type Name string
 
 // The invariants of the system.
 const (
-	// OneFinalAnswer: a request in hand is ended once.
+	// OneFinalAnswer requires that a request in flight is ended exactly once.
 	OneFinalAnswer Name = "one_final_answer"
-	// NoRepeatAfterRun: what can't be repeated and may have run is not sent again.
+	// NoRepeatAfterRun requires that a non-idempotent request which may have been executed is not sent again.
 	NoRepeatAfterRun Name = "no_repeat_after_run"
-	// TriesWithinRetries: a part is sent to at most as many searchers as its route allows.
+	// TriesWithinRetries requires that a part is sent to at most as many searchers as its route allows.
 	TriesWithinRetries Name = "tries_within_retries"
-	// TriesWithinBudget: a further dispatch is within this mixer's part of the budget.
+	// TriesWithinBudget requires that retries are within this mixer's share of the retry budget.
 	TriesWithinBudget Name = "tries_within_budget"
-	// DeadlineWithinClients: no searcher is handed more time than the client has left.
+	// DeadlineWithinClients requires that no searcher gets more time than the client has left.
 	DeadlineWithinClients Name = "deadline_within_clients"
-	// ReadySearcherChosen: a searcher known to be draining or gone is not chosen.
+	// ReadySearcherChosen requires that a searcher known to be draining or removed is not chosen.
 	ReadySearcherChosen Name = "ready_searcher_chosen"
-	// InHandBalance: requests in hand are those taken less those ended.
+	// InHandBalance requires that the requests in flight are those accepted less those ended.
 	InHandBalance Name = "in_hand_balance"
-	// DispatchEnds: no dispatch is out long after its deadline.
+	// DispatchEnds requires that no attempt is outstanding long after its deadline.
 	DispatchEnds Name = "dispatch_ends"
-	// VersionRises: the configuration in force never goes back, within a life or across a disk.
+	// VersionRises requires that the version of the configuration in force never decreases, neither within an incarnation nor
+	// across a restart from disk.
 	VersionRises Name = "version_rises"
-	// OnePrimary: an epoch has one primary, and the control state is sound.
+	// OnePrimary requires that an epoch has one primary and that the control state is consistent.
 	OnePrimary Name = "one_primary"
-	// LeaveRecorded: what is acknowledged to a searcher that leaves is recorded.
+	// LeaveRecorded requires that a leave which is acknowledged to a searcher is recorded.
 	LeaveRecorded Name = "leave_recorded"
 )
 
-// FatalVariable is the environment variable that makes violations end the process, when it is "fatal".
+// FatalVariable is the environment variable whose value "fatal" makes violations end the process.
 const FatalVariable = "PEATHOLLOW_INVARIANTS"
 
 var state struct {
@@ -54,23 +55,23 @@
 	state.fatal = os.Getenv(FatalVariable) == "fatal"
 }
 
-// OnViolation sets who is told of violations, which are counted in any case.
+// OnViolation sets the function that violations are reported to. They are counted in any case.
 func OnViolation(report func(Name, string)) {
 	state.Lock()
 	defer state.Unlock()
 	state.report = report
 }
 
-// SetFatal has violations panic, or not, and tells what was set before.
-func SetFatal(on bool) (was bool) {
+// SetFatal sets whether violations panic, and returns the previous setting.
+func SetFatal(on bool) (previous bool) {
 	state.Lock()
 	defer state.Unlock()
-	was, state.fatal = state.fatal, on
-	return was
+	previous, state.fatal = state.fatal, on
+	return previous
 }
 
-// Check counts a violation unless the invariant holds. Arguments of a format cost even where it holds: on a hot path
-// test first and call Violated.
+// Check counts and reports a violation unless the invariant holds. The arguments are evaluated even where it holds: on a hot
+// path, test the condition first and call Violated.
 func Check(name Name, holds bool, format string, args ...any) {
 	if !holds {
 		Violated(name, format, args...)
@@ -79,28 +80,29 @@
 
 // Violated counts a violation and reports it.
 func Violated(name Name, format string, args ...any) {
-	saw := fmt.Sprintf(format, args...)
+	detail := fmt.Sprintf(format, args...)
 	state.Lock()
 	state.counts[name]++
 	report, fatal := state.report, state.fatal
 	state.Unlock()
 	if report != nil {
-		report(name, saw)
+		report(name, detail)
 	}
 	if fatal {
-		panic(Panic{name, saw})
+		panic(Panic{name, detail})
 	}
 }
 
-// Panic is what a fatal violation panics with.
+// Panic is the value that a fatal violation panics with.
 type Panic struct {
-	Name Name
-	Saw  string
+	Name   Name
+	Detail string
 }
 
-func (p Panic) Error() string { return "invariant " + string(p.Name) + ": " + p.Saw }
+// Error returns the invariant's name and the details of the violation.
+func (p Panic) Error() string { return "invariant " + string(p.Name) + ": " + p.Detail }
 
-// Counts gives how often each invariant was violated; those that never were are left out.
+// Counts returns how often each invariant was violated, without those that never were.
 func Counts() map[Name]uint64 {
 	state.Lock()
 	defer state.Unlock()
--- a/internal/logbound/logbound.go
+++ b/internal/logbound/logbound.go
@@ -1,4 +1,5 @@
-// Package logbound bounds how many log lines of one kind are written: the first of each second are, the rest is counted.
+// Package logbound limits the rate of log lines of one kind: the first lines of each second are written, the others are only
+// counted.
 package logbound
 
 import (
@@ -6,22 +7,22 @@
 	"time"
 )
 
-// Limiter lets through so many lines a second. Its zero value lets none through.
+// Limiter allows PerSecond lines per second. Its zero value allows none.
 type Limiter struct {
 	PerSecond int
 
-	mu         sync.Mutex
-	second     time.Time
-	lines      int
-	suppressed int
+	mu          sync.Mutex
+	windowStart time.Time
+	lines       int
+	suppressed  int
 }
 
-// Allow tells whether a line may be written, and how many weren't since the last one that was.
+// Allow reports whether a line may be written, and how many lines were suppressed since the last one that was allowed.
 func (l *Limiter) Allow(now time.Time) (ok bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.second) >= time.Second || now.Before(l.second) {
-		l.second, l.lines = now, 0
+	if now.Sub(l.windowStart) >= time.Second || now.Before(l.windowStart) {
+		l.windowStart, l.lines = now, 0
 	}
 	if l.lines >= l.PerSecond {
 		l.suppressed++
--- a/internal/logbound/logbound_test.go
+++ b/internal/logbound/logbound_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestLimiter: the first lines of each second go through, and the next one that does tells of those that did not.
+// TestLimiter checks that the first lines of each second are allowed, and that the next allowed line gets the number of
+// suppressed ones.
 func TestLimiter(t *testing.T) {
 	l := Limiter{PerSecond: 2}
 	now := time.Now()
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic does something again and again until its context ends.
+// Package periodic calls a function at a fixed interval until a context ends.
 package periodic
 
 import (
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// Each calls do after each span till ctx ends. A call that takes longer than the span puts the next one off; none is made up for.
-func Each(ctx context.Context, span time.Duration, do func()) {
-	tick := time.NewTicker(span)
-	defer tick.Stop()
+// Each calls do after each interval until ctx ends. A call that takes longer than the interval delays the next one; missed
+// calls are not made up for.
+func Each(ctx context.Context, interval time.Duration, do func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			do()
 		}
 	}
