--- a/internal/simnet/conn.go
+++ b/internal/simnet/conn.go
@@ -9,81 +9,84 @@
 	"time"
 )
 
-// windowMost is how many bytes a connection takes that the peer has not read.
-const windowMost = 256 << 10
+// maxInFlight is how many bytes may be in flight on a connection before writes block.
+const maxInFlight = 256 << 10
 
 // conn is one end of a connection.
 type conn struct {
-	host    *Host
-	peer    *conn
-	at      string        // the address that was dialled
-	silence time.Duration // 0: the kernel waits for ever
-
-	mu       sync.Mutex
-	changed  chan struct{} // closed at each change, then made anew
-	in       []byte
-	ended    bool  // the peer has sent its last byte
-	err      error // of this end, for good
-	closed   bool
-	readBy   time.Time
-	writeBy  time.Time
-	out      []segment // sent and not delivered, in order
-	carrying bool
-	inFlight int // bytes of out
+	host        *Host
+	peer        *conn
+	addr        string        // the address that was dialled
+	userTimeout time.Duration // how long sent bytes may stay undelivered; 0 for no limit
+
+	mu            sync.Mutex
+	changed       chan struct{} // closed and replaced at each change
+	in            []byte
+	atEOF         bool  // all bytes that the peer sent before closing have arrived
+	err           error // permanent error of this end
+	closed        bool
+	readDeadline  time.Time
+	writeDeadline time.Time
+	out           []segment // sent but not delivered, in order
+	delivering    bool      // a delivery is scheduled
+	inFlight      int       // number of bytes in out
 }
 
+// segment is a write on its way to the peer, or the end of the stream.
 type segment struct {
 	bytes []byte
-	end   bool
+	isEnd bool
 	sent  time.Time
 }
 
-func pair(from, to *Host, at string, silence time.Duration) (near, far *conn) {
-	near = &conn{host: from, at: at, silence: silence, changed: make(chan struct{})}
-	far = &conn{host: to, at: at, changed: make(chan struct{})}
+// pair returns the two ends of a new connection. The timeout applies to the dialling end.
+func pair(from, to *Host, addr string, userTimeout time.Duration) (near, far *conn) {
+	near = &conn{host: from, addr: addr, userTimeout: userTimeout, changed: make(chan struct{})}
+	far = &conn{host: to, addr: addr, changed: make(chan struct{})}
 	near.peer, far.peer = far, near
 	return near, far
 }
 
-// tell wakes all that wait; the lock is held.
-func (c *conn) tell() {
+// notify wakes all waiting calls. The caller holds the lock.
+func (c *conn) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
+// fail ends the connection with an error, unless it has one already. Undelivered bytes are dropped.
 func (c *conn) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err == nil {
 		c.err = err
 		c.out, c.inFlight = nil, 0
-		c.tell()
+		c.notify()
 	}
 }
 
-// resetPeer lets the peer know, as far as a link leads there.
+// resetPeer resets the peer's end after the delay of the link, if the link is up then.
 func (c *conn) resetPeer() {
 	time.AfterFunc(c.host.net.delay(c.host.ip, c.peer.host.ip), func() {
-		if c.host.net.passes(c.host, c.peer.host) {
+		if c.host.net.connected(c.host, c.peer.host) {
 			c.peer.fail(syscall.ECONNRESET)
 		}
 	})
 }
 
-// wait blocks until something changes or a deadline passes; the lock is held, and again when it returns.
-func (c *conn) wait(until time.Time) error {
+// wait blocks until the connection changes or a deadline passes. The caller holds the lock, which is released meanwhile.
+func (c *conn) wait(deadline time.Time) error {
 	changed := c.changed
 	c.mu.Unlock()
 	defer c.mu.Lock()
-	if until.IsZero() {
+	if deadline.IsZero() {
 		<-changed
 		return nil
 	}
-	left := time.Until(until)
-	if left <= 0 {
+	remaining := time.Until(deadline)
+	if remaining <= 0 {
 		return os.ErrDeadlineExceeded
 	}
-	t := time.NewTimer(left)
+	t := time.NewTimer(remaining)
 	defer t.Stop()
 	select {
 	case <-changed:
@@ -99,21 +102,21 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case !c.readBy.IsZero() && !time.Now().Before(c.readBy):
+		case !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline):
 			return 0, os.ErrDeadlineExceeded
 		case len(c.in) > 0:
 			n := copy(b, c.in)
 			c.in = c.in[n:]
-			c.tell()
+			c.notify()
 			return n, nil
 		case c.err != nil:
 			return 0, c.err
-		case c.ended:
+		case c.atEOF:
 			return 0, io.EOF
 		case len(b) == 0:
 			return 0, nil
 		}
-		c.wait(c.readBy)
+		c.wait(c.readDeadline)
 	}
 }
 
@@ -126,82 +129,84 @@
 			return 0, net.ErrClosed
 		case c.err != nil:
 			return 0, c.err
-		case !c.writeBy.IsZero() && !time.Now().Before(c.writeBy):
+		case !c.writeDeadline.IsZero() && !time.Now().Before(c.writeDeadline):
 			return 0, os.ErrDeadlineExceeded
 		}
-		if c.inFlight < windowMost {
+		if c.inFlight < maxInFlight {
 			break
 		}
-		c.wait(c.writeBy)
+		c.wait(c.writeDeadline)
 	}
-	c.push(segment{bytes: append([]byte(nil), b...), sent: time.Now()})
+	c.send(segment{bytes: append([]byte(nil), b...), sent: time.Now()})
 	return len(b), nil
 }
 
-// push sends a segment; the lock is held.
-func (c *conn) push(s segment) {
+// send queues a segment and schedules its delivery. The caller holds the lock.
+func (c *conn) send(s segment) {
 	c.out = append(c.out, s)
 	c.inFlight += len(s.bytes)
-	if !c.carrying {
-		c.carrying = true
-		time.AfterFunc(c.host.net.delay(c.host.ip, c.peer.host.ip), c.carry)
+	if !c.delivering {
+		c.delivering = true
+		time.AfterFunc(c.host.net.delay(c.host.ip, c.peer.host.ip), c.deliver)
 	}
 }
 
-// carry delivers what waits, in order, or tries again later where a cut holds it up.
-func (c *conn) carry() {
-	passes := c.host.net.passes(c.host, c.peer.host)
+// deliver delivers the queued segments in order, or retries later while the link is down.
+func (c *conn) deliver() {
+	connected := c.host.net.connected(c.host, c.peer.host)
 	c.mu.Lock()
 	if c.err != nil || len(c.out) == 0 {
-		c.carrying = false
+		c.delivering = false
 		c.mu.Unlock()
 		return
 	}
-	if !passes {
-		late := c.silence > 0 && time.Since(c.out[0].sent) > c.silence
+	if !connected {
+		timedOut := c.userTimeout > 0 && time.Since(c.out[0].sent) > c.userTimeout
 		c.mu.Unlock()
-		if late {
+		if timedOut {
 			c.fail(syscall.ETIMEDOUT)
 		}
-		// An end that has gone may hold bytes up for ever; nothing hangs on them then.
-		if late || c.given() {
+		// If one of the processes has ended, its bytes may stay undelivered for ever. They have no effect, so the delivery is
+		// given up.
+		if timedOut || c.processEnded() {
 			c.mu.Lock()
-			c.carrying = false
+			c.delivering = false
 			c.mu.Unlock()
 			return
 		}
-		time.AfterFunc(resendEvery, c.carry)
+		time.AfterFunc(resendInterval, c.deliver)
 		return
 	}
 	out := c.out
-	c.out, c.inFlight, c.carrying = nil, 0, false
-	c.tell()
+	c.out, c.inFlight, c.delivering = nil, 0, false
+	c.notify()
 	c.mu.Unlock()
-	c.peer.take(out)
+	c.peer.receive(out)
 }
 
-// given tells that one of the two processes is gone.
-func (c *conn) given() bool {
+// processEnded reports whether one of the two processes has ended.
+func (c *conn) processEnded() bool {
 	c.host.net.mu.Lock()
 	defer c.host.net.mu.Unlock()
-	return c.host.dead || c.peer.host.dead
+	return c.host.ended || c.peer.host.ended
 }
 
-func (c *conn) take(segments []segment) {
+// receive appends delivered segments to the input of this end, or answers with a reset if it is closed.
+func (c *conn) receive(segments []segment) {
 	c.mu.Lock()
 	if c.closed || c.err != nil {
 		reset := c.closed
 		c.mu.Unlock()
 		if reset && len(segments[0].bytes) > 0 {
-			c.resetPeer() // bytes for an end that is closed
+			c.resetPeer() // bytes arrived at a closed end
 		}
 		return
 	}
 	for _, s := range segments {
 		c.in = append(c.in, s.bytes...)
-		c.ended = c.ended || s.end
+		c.atEOF = c.atEOF || s.isEnd
 	}
-	c.tell()
+	c.notify()
 	c.mu.Unlock()
 }
 
@@ -214,9 +219,9 @@
 	c.closed = true
 	unread := len(c.in) > 0
 	if c.err == nil && !unread {
-		c.push(segment{end: true, sent: time.Now()})
+		c.send(segment{isEnd: true, sent: time.Now()})
 	}
-	c.tell()
+	c.notify()
 	c.mu.Unlock()
 	if unread {
 		c.resetPeer()
@@ -227,22 +232,26 @@
 	return nil
 }
 
-func (c *conn) LocalAddr() net.Addr  { return address(c.host.ip, c.at) }
-func (c *conn) RemoteAddr() net.Addr { return address(c.peer.host.ip, c.at) }
+func (c *conn) LocalAddr() net.Addr  { return address(c.host.ip, c.addr) }
+func (c *conn) RemoteAddr() net.Addr { return address(c.peer.host.ip, c.addr) }
 
 func (c *conn) SetDeadline(t time.Time) error {
-	return c.set(func() { c.readBy, c.writeBy = t, t })
+	return c.setDeadline(func() { c.readDeadline, c.writeDeadline = t, t })
 }
 
-func (c *conn) SetReadDeadline(t time.Time) error { return c.set(func() { c.readBy = t }) }
+func (c *conn) SetReadDeadline(t time.Time) error {
+	return c.setDeadline(func() { c.readDeadline = t })
+}
 
-func (c *conn) SetWriteDeadline(t time.Time) error { return c.set(func() { c.writeBy = t }) }
+func (c *conn) SetWriteDeadline(t time.Time) error {
+	return c.setDeadline(func() { c.writeDeadline = t })
+}
 
-// set changes a deadline and wakes those that wait by the former one.
-func (c *conn) set(change func()) error {
+// setDeadline changes a deadline and wakes the calls that wait for the former one.
+func (c *conn) setDeadline(change func()) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change()
-	c.tell()
+	c.notify()
 	return nil
 }
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -1,6 +1,6 @@
-// Package simnet is a network in memory for processes that run in one test under simulated time: links with delay, cuts
-// one way and both, machines that lose power, processes that are killed. It serves tests only and is made for a bubble of
-// testing/synctest: nothing in it waits for anything but channels and timers.
+// Package simnet is an in-memory network for processes that run in one test under simulated time. It simulates links with
+// delays, partitions in one or both directions, machines that lose power and processes that are killed. It is for tests only
+// and designed for a bubble of testing/synctest: it waits for nothing but channels and timers.
 package simnet
 
 import (
@@ -17,70 +17,70 @@
 )
 
 const (
-	// resendEvery is how often bytes that a cut holds up are tried again.
-	resendEvery = 200 * time.Millisecond
-	backlog     = 128
+	// resendInterval is the interval at which bytes and connection attempts that a partition holds up are retried.
+	resendInterval = 200 * time.Millisecond
+	backlog        = 128
 )
 
 // Network is a set of machines and the links between them.
 type Network struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	least time.Duration
-	most  time.Duration
-	cuts  map[[2]string]bool // from, to
-	hosts map[string]*Host   // the process of the moment, by address
+	mu          sync.Mutex
+	rng         *rand.Rand
+	minDelay    time.Duration
+	maxDelay    time.Duration
+	partitioned map[[2]string]bool // partitioned links, as from and to
+	hosts       map[string]*Host   // the current process of each machine, by IP address
 }
 
-// New makes a network whose links take between least and most.
-func New(seed uint64, least, most time.Duration) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, 11)), least: least, most: most, cuts: map[[2]string]bool{}, hosts: map[string]*Host{}}
+// New returns a network whose links have random delays between low and high.
+func New(seed uint64, low, high time.Duration) *Network {
+	return &Network{rng: rand.New(rand.NewPCG(seed, 11)), minDelay: low, maxDelay: high, partitioned: map[[2]string]bool{}, hosts: map[string]*Host{}}
 }
 
-// Cut takes a link away in one direction, or brings it back.
+// Cut partitions a link in one direction, or restores it.
 func (n *Network) Cut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{from, to}] = cut
+	n.partitioned[[2]string{from, to}] = cut
 }
 
-// Heal ends all cuts.
+// Heal restores all links.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cuts)
+	clear(n.partitioned)
 }
 
-// delay draws how long a segment takes; within a machine hardly any time passes.
+// delay draws the delay of a segment. Within a machine it is a short constant.
 func (n *Network) delay(from, to string) time.Duration {
 	if from == to {
 		return 20 * time.Microsecond
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.least + time.Duration(n.rng.Int64N(int64(n.most-n.least)+1))
+	return n.minDelay + time.Duration(n.rng.Int64N(int64(n.maxDelay-n.minDelay)+1))
 }
 
-// passes tells whether a segment gets from one process to another now.
-func (n *Network) passes(from, to *Host) bool {
+// connected reports whether a segment can currently get from one process to another.
+func (n *Network) connected(from, to *Host) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.cuts[[2]string{from.ip, to.ip}] && !from.dark && !to.dark
+	return !n.partitioned[[2]string{from.ip, to.ip}] && !from.poweredOff && !to.poweredOff
 }
 
-// Host is one process's life on a machine.
+// Host is one incarnation of a process on a machine.
 type Host struct {
 	net *Network
 	ip  string
 
 	// Guarded by the network's lock.
-	dark      bool // without power: it neither sends nor answers
-	dead      bool // killed: the machine answers for it with resets
-	listeners map[string]*listener
-	conns     map[*conn]bool
+	poweredOff bool // without power: the machine neither sends nor replies
+	ended      bool // ended; unless the power is off, the machine replies with resets
+	listeners  map[string]*listener
+	conns      map[*conn]bool
 }
 
-// Start begins a life of a process at an address.
+// Start starts a new incarnation of a process at an IP address.
 func (n *Network) Start(ip string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,55 +89,57 @@
 	return h
 }
 
-// Kill ends the life: connections are reset.
+// Kill ends the process. Its connections are reset.
 func (h *Host) Kill() { h.end(false) }
 
-// PowerOff ends the life without a word: peers hear nothing.
+// PowerOff ends the process and its machine without notifying any peer.
 func (h *Host) PowerOff() { h.end(true) }
 
-func (h *Host) end(dark bool) {
+func (h *Host) end(poweredOff bool) {
 	h.net.mu.Lock()
-	h.dead, h.dark = true, dark
+	h.ended, h.poweredOff = true, poweredOff
 	conns, listeners := h.conns, h.listeners
 	h.conns, h.listeners = map[*conn]bool{}, map[string]*listener{}
 	h.net.mu.Unlock()
 	for _, l := range listeners {
-		l.shut()
+		l.stopAccepting()
 	}
 	for c := range conns {
 		c.fail(syscall.ECONNRESET)
-		if !dark {
+		if !poweredOff {
 			c.resetPeer()
 		}
 	}
 }
 
-func address(ip, at string) net.Addr {
-	ap, err := netip.ParseAddrPort(at)
+// address returns addr as a net.Addr, or ip with port 0 if addr doesn't parse.
+func address(ip, addr string) net.Addr {
+	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		ap = netip.AddrPortFrom(netip.MustParseAddr(ip), 0)
 	}
 	return net.TCPAddrFromAddrPort(ap)
 }
 
-// Listen takes connections at an address.
-func (h *Host) Listen(at string) (net.Listener, error) {
+// Listen accepts connections at an address.
+func (h *Host) Listen(addr string) (net.Listener, error) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	if h.dead {
+	if h.ended {
 		return nil, errors.Wrap(net.ErrClosed, "listen")
 	}
-	if h.listeners[at] != nil {
+	if h.listeners[addr] != nil {
 		return nil, errors.Wrap(syscall.EADDRINUSE, "listen")
 	}
-	l := &listener{host: h, at: at, came: make(chan net.Conn, backlog), closed: make(chan struct{})}
-	h.listeners[at] = l
+	l := &listener{host: h, addr: addr, incoming: make(chan net.Conn, backlog), closed: make(chan struct{})}
+	h.listeners[addr] = l
 	return l, nil
 }
 
-// Dial connects to an address; see keepalive.Network.
-func (h *Host) Dial(ctx context.Context, at string, connect, silence time.Duration) (net.Conn, error) {
-	ip, _, err := net.SplitHostPort(at)
+// Dial connects to an address within the time limit connect. Sent bytes that stay undelivered for longer than userTimeout end
+// the connection, if it isn't 0; see keepalive.Network.
+func (h *Host) Dial(ctx context.Context, addr string, connect, userTimeout time.Duration) (net.Conn, error) {
+	ip, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -146,38 +148,38 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return nil, errors.Wrapf(os.ErrDeadlineExceeded, "dial %s", at)
+			return nil, errors.Wrapf(os.ErrDeadlineExceeded, "dial %s", addr)
 		case <-time.After(2 * h.net.delay(h.ip, ip)):
 		}
-		c, err, answered := h.open(ip, at, silence)
+		c, err, answered := h.open(ip, addr, userTimeout)
 		if answered {
 			return c, err
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(resendEvery):
+		case <-time.After(resendInterval):
 		}
 	}
 }
 
-// open makes a connection if the other machine answers at all.
-func (h *Host) open(ip, at string, silence time.Duration) (near net.Conn, err error, answered bool) {
+// open makes a connection. answered is false if the other machine doesn't reply at all.
+func (h *Host) open(ip, addr string, userTimeout time.Duration) (near net.Conn, err error, answered bool) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	if h.dead {
+	if h.ended {
 		return nil, net.ErrClosed, true
 	}
 	to := h.net.hosts[ip]
-	if to == nil || to.dark || h.net.cuts[[2]string{h.ip, ip}] || h.net.cuts[[2]string{ip, h.ip}] {
+	if to == nil || to.poweredOff || h.net.partitioned[[2]string{h.ip, ip}] || h.net.partitioned[[2]string{ip, h.ip}] {
 		return nil, nil, false
 	}
-	l := to.listeners[at]
+	l := to.listeners[addr]
 	if l == nil {
 		return nil, syscall.ECONNREFUSED, true
 	}
-	a, b := pair(h, to, at, silence)
+	a, b := pair(h, to, addr, userTimeout)
 	select {
-	case l.came <- b:
+	case l.incoming <- b:
 	default:
 		return nil, nil, false // a full queue drops the opening packet
 	}
@@ -185,33 +187,34 @@
 	return a, nil, true
 }
 
+// listener queues the connections made to an address of a process.
 type listener struct {
-	host   *Host
-	at     string
-	came   chan net.Conn
-	once   sync.Once
-	closed chan struct{}
+	host     *Host
+	addr     string
+	incoming chan net.Conn
+	once     sync.Once
+	closed   chan struct{}
 }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.came:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *listener) shut() { l.once.Do(func() { close(l.closed) }) }
+func (l *listener) stopAccepting() { l.once.Do(func() { close(l.closed) }) }
 
 func (l *listener) Close() error {
 	l.host.net.mu.Lock()
-	delete(l.host.listeners, l.at)
+	delete(l.host.listeners, l.addr)
 	l.host.net.mu.Unlock()
-	l.shut()
+	l.stopAccepting()
 	for {
 		select {
-		case c := <-l.came:
+		case c := <-l.incoming:
 			c.Close()
 		default:
 			return nil
@@ -219,4 +222,4 @@
 	}
 }
 
-func (l *listener) Addr() net.Addr { return address(l.host.ip, l.at) }
+func (l *listener) Addr() net.Addr { return address(l.host.ip, l.addr) }
