--- a/agent/agent.go
+++ b/agent/agent.go
@@ -59,7 +59,7 @@
 		a.log.Error().Str("event", "heartbeats").Err(err).Msg("")
 	}
 	go a.heartbeats.run(serveCtx)
-	go figures.ServeFor(serveCtx, a.log, a.settings.IP, a.settings.Metrics, a.emitMetrics)
+	go figures.ServeIfConfigured(serveCtx, a.log, a.settings.IP, a.settings.Metrics, a.emitMetrics)
 	selector := ControllerSelector{Settings: a.settings, Replica: a.replica, Seeds: seedAddresses(a.settings)}
 	p := distribution.Puller{Replica: a.replica, Node: a.settings.Node, Incarnation: a.incarnation, Kind: "agent",
 		Choose: selector.Choose, LeaveIsolated: true, HasBetter: selector.HasBetter,
@@ -74,12 +74,12 @@
 	a.log.Info().Str("event", "serving").Msg("")
 	<-ctx.Done()
 	a.leaving.Store(true)
-	time.Sleep(a.settings.AgentEndsAfter())
+	time.Sleep(a.settings.AgentExitTime())
 	return nil
 }
 
 func (a *Agent) runTicks(ctx context.Context) {
-	periodic.Each(ctx, a.settings.BeatPeriod/2, func() {
+	periodic.Run(ctx, a.settings.BeatPeriod/2, func() {
 		mixers := 0
 		a.replica.WithRegistry(func(r *registry.Registry) bool {
 			mixers = distribution.CountMixers(r, retrybudget.ChargeLifetime(a.settings.RetryWindow))
--- a/agent/controllers.go
+++ b/agent/controllers.go
@@ -59,7 +59,7 @@
 }
 
 func (c *ControllerSelector) distance(location distribution.Location) int {
-	return c.Settings.Far(location.Zone)
+	return c.Settings.DistanceTo(location.Zone)
 }
 
 // minTimeOnController is how long the agent stays on a distant controller before it tries a nearer one, so that it doesn't
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -36,13 +36,13 @@
 	a.link.mu.Unlock()
 	if !receivedAt.IsZero() {
 		emit("link_answer_age_seconds", time.Since(receivedAt).Seconds(), figures.Label{Name: "peer", Value: peer})
-		emit("link_peer_alone", figures.Truth(isolated))
+		emit("link_peer_alone", figures.BoolValue(isolated))
 	}
 	if doc := a.replica.Document(); doc != nil {
 		emit("configuration_version", float64(doc.Version))
 	}
 	emit("mixers_known", float64(a.replica.MixerCount()))
 	emit("controllers_known", float64(len(a.replica.Controllers())))
-	emit("leaving", figures.Truth(a.leaving.Load()))
+	emit("leaving", figures.BoolValue(a.leaving.Load()))
 	distribution.EmitListMetrics(a.replica, emit)
 }
--- a/attempt/admit.go
+++ b/attempt/admit.go
@@ -65,7 +65,7 @@
 	if !ok {
 		return 0, fmt.Errorf("path: unknown class %.60q", s.Query.Class)
 	}
-	if c.settings.Brain.Types[class].Effect == policy.IdempotentByKey && s.Query.Key == "" {
+	if c.settings.Policy.Types[class].Effect == policy.IdempotentByKey && s.Query.Key == "" {
 		return 0, fmt.Errorf("Idempotency-Key: missing")
 	}
 	if _, ok := c.pending.byRequestID[s.Query.ID]; ok {
--- a/attempt/answers.go
+++ b/attempt/answers.go
@@ -33,10 +33,10 @@
 	// attempt instead if the write has not begun, or if it is an error, the write has not returned, and the answer to an
 	// earlier attempt that was cancelled without confirmation is still due here.
 	if a := &p.attempts[index]; !conn.transport.Written(a.seq) && (!conn.transport.WriteStarted(a.seq) ||
-		answer.End != policy.Succeeded && conn.history.answerDue(answer.ID)) {
+		answer.Outcome != policy.Succeeded && conn.history.answerDue(answer.ID)) {
 		// A value counts even then, and the unsent attempt is withdrawn.
 		conn.history.answerReceived(answer.ID)
-		if answer.End != policy.Succeeded || !a.withdraw(p) {
+		if answer.Outcome != policy.Succeeded || !a.withdraw(p) {
 			return
 		}
 	}
@@ -52,11 +52,11 @@
 		slices.Sort(confirmed)
 		c.CancelsConfirmed(conn, confirmed)
 	}
-	if answer.End == policy.Succeeded && !p.hasValue && !p.ended {
+	if answer.Outcome == policy.Succeeded && !p.hasValue && !p.ended {
 		p.hasValue, p.value, p.score = true, answer.Value, answer.Score
 		c.pending.open--
 	}
-	c.returned(p, index, answer.End)
+	c.returned(p, index, answer.Outcome)
 }
 
 var errUnsolicited = errors.New("answer to a part never asked on this connection")
@@ -66,7 +66,7 @@
 // then if the part may be sent again and hedging is off.
 func (c *Coordinator) ConnectionClosing(conn *Connection, cause error) {
 	conn.retired, conn.closing, conn.lossOutcome = true, true, policy.ConnectionLost
-	if errors.Is(cause, proto.ErrMute) {
+	if errors.Is(cause, proto.ErrUnresponsive) {
 		conn.lossOutcome = policy.Cancelled // ended by this mixer
 	}
 	if len(conn.inFlight) > 0 {
@@ -125,7 +125,7 @@
 			answered = append(answered, p)
 		}
 	}
-	if n := c.settings.Brain.Types[s.class].SecondStep; n > 0 && s.step == 0 {
+	if n := c.settings.Policy.Types[s.class].SecondStep; n > 0 && s.step == 0 {
 		c.chooseSecondStep(s, answered, min(n, len(answered)), complete)
 		return
 	}
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -161,7 +161,7 @@
 	}
 	var hosts []proto.Host
 	for i := range 4 {
-		hosts = append(hosts, proto.Host{Name: fmt.Sprint(i), Addr: "nowhere", Cell: i, Weight: 1})
+		hosts = append(hosts, proto.Host{Name: fmt.Sprint(i), Addr: "nowhere", Shard: i, Weight: 1})
 	}
 	c.ApplyList(policy.Full, proto.List{Hosts: hosts})
 	s := &Scan{Query: q, Reply: func(Answer) {}}
@@ -169,7 +169,7 @@
 	c.flush()
 	succeed := func(wireID string) {
 		p := c.pending.byWireID[wireID]
-		c.AnswerReceived(p.attempts[0].conn, proto.Answer{ID: wireID, End: policy.Succeeded}, false)
+		c.AnswerReceived(p.attempts[0].conn, proto.Answer{ID: wireID, Outcome: policy.Succeeded}, false)
 	}
 	for i, want := range []int{4, 3, 2} {
 		if succeed(fmt.Sprintf("x.%d", i)); c.pending.open != want {
@@ -195,7 +195,7 @@
 	for _, sent := range []bool{false, true} {
 		c, _ := newCoordinator(t, nil)
 		s := onePartScan("x")
-		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 1, Weight: 1}}})
+		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Shard: 1, Weight: 1}}})
 		c.Admit(s, 0)
 		if len(c.unsent) != 1 {
 			t.Fatalf("%d parts sent", len(c.unsent))
@@ -227,14 +227,14 @@
 	for i := range 300 {
 		c.now += time.Second
 		c.policy.Advance(c.now)
-		l := proto.List{Whole: rng.Intn(2) == 0}
+		l := proto.List{Full: rng.Intn(2) == 0}
 		for j := range 4 {
-			l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i+1, ".", j), Addr: addr, Cell: j, Weight: 1})
-			if !l.Whole {
+			l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i+1, ".", j), Addr: addr, Shard: j, Weight: 1})
+			if !l.Full {
 				l.Hosts = append(l.Hosts, proto.Host{Name: fmt.Sprint(i, ".", j), State: policy.Gone})
 			}
 		}
-		c.ApplyList(map[bool]policy.ListMode{false: policy.Changes, true: policy.Full}[l.Whole], l)
+		c.ApplyList(map[bool]policy.ListMode{false: policy.Changes, true: policy.Full}[l.Full], l)
 		s := onePartScan(fmt.Sprint(i))
 		c.Admit(s, 0)
 		if c.flush(); len(c.searchers.entries) > 16 || len(c.searchers.byName) > 12 {
@@ -267,8 +267,8 @@
 // Extra bytes behind the last answer due stop the connection from accepting new attempts.
 func TestUnsolicitedAnswers(t *testing.T) {
 	c, w := newCoordinator(t, nil)
-	c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Cell: 0, Weight: 1},
-		{Name: "b", Addr: "nowhere", Cell: 1, Weight: 1}}})
+	c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "nowhere", Shard: 0, Weight: 1},
+		{Name: "b", Addr: "nowhere", Shard: 1, Weight: 1}}})
 	admit := func(id string) (*Scan, *Connection) {
 		s := onePartScan(id)
 		c.Admit(s, 0)
@@ -276,7 +276,7 @@
 		return s, s.parts[0].attempts[0].conn
 	}
 	_, conn := admit("x")
-	answer := proto.Answer{ID: "x.1", End: policy.Succeeded, Value: "v"}
+	answer := proto.Answer{ID: "x.1", Outcome: policy.Succeeded, Value: "v"}
 	c.AnswerReceived(conn, answer, false)
 	c.AnswerReceived(conn, answer, false)
 	if conn.retired || len(conn.inFlight) > 0 {
@@ -311,7 +311,7 @@
 func TestAnswerBeforeWriteReturns(t *testing.T) {
 	for _, outcome := range []policy.Outcome{policy.Succeeded, policy.Failed, policy.Overloaded} {
 		c, w := newCoordinator(t, nil)
-		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
+		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Shard: 1, Weight: 1}}})
 		s := onePartScan("x")
 		var got *Answer
 		s.Reply = func(a Answer) { got = &a }
@@ -319,7 +319,7 @@
 		c.flush()
 		p := s.parts[0]
 		w.conns[0].queue = nil // the write has begun and has not returned
-		c.AnswerReceived(p.attempts[0].conn, proto.Answer{ID: "x.1", End: outcome, Value: "v"}, false)
+		c.AnswerReceived(p.attempts[0].conn, proto.Answer{ID: "x.1", Outcome: outcome, Value: "v"}, false)
 		if p.attempts[0].inFlight || outcome == policy.Succeeded && (got == nil || got.Kind != Completed) {
 			t.Errorf("outcome %d: still in flight %v, answered %+v", outcome, p.attempts[0].inFlight, got)
 		}
@@ -339,8 +339,8 @@
 		{"copies", false, true, false, [2]bool{}},
 		{"over", false, false, true, [2]bool{}},
 	} {
-		c, w := newCoordinator(t, func(set *config.Settings) { set.Brain.MayHedge = tc.hedging })
-		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Cell: 1, Weight: 1}}})
+		c, w := newCoordinator(t, func(set *config.Settings) { set.Policy.MayHedge = tc.hedging })
+		c.ApplyList(policy.Full, proto.List{Hosts: []proto.Host{{Name: "a", Addr: "there", Shard: 1, Weight: 1}}})
 		s := onePartScan("x")
 		c.Admit(s, 0)
 		c.flush()
--- a/attempt/coordinator.go
+++ b/attempt/coordinator.go
@@ -115,7 +115,7 @@
 // New returns an empty Coordinator that is driven by policy.Engine. Times are counted from start.
 func New(settings *config.Settings, limits Limits, transport Transport, start time.Time) *Coordinator {
 	return NewWith(settings, limits, transport, start, func(act policy.Actions, now time.Duration) Policy {
-		return policy.New(settings.Brain, act, now)
+		return policy.New(settings.Policy, act, now)
 	})
 }
 
--- a/attempt/explore/connevents.go
+++ b/attempt/explore/connevents.go
@@ -53,7 +53,7 @@
 	if sim.faultAllowed(faultStranger) && c.writtenSeq > 0 {
 		addAnswer(label{conn: c, text: "answers what was never asked there"}, func() {
 			sim.spendFault()
-			sim.coordinator.AnswerReceived(c.connection, proto.Answer{ID: "nobody.0", End: policy.Succeeded}, false)
+			sim.coordinator.AnswerReceived(c.connection, proto.Answer{ID: "nobody.0", Outcome: policy.Succeeded}, false)
 		})
 	}
 }
@@ -180,7 +180,7 @@
 	if outcome == policy.Succeeded {
 		x.scan.received = append(x.scan.received, receivedValue{x.step, x.shard, value})
 	}
-	c.sim.coordinator.AnswerReceived(c.connection, proto.Answer{ID: x.wireID, End: outcome, Value: value, Score: 1}, moreBytes)
+	c.sim.coordinator.AnswerReceived(c.connection, proto.Answer{ID: x.wireID, Outcome: outcome, Value: value, Score: 1}, moreBytes)
 }
 
 // endWriteSide ends the writing side of the connection, and drops frames that were not fully written.
--- a/attempt/explore/events.go
+++ b/attempt/explore/events.go
@@ -242,7 +242,7 @@
 			})
 		}
 		if sim.faultAllowed(faultMute) {
-			addInBatch(label{conn: c, text: "is found silent and ended"}, func() { sim.spendFault(); c.endWriteSide(proto.ErrMute) })
+			addInBatch(label{conn: c, text: "is found silent and ended"}, func() { sim.spendFault(); c.endWriteSide(proto.ErrUnresponsive) })
 		}
 		if c.closeRequested {
 			addInBatch(label{conn: c, text: "ends"}, func() { c.endWriteSide(c.closeReason) })
--- a/attempt/explore/setup.go
+++ b/attempt/explore/setup.go
@@ -158,9 +158,9 @@
 		secondStep = s.Parts
 	}
 	return &config.Settings{
-		Types: map[string]int{"t": 0}, Tenants: map[string]int{"one": 0}, Shards: s.Parts, OpenMost: 100, Streams: 8,
-		Idle: time.Hour, Connect: recheckDelay,
-		Brain: policy.Settings{Seed: 1, Mixers: 1, Shards: 1, ShardSpan: 1, PartsPerCall: 2, MaxAttempts: s.MaxAttempts,
+		Types: map[string]int{"t": 0}, Tenants: map[string]int{"one": 0}, Shards: s.Parts, MaxOpen: 100, StreamsPerConn: 8,
+		IdleTimeout: time.Hour, ConnectTimeout: recheckDelay,
+		Policy: policy.Settings{Seed: 1, Mixers: 1, Shards: 1, ShardSpan: 1, PartsPerCall: 2, MaxAttempts: s.MaxAttempts,
 			MayHedge: s.MaxInFlight > 1, MayCancel: true, MaxRetryAfter: time.Second, Granularity: time.Millisecond,
 			ListInterval: time.Hour,
 			Quotas:       []float64{1000},
--- a/attempt/explore/simulation.go
+++ b/attempt/explore/simulation.go
@@ -168,7 +168,7 @@
 		sim.free = newFreePolicy(sim, actions, now)
 		return checkedPolicy{sim, sim.free}
 	}
-	sim.engine = policy.New(sim.setup.mixerSettings.Brain, checkedActions{actions, sim}, now)
+	sim.engine = policy.New(sim.setup.mixerSettings.Policy, checkedActions{actions, sim}, now)
 	return checkedPolicy{sim, sim.engine}
 }
 
@@ -246,7 +246,7 @@
 // sendList passes the state of all searchers to the coordinator.
 func (sim *Simulation) sendList(mode policy.ListMode) {
 	sim.listVersion++
-	list := proto.List{Version: sim.listVersion, Whole: mode == policy.Full}
+	list := proto.List{Version: sim.listVersion, Full: mode == policy.Full}
 	for i, r := range sim.searchers {
 		addr := searcherName(i)
 		if r.moved {
--- a/attempt/searchers.go
+++ b/attempt/searchers.go
@@ -210,7 +210,7 @@
 	if !h.Born.IsZero() {
 		started = h.Born.Sub(c.start)
 	}
-	c.policy.ListEntry(i, h.State, h.Weight, started, h.Cell)
+	c.policy.ListEntry(i, h.State, h.Weight, started, h.Shard)
 }
 
 // passFullList passes the known list to a policy that was restarted.
--- a/attempt/send.go
+++ b/attempt/send.go
@@ -39,7 +39,7 @@
 		target := c.unsent[0].searcher()
 		var batch []queuedAttempt
 		c.unsent = slices.DeleteFunc(c.unsent, func(q queuedAttempt) bool {
-			if q.searcher() != target || len(batch) >= max(1, c.settings.Brain.PartsPerCall) {
+			if q.searcher() != target || len(batch) >= max(1, c.settings.Policy.PartsPerCall) {
 				return false
 			}
 			batch = append(batch, q)
@@ -69,8 +69,8 @@
 	for i, q := range batch {
 		query := &q.part.scan.Query
 		calls[i] = proto.Call{ID: q.part.wireID, Shard: q.part.shard, Text: query.Text,
-			Until: c.start.Add(q.part.attempts[q.index].deadline)}
-		if c.settings.Brain.Types[q.part.scan.class].Effect == policy.IdempotentByKey {
+			Deadline: c.start.Add(q.part.attempts[q.index].deadline)}
+		if c.settings.Policy.Types[q.part.scan.class].Effect == policy.IdempotentByKey {
 			calls[i].Key = query.Key
 		}
 		if q.part.scan.step > 0 {
@@ -116,7 +116,7 @@
 	switch {
 	case a.withdraw(p):
 		c.deferReturned(p, index, policy.Expired)
-	case !c.settings.Brain.MayCancel:
+	case !c.settings.Policy.MayCancel:
 		c.deferReturned(p, index, outcome)
 	case a.conn.closing:
 		// The attempt ends when the connection does.
@@ -134,7 +134,7 @@
 
 // windowEnd returns the time by which a retry of an idempotent-by-key part must be sent, if an earlier attempt may have run.
 func (c *Coordinator) windowEnd(p *part, index int) (deadline time.Duration, ok bool) {
-	tableType := &c.settings.Brain.Types[p.scan.class]
+	tableType := &c.settings.Policy.Types[p.scan.class]
 	if tableType.Effect != policy.IdempotentByKey {
 		return 0, false
 	}
@@ -167,7 +167,7 @@
 var errKeyWindow = errors.New("a keyed part would be sent outside its repeat window")
 
 // exclusive reports whether the part may be sent again, but only while none of its attempts is in flight.
-func (c *Coordinator) exclusive(p *part) bool { return !p.ended && !c.settings.Brain.MayHedge }
+func (c *Coordinator) exclusive(p *part) bool { return !p.ended && !c.settings.Policy.MayHedge }
 
 // withdrawUnsent withdraws unsent attempts when a step ends, so that nothing of a scan is sent after its final answer.
 func (c *Coordinator) withdrawUnsent(p *part) {
--- a/attempt/state.go
+++ b/attempt/state.go
@@ -207,7 +207,7 @@
 func (e *encoder) attempt(p *part, a *attempt) {
 	e.flag(a.inFlight)
 	if e.flag(a.neverRan); !a.inFlight {
-		if e.coordinator.settings.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
+		if e.coordinator.settings.Policy.Types[p.scan.class].Effect == policy.IdempotentByKey {
 			e.time(a.startedAt)
 		}
 		return // nothing else of an attempt that returned is used any more
@@ -216,7 +216,7 @@
 	e.byte(byte(slices.Index(e.labels.Searchers, a.searcher.host.Name)))
 	i, ok := e.coordinator.searchers.byName[a.searcher.host.Name]
 	e.flag(ok && e.coordinator.searchers.entries[i] == a.searcher)
-	if e.labels.LatencyMatters || e.coordinator.settings.Brain.Types[p.scan.class].Effect == policy.IdempotentByKey {
+	if e.labels.LatencyMatters || e.coordinator.settings.Policy.Types[p.scan.class].Effect == policy.IdempotentByKey {
 		e.time(a.startedAt)
 	}
 	switch {
--- a/cmd/peathollow/check.go
+++ b/cmd/peathollow/check.go
@@ -35,7 +35,7 @@
 				if err != nil {
 					return err
 				}
-				o, err := config.ReadOurs(path, b)
+				o, err := config.ReadOptions(path, b)
 				if err != nil {
 					return err
 				}
@@ -64,7 +64,7 @@
 		return printTable(out, "key|is|default|for", rows)
 	}
 	if path == "" {
-		path = settings.FromEnvironment(os.Getenv)
+		path = settings.PathFromEnvironment(os.Getenv)
 	}
 	s, err := settings.Read(path)
 	if err != nil {
--- a/cmd/peathollow/operate.go
+++ b/cmd/peathollow/operate.go
@@ -96,7 +96,7 @@
 	}
 	path := r.settings
 	if path == "" {
-		path = settings.FromEnvironment(os.Getenv)
+		path = settings.PathFromEnvironment(os.Getenv)
 	}
 	s, err := settings.Read(path)
 	if err != nil {
--- a/cmd/peathollow/serve.go
+++ b/cmd/peathollow/serve.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	log, err := logger(c.Ours.Log.Level)
+	log, err := logger(c.Options.Log.Level)
 	if err != nil {
 		return err
 	}
--- a/cmd/peathollow/system.go
+++ b/cmd/peathollow/system.go
@@ -63,7 +63,7 @@
 	build func(*settings.Settings, string, *log.Logger) (process, error)) error {
 	signal.Ignore(syscall.SIGPIPE)
 	reload := notify(syscall.SIGHUP)
-	s, err := settings.ReadFor(name, settings.FromEnvironment(os.Getenv))
+	s, err := settings.ReadForRole(name, settings.PathFromEnvironment(os.Getenv))
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	go func() {
 		for range reload {
 			// Settings only take effect at the next start. The file is read to report whether it is valid.
-			if _, err := settings.ReadFor(name, settings.FromEnvironment(os.Getenv)); err != nil {
+			if _, err := settings.ReadForRole(name, settings.PathFromEnvironment(os.Getenv)); err != nil {
 				l.Error().Str("event", "settings").Err(err).Msg("")
 			} else {
 				l.Info().Str("event", "settings").Msg("")
--- a/controlplane/contact.go
+++ b/controlplane/contact.go
@@ -115,7 +115,7 @@
 	}
 	if known {
 		restored := c.restoredVersion.Load()
-		invariant.Check(invariant.VersionRises, a.Doc.Version >= restored, "version %d is in force, the disk holds %d",
+		invariant.Check(invariant.VersionMonotonic, a.Doc.Version >= restored, "version %d is in force, the disk holds %d",
 			a.Doc.Version, restored)
 	}
 	e := c.driver.currentEpoch()
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "storage")
 	}
-	cold := s.ColdStart && !store.Predecessor()
+	cold := s.ColdStart && !store.HadDamage()
 	if lost != nil {
 		l.Error().Str("event", "disk-lost").Str("folder", s.DataDir).Err(lost).Msg("")
 	}
@@ -192,7 +192,7 @@
 	distributionServer := distribution.Server{Replica: c.replica, OnRequest: c.handlePull}
 	go distributionServer.Serve(ctx, listeners[1])
 	go c.serveCalls(ctx, listeners[2])
-	go figures.ServeFor(ctx, c.log, c.settings.IP, c.settings.Metrics, c.emitMetrics)
+	go figures.ServeIfConfigured(ctx, c.log, c.settings.IP, c.settings.Metrics, c.emitMetrics)
 	c.running.Go(func() { c.maintain(ctx) })
 	c.running.Go(func() { c.persistLoop(ctx) })
 	c.running.Go(func() { c.driver.writeLoop(ctx) })
@@ -202,7 +202,7 @@
 		}
 	})
 	server := newServer(c.handler())
-	connections := connlimit.New(c.settings.CallersMost())
+	connections := connlimit.New(c.settings.MaxClientConns())
 	connections.Bind(server)
 	go func() { ended <- errors.Wrap(server.Serve(connections.Listen(listeners[3])), "serve, control") }()
 	c.log.Info().Str("event", "serving").Str("control", c.settings.Control).Msg("")
--- a/controlplane/driver.go
+++ b/controlplane/driver.go
@@ -137,7 +137,7 @@
 	}
 	if a.Committed != nil {
 		if previous := d.committedDoc.Load(); previous != nil && a.Committed.Version < previous.Version {
-			invariant.Violated(invariant.VersionRises, "version %d committed after %d", a.Committed.Version, previous.Version)
+			invariant.Violated(invariant.VersionMonotonic, "version %d committed after %d", a.Committed.Version, previous.Version)
 		}
 		d.committedDoc.Store(a.Committed)
 		d.onCommitted(*a.Committed)
--- a/controlplane/endpoints.go
+++ b/controlplane/endpoints.go
@@ -121,14 +121,14 @@
 // heartbeatTarget names a controller that is nearer to the searcher than this one and was heard from recently, if there is
 // one. Heartbeats across zones cost money.
 func (c *Controller) heartbeatTarget(zone string) []byte {
-	nearest, distance := "", c.settings.Far(zone)
+	nearest, distance := "", c.settings.DistanceTo(zone)
 	if distance == 0 {
 		return []byte("{}")
 	}
 	pulling := c.pullingIPs()
 	for _, p := range c.replica.Controllers() {
 		host, _, err := net.SplitHostPort(p.Addr)
-		if f := c.settings.Between(p.Zone, zone); err == nil && f < distance && pulling[host] {
+		if f := c.settings.ZoneDistance(p.Zone, zone); err == nil && f < distance && pulling[host] {
 			nearest, distance = host, f
 		}
 	}
--- a/controlplane/persistence.go
+++ b/controlplane/persistence.go
@@ -20,7 +20,7 @@
 
 // restore loads what an earlier incarnation persisted.
 func (c *Controller) restore() {
-	doc, entries := c.store.Remembered()
+	doc, entries := c.store.LastStored()
 	if doc != nil {
 		if m, err := unpackManifest(doc.Body); err == nil {
 			c.replica.SetDocument(m)
@@ -119,7 +119,7 @@
 	forget := m.tombstones.expire(now)
 	ok := c.driver.writeToDisk(ctx, func() error {
 		if newer {
-			if err := c.store.PutForce(*doc); err != nil {
+			if err := c.store.PutConfiguration(*doc); err != nil {
 				return err
 			}
 		}
--- a/controlplane/simulation/faults.go
+++ b/controlplane/simulation/faults.go
@@ -312,15 +312,15 @@
 		in = !out
 	}
 	for _, p := range peers {
-		sim.net.Cut(m.ip, p, out)
-		sim.net.Cut(p, m.ip, in)
+		sim.net.SetPartition(m.ip, p, out)
+		sim.net.SetPartition(p, m.ip, in)
 	}
 	sim.disturbedAt = time.Now()
 	sim.processes.Go(func() {
 		time.Sleep(d)
 		for _, p := range peers {
-			sim.net.Cut(m.ip, p, false)
-			sim.net.Cut(p, m.ip, false)
+			sim.net.SetPartition(m.ip, p, false)
+			sim.net.SetPartition(p, m.ip, false)
 		}
 		sim.mu.Lock()
 		sim.disturbedAt = time.Now()
--- a/controlplane/simulation/front.go
+++ b/controlplane/simulation/front.go
@@ -108,7 +108,7 @@
 
 func (sim *Simulation) tickReplica(ctx context.Context, b *distribution.Replica) {
 	sim.processes.Go(func() {
-		periodic.Each(ctx, heartbeatPeriod/2, func() {
+		periodic.Run(ctx, heartbeatPeriod/2, func() {
 			b.WithRegistry(func(r *registry.Registry) bool { return r.Tick(time.Now()) })
 		})
 	})
--- a/distribution/metrics.go
+++ b/distribution/metrics.go
@@ -28,5 +28,5 @@
 	emit("searchers_listed", float64(listed))
 	emit("searchers_silent", float64(silent))
 	emit("searchers_draining", float64(draining))
-	emit("list_complete", figures.Truth(complete))
+	emit("list_complete", figures.BoolValue(complete))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,12 +23,12 @@
 	MemoryMB, Sockets       int
 	Known                   proto.List
 	Settings                Settings
-	Ours                    Ours
+	Options                 Options
 	fixed                   map[string]string // values that only a restart can change, by key as written in the file
 }
 
-// Differs returns the sorted keys, present or missing, whose change to the values of another configuration needs a restart.
-func (c Config) Differs(d Config) []string {
+// RestartKeys returns the sorted keys, present or missing, whose change to the values of another configuration needs a restart.
+func (c Config) RestartKeys(d Config) []string {
 	var keys []string
 	for k, v := range c.fixed {
 		if w, ok := d.fixed[k]; !ok || v != w {
@@ -77,14 +77,14 @@
 	}
 	path := env("PEATHOLLOW_SETTINGS")
 	if path == "" {
-		c.Ours = Defaults()
+		c.Options = Defaults()
 		return c, nil
 	}
 	text, err := read(path)
 	if err != nil {
 		return c, fmt.Errorf("PEATHOLLOW_SETTINGS: %w", err)
 	}
-	c.Ours, err = ReadOurs(path, text)
+	c.Options, err = ReadOptions(path, text)
 	return c, err
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,9 +31,9 @@
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || s.Streams != 8 || s.Idle != 15*time.Second || !s.Brain.MayCancel ||
-		s.Shards != 8 || len(s.Brain.Types) != 4 || s.Brain.Types[0].SecondStep != 2 || s.Brain.Types[3].Effect != policy.NonIdempotent ||
-		s.Brain.Quotas[0] != 1000 || s.Tenants["acme"] != 0 || s.Types["keyed"] != 2 {
+	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || s.StreamsPerConn != 8 || s.IdleTimeout != 15*time.Second || !s.Policy.MayCancel ||
+		s.Shards != 8 || len(s.Policy.Types) != 4 || s.Policy.Types[0].SecondStep != 2 || s.Policy.Types[3].Effect != policy.NonIdempotent ||
+		s.Policy.Quotas[0] != 1000 || s.Tenants["acme"] != 0 || s.Types["keyed"] != 2 {
 		t.Errorf("%+v", c)
 	}
 	cut := strings.Replace(text(t), `"limits": {
@@ -44,7 +44,7 @@
 	cut = strings.Replace(cut, `"streamsPerConn": 8`, `"other": 8`, 1)
 	env := func(k string) string { return map[string]string{"ROUTER_NAME": "n7"}[k] }
 	c, err = parse([]byte(strings.Replace(cut, `"name": "n0"`, `"name": ""`, 1)), env)
-	if err != nil || c.Name != "n7" || c.MemoryMB != defaultMemory || c.Sockets != defaultSockets || c.Settings.Streams != 32 {
+	if err != nil || c.Name != "n7" || c.MemoryMB != defaultMemory || c.Sockets != defaultSockets || c.Settings.StreamsPerConn != 32 {
 		t.Errorf("%+v %v", c, err)
 	}
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestDiffersNamesKeys checks that a reload names the keys that need a restart. The address of discovery is not one of them.
-func TestDiffersNamesKeys(t *testing.T) {
+// TestRestartKeys checks that a reload names the keys that need a restart. The address of discovery is not one of them.
+func TestRestartKeys(t *testing.T) {
 	env := func(string) string { return "" }
 	good := text(t)
 	a, err := parse([]byte(good), env)
@@ -98,10 +98,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(a.Differs(b), " "); got != "limits.memory_mb settings.limits.maxOpen" {
+	if got := strings.Join(a.RestartKeys(b), " "); got != "limits.memory_mb settings.limits.maxOpen" {
 		t.Errorf("%q", got)
 	}
-	if a.Discovery == b.Discovery || len(a.Differs(a)) > 0 {
-		t.Errorf("%q %q %v", a.Discovery, b.Discovery, a.Differs(a))
+	if a.Discovery == b.Discovery || len(a.RestartKeys(a)) > 0 {
+		t.Errorf("%q %q %v", a.Discovery, b.Discovery, a.RestartKeys(a))
 	}
 }
--- a/internal/config/ours.go
+++ b/internal/config/options.go
@@ -12,9 +12,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// Ours are the program's own settings, from an INI file. The platform's configuration is a separate JSON file. Without
+// Options are the program's own settings, from an INI file. The platform's configuration is a separate JSON file. Without
 // the INI file all defaults apply, and every feature that needs more than the platform provides is off.
-type Ours struct {
+type Options struct {
 	Log     Log
 	Members Members
 	Duties  Duties
@@ -57,48 +57,48 @@
 // Setting declares one key of the file. Its check, its error message and its help text are all derived from the declaration.
 type Setting struct {
 	Section, Key, Default, Allowed, Help string
-	set                                  func(o *Ours, text string) bool
+	set                                  func(o *Options, text string) bool
 }
 
 // declared lists all settings, in the order of the help text.
 var declared = []Setting{
-	choice("log", "level", "info", "minimum level of the log lines written", func(o *Ours) *string { return &o.Log.Level },
+	choice("log", "level", "info", "minimum level of the log lines written", func(o *Options) *string { return &o.Log.Level },
 		"debug", "info", "warn", "error"),
 	address("members", "bind", "", "address for messages between instances, over UDP and TCP",
-		func(o *Ours) *string { return &o.Members.Bind }),
+		func(o *Options) *string { return &o.Members.Bind }),
 	addresses("members", "seeds", "", "instances to contact first, some of which may be down",
-		func(o *Ours) *[]string { return &o.Members.Seeds }),
+		func(o *Options) *[]string { return &o.Members.Seeds }),
 	freeText("members", "keys", "", "path of the key file, readable by its owner only: one base64 key a line, the first encrypts",
-		func(o *Ours) *string { return &o.Members.Keys }),
-	flag("duties", "on", "no", "share periodic duties with other instances", func(o *Ours) *bool { return &o.Duties.On }),
+		func(o *Options) *string { return &o.Members.Keys }),
+	flag("duties", "on", "no", "share periodic duties with other instances", func(o *Options) *bool { return &o.Duties.On }),
 	integer("duties", "instances", "3", "maximum number of instances that run at the same time; the same for all instances",
-		func(o *Ours) *int { return &o.Duties.Instances }, 1, 1024),
+		func(o *Options) *int { return &o.Duties.Instances }, 1, 1024),
 	duration("duties", "interval", "5s", "time between probes of one searcher, over all instances",
-		func(o *Ours) *time.Duration { return &o.Duties.Interval }, 100*time.Millisecond, time.Hour),
+		func(o *Options) *time.Duration { return &o.Duties.Interval }, 100*time.Millisecond, time.Hour),
 	duration("duties", "lease", "0s", "duration of the lease on a share; 0s for half the interval",
-		func(o *Ours) *time.Duration { return &o.Duties.Lease }, 0, time.Hour),
+		func(o *Options) *time.Duration { return &o.Duties.Lease }, 0, time.Hour),
 	duration("duties", "audit", "1m", "time between comparisons of the full searcher list with the watched one",
-		func(o *Ours) *time.Duration { return &o.Duties.Audit }, time.Second, 24*time.Hour),
+		func(o *Options) *time.Duration { return &o.Duties.Audit }, time.Second, 24*time.Hour),
 	duration("duties", "young", "30s", "how long after its start a searcher is probed less often",
-		func(o *Ours) *time.Duration { return &o.Duties.Young }, 0, time.Hour),
+		func(o *Options) *time.Duration { return &o.Duties.Young }, 0, time.Hour),
 	number("duties", "gentle", "4", "factor by which the interval is longer for such a searcher",
-		func(o *Ours) *float64 { return &o.Duties.Gentle }, 1, 100),
+		func(o *Options) *float64 { return &o.Duties.Gentle }, 1, 100),
 	integer("duties", "running", "8", "maximum number of concurrent probes",
-		func(o *Ours) *int { return &o.Duties.Running }, 1, 1024),
+		func(o *Options) *int { return &o.Duties.Running }, 1, 1024),
 	flag("duties", "load", "no", "probe with load reports instead of plain health checks",
-		func(o *Ours) *bool { return &o.Duties.Load }),
+		func(o *Options) *bool { return &o.Duties.Load }),
 	freeText("duties", "show", "", "path of the socket that `duties show` queries; empty for none",
-		func(o *Ours) *string { return &o.Duties.Show }),
-	flag("fleet", "on", "no", "coordinate overload handling with other instances", func(o *Ours) *bool { return &o.Fleet.On }),
+		func(o *Options) *string { return &o.Duties.Show }),
+	flag("fleet", "on", "no", "coordinate overload handling with other instances", func(o *Options) *bool { return &o.Fleet.On }),
 	integer("fleet", "instances", "3", "maximum number of instances that run at the same time; the same for all instances",
-		func(o *Ours) *int { return &o.Fleet.Instances }, 1, 300),
+		func(o *Options) *int { return &o.Fleet.Instances }, 1, 300),
 	duration("fleet", "beat", "250ms", "time between heartbeats to all other instances; state older than six of them is ignored",
-		func(o *Ours) *time.Duration { return &o.Fleet.Beat }, 20*time.Millisecond, 10*time.Second),
+		func(o *Options) *time.Duration { return &o.Fleet.Beat }, 20*time.Millisecond, 10*time.Second),
 }
 
 // newSetting makes a setting that parses its text with read and stores the value in the field that at returns.
-func newSetting[T any](section, key, def, allowed, help string, at func(*Ours) *T, read func(string) (T, bool)) Setting {
-	return Setting{section, key, def, allowed, help, func(o *Ours, s string) bool {
+func newSetting[T any](section, key, def, allowed, help string, at func(*Options) *T, read func(string) (T, bool)) Setting {
+	return Setting{section, key, def, allowed, help, func(o *Options, s string) bool {
 		x, ok := read(s)
 		if ok {
 			*at(o) = x
@@ -107,11 +107,11 @@
 	}}
 }
 
-func freeText(section, key, def, help string, at func(*Ours) *string) Setting {
+func freeText(section, key, def, help string, at func(*Options) *string) Setting {
 	return newSetting(section, key, def, "any text", help, at, func(s string) (string, bool) { return s, true })
 }
 
-func choice(section, key, def, help string, at func(*Ours) *string, of ...string) Setting {
+func choice(section, key, def, help string, at func(*Options) *string, of ...string) Setting {
 	return newSetting(section, key, def, "one of "+strings.Join(of, ", "), help, at, func(s string) (string, bool) {
 		return s, slices.Contains(of, s)
 	})
@@ -123,13 +123,13 @@
 	return err == nil && host != "" && portErr == nil && n > 0 && n < 1<<16
 }
 
-func address(section, key, def, help string, at func(*Ours) *string) Setting {
+func address(section, key, def, help string, at func(*Options) *string) Setting {
 	return newSetting(section, key, def, "an address and port, as 10.0.0.4:7946", help, at, func(s string) (string, bool) {
 		return s, s == "" || isAddress(s)
 	})
 }
 
-func addresses(section, key, def, help string, at func(*Ours) *[]string) Setting {
+func addresses(section, key, def, help string, at func(*Options) *[]string) Setting {
 	return newSetting(section, key, def, "addresses with ports, commas between", help, at, func(s string) (out []string, ok bool) {
 		for _, a := range strings.Split(s, ",") {
 			if a = strings.TrimSpace(a); a == "" && s == "" {
@@ -144,13 +144,13 @@
 	})
 }
 
-func flag(section, key, def, help string, at func(*Ours) *bool) Setting {
+func flag(section, key, def, help string, at func(*Options) *bool) Setting {
 	return newSetting(section, key, def, "yes or no", help, at, func(s string) (bool, bool) {
 		return s == "yes", s == "yes" || s == "no"
 	})
 }
 
-func duration(section, key, def, help string, at func(*Ours) *time.Duration, low, high time.Duration) Setting {
+func duration(section, key, def, help string, at func(*Options) *time.Duration, low, high time.Duration) Setting {
 	return newSetting(section, key, def, fmt.Sprintf("a time from %v to %v, as 500ms or 5s", low, high), help, at,
 		func(s string) (time.Duration, bool) {
 			d, err := time.ParseDuration(s)
@@ -158,7 +158,7 @@
 		})
 }
 
-func integer(section, key, def, help string, at func(*Ours) *int, low, high int) Setting {
+func integer(section, key, def, help string, at func(*Options) *int, low, high int) Setting {
 	return newSetting(section, key, def, fmt.Sprintf("a whole number from %d to %d", low, high), help, at,
 		func(s string) (int, bool) {
 			n, err := strconv.Atoi(s)
@@ -166,7 +166,7 @@
 		})
 }
 
-func number(section, key, def, help string, at func(*Ours) *float64, low, high float64) Setting {
+func number(section, key, def, help string, at func(*Options) *float64, low, high float64) Setting {
 	return newSetting(section, key, def, fmt.Sprintf("a number from %g to %g", low, high), help, at,
 		func(s string) (float64, bool) {
 			x, err := strconv.ParseFloat(s, 64)
@@ -175,8 +175,8 @@
 }
 
 // Defaults returns the default values of all settings.
-func Defaults() Ours {
-	var o Ours
+func Defaults() Options {
+	var o Options
 	for _, s := range declared {
 		if !s.set(&o, s.Default) {
 			panic("default of " + s.Section + "." + s.Key + " is not allowed") // the declaration is wrong
@@ -185,8 +185,8 @@
 	return o
 }
 
-// ReadOurs parses a settings file. Its errors name the file, the section, the key and the allowed values.
-func ReadOurs(name string, b []byte) (Ours, error) {
+// ReadOptions parses a settings file. Its errors name the file, the section, the key and the allowed values.
+func ReadOptions(name string, b []byte) (Options, error) {
 	o := Defaults()
 	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, IgnoreInlineComment: true}, b)
 	if err != nil {
@@ -232,7 +232,7 @@
 }
 
 // validate applies defaults and checks that depend on several keys.
-func (o *Ours) validate(name string) error {
+func (o *Options) validate(name string) error {
 	d := &o.Duties
 	if d.Lease == 0 {
 		d.Lease = max(minLease, d.Interval/2)
--- a/internal/config/ours_test.go
+++ b/internal/config/options_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func TestOursDefaultsAndValues(t *testing.T) {
-	o, err := ReadOurs("x", nil)
+func TestOptionsDefaultsAndValues(t *testing.T) {
+	o, err := ReadOptions("x", nil)
 	if err != nil || o.Duties.On || o.Log.Level != "info" || o.Duties.Lease != 2500*time.Millisecond {
 		t.Errorf("%+v %v", o, err)
 	}
-	o, err = ReadOurs("x", []byte("[duties]\non = yes\ninterval = 800ms\ngentle = 2.5\n[members]\nbind = 127.0.0.1:7946\n"+
+	o, err = ReadOptions("x", []byte("[duties]\non = yes\ninterval = 800ms\ngentle = 2.5\n[members]\nbind = 127.0.0.1:7946\n"+
 		"seeds = 127.0.0.1:7946, 127.0.0.2:7946\nkeys = /k\n"))
 	if err != nil || !o.Duties.On || o.Duties.Interval != 800*time.Millisecond || o.Duties.Lease != 400*time.Millisecond ||
 		o.Duties.Gentle != 2.5 || len(o.Members.Seeds) != 2 || o.Members.Seeds[1] != "127.0.0.2:7946" {
@@ -21,8 +21,8 @@
 
 // TestHelpIsValidSettingsFile checks that the help text is itself a valid settings file with the default values.
 func TestHelpIsValidSettingsFile(t *testing.T) {
-	o, err := ReadOurs("help", []byte(Help()))
-	if d, _ := ReadOurs("x", nil); err != nil || o.Duties != d.Duties || o.Log != d.Log {
+	o, err := ReadOptions("help", []byte(Help()))
+	if d, _ := ReadOptions("x", nil); err != nil || o.Duties != d.Duties || o.Log != d.Log {
 		t.Errorf("%v %+v", err, o)
 	}
 	for _, s := range declared {
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestOursMessages checks that error messages name the file, the section, the key and the allowed values.
-func TestOursMessages(t *testing.T) {
+// TestOptionsMessages checks that error messages name the file, the section, the key and the allowed values.
+func TestOptionsMessages(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[duties]\ninterval = fast", `f.ini: [duties] interval: "fast" is not allowed; allowed is a time from 100ms to 1h0m0s`},
 		{"[duties]\ninterval = 1ms", "from 100ms"},
@@ -53,17 +53,17 @@
 		{"[duties]\non = yes\ninstances = 1\nlease = 1ms", "[duties] lease"},
 		{"[duties", "f.ini"},
 	} {
-		if _, err := ReadOurs("f.ini", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ReadOptions("f.ini", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v", c.text, err)
 		}
 	}
 }
 
-func FuzzOurs(f *testing.F) {
+func FuzzOptions(f *testing.F) {
 	f.Add([]byte(Help()))
 	f.Add([]byte("[duties]\non = yes"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if o, err := ReadOurs("f", b); err == nil && (o.Duties.Instances < 1 || o.Duties.Interval <= 0 || o.Duties.Lease <= 0) {
+		if o, err := ReadOptions("f", b); err == nil && (o.Duties.Instances < 1 || o.Duties.Interval <= 0 || o.Duties.Lease <= 0) {
 			t.Errorf("%+v", o)
 		}
 	})
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,14 +13,14 @@
 // Settings describe an instance's deployment: the settings of the dispatch policy, the names that clients use for table
 // types and tenants, and the values that only a mixer on sockets needs.
 type Settings struct {
-	Brain          policy.Settings
+	Policy         policy.Settings
 	Types, Tenants map[string]int
 	Shards         int
-	OpenMost       int
-	Streams        int // parts that one connection carries concurrently
-	Idle           time.Duration
-	Connect        time.Duration
-	Slack          time.Duration
+	MaxOpen        int
+	StreamsPerConn int // parts that one connection carries concurrently
+	IdleTimeout    time.Duration
+	ConnectTimeout time.Duration
+	AnswerSlack    time.Duration
 }
 
 // reader reads settings by path and keeps the first error.
@@ -44,7 +44,7 @@
 }
 
 func (r *reader) float(path string) float64 {
-	x, err := Number(r.text(path), 0)
+	x, err := ParseNumber(r.text(path), 0)
 	if err != nil {
 		r.fail(path, "unreadable")
 	}
@@ -60,7 +60,7 @@
 }
 
 func (r *reader) optional(path string) float64       { return r.floatOr(path, 0) }
-func (r *reader) duration(path string) time.Duration { return Span(r.float(path)) }
+func (r *reader) duration(path string) time.Duration { return Milliseconds(r.float(path)) }
 func (r *reader) int(path string) int                { return int(r.float(path)) }
 
 func (r *reader) bool(path string) bool {
@@ -116,12 +116,12 @@
 		Granularity: r.duration("granularity"), ListInterval: r.duration("rules.askEvery"),
 		WarmUp: r.duration("rules.cold"), OverloadSpan: r.duration("rules.fall"), ColdShare: r.float("rules.startCapacity"),
 		OverloadMultiple: r.float("rules.fallMultiple"), BudgetFree: r.optional("rules.budgetFree"),
-		BudgetShare: r.optional("rules.resendRatio"), BudgetSpan: Span(r.optional("rules.resendSpan"))}
+		BudgetShare: r.optional("rules.resendRatio"), BudgetSpan: Milliseconds(r.optional("rules.resendSpan"))}
 	s.Budgeted = s.BudgetSpan > 0
 	deployment := Settings{Types: map[string]int{}, Tenants: map[string]int{},
-		Shards: r.int("domain.ranges"), OpenMost: int(r.positive("limits.maxOpen", 20000)),
-		Streams: int(r.positive("limits.streamsPerConn", 32)), Idle: Span(r.positive("limits.connIdle", 15000)),
-		Connect: Span(r.positive("limits.connectTimeout", 250)), Slack: r.duration("rules.answerSlack")}
+		Shards: r.int("domain.ranges"), MaxOpen: int(r.positive("limits.maxOpen", 20000)),
+		StreamsPerConn: int(r.positive("limits.streamsPerConn", 32)), IdleTimeout: Milliseconds(r.positive("limits.connIdle", 15000)),
+		ConnectTimeout: Milliseconds(r.positive("limits.connectTimeout", 250)), AnswerSlack: r.duration("rules.answerSlack")}
 	for i := range r.int("requestClasses.count") {
 		prefix := fmt.Sprintf("requestClasses.%d.", i)
 		effect, ok := effects[r.text(prefix+"semantics")]
@@ -129,7 +129,7 @@
 			r.fail(prefix+"semantics", "unreadable")
 		}
 		t := policy.TableType{Target: r.duration(prefix + "objective"), Timeout: r.duration(prefix + "deadline"),
-			RepeatWindow: Span(r.optional(prefix + "keyTtl")), LateShare: r.float(prefix + "lateWorth"),
+			RepeatWindow: Milliseconds(r.optional(prefix + "keyTtl")), LateShare: r.float(prefix + "lateWorth"),
 			Benefit: r.float(prefix + "points"), Stretch: r.optional(prefix + "aimStretch"), Effect: effect,
 			Need: r.nth("domain.wholeAt", i), Floor: r.nth("domain.floorByClass", i),
 			SecondStep: int(r.nth("domain.secondStep", i))}
@@ -144,12 +144,12 @@
 	if r.err == nil && (s.Shards < 1 || s.ShardSpan < 1 || s.Granularity <= 0) {
 		r.fail("domain.places, domain.width or granularity", "must be above 0")
 	}
-	deployment.Brain = s
+	deployment.Policy = s
 	return deployment, r.err
 }
 
-// Number parses a finite number; "-" stands for the value absent.
-func Number(s string, absent float64) (float64, error) {
+// ParseNumber parses a finite number; "-" stands for the value absent.
+func ParseNumber(s string, absent float64) (float64, error) {
 	if s == "-" {
 		return absent, nil
 	}
@@ -160,7 +160,7 @@
 	return x, nil
 }
 
-// Span converts milliseconds to a duration, rounded to whole microseconds, the resolution of the wire protocol's clock.
-func Span(ms float64) time.Duration {
+// Milliseconds converts milliseconds to a duration, rounded to whole microseconds, the resolution of the wire protocol's clock.
+func Milliseconds(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,10 +17,10 @@
 
 // Limits holds the size limits and timings of the watch.
 type Limits struct {
-	Body  int64         // maximum size of a response in bytes
-	Call  time.Duration // timeout of a request that doesn't wait for changes
-	Wait  time.Duration // how long the service may hold a watch request, in addition to Call
-	Pause time.Duration // pause after an immediate failure, unless Ask ends it sooner
+	MaxBodyBytes   int64         // maximum size of a response in bytes
+	RequestTimeout time.Duration // timeout of a request that doesn't wait for changes
+	MaxWait        time.Duration // how long the service may hold a watch request, in addition to Call
+	RetryPause     time.Duration // pause after an immediate failure, unless Ask ends it sooner
 }
 
 // Watcher follows one discovery service at a time.
@@ -38,9 +38,9 @@
 	return &Watcher{addr: addr, limits: limits, wake: make(chan struct{}, 1)}
 }
 
-// Move makes the watcher follow the service at another address. It cancels a pending request and doesn't wait for it: the
+// SetAddress makes the watcher follow the service at another address. It cancels a pending request and doesn't wait for it: the
 // old service may hang, and the updates of the new one are due soon after the instruction to move.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
@@ -51,8 +51,8 @@
 	}
 }
 
-// Whole fetches the full list once, independently of the watch.
-func (w *Watcher) Whole(ctx context.Context) (proto.List, error) {
+// FetchList fetches the full list once, independently of the watch.
+func (w *Watcher) FetchList(ctx context.Context) (proto.List, error) {
 	w.mu.Lock()
 	addr := w.addr
 	w.mu.Unlock()
@@ -61,8 +61,8 @@
 	return (&session{addr: addr, limits: w.limits, http: http.Client{Transport: transport}}).next(ctx, true)
 }
 
-// Anew cancels the current watch and starts a new one with the full list.
-func (w *Watcher) Anew() {
+// Restart cancels the current watch and starts a new one with the full list.
+func (w *Watcher) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.cancel != nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Ask ends a pause after a failure.
-func (w *Watcher) Ask() {
+// RetryNow ends a pause after a failure.
+func (w *Watcher) RetryNow() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -127,7 +127,7 @@
 		full = false
 		current.version = list.Version
 		switch {
-		case list.Whole:
+		case list.Full:
 			handle(policy.Full, list)
 		case len(list.Hosts) > 0:
 			handle(policy.Changes, list)
@@ -141,7 +141,7 @@
 	case <-w.wake: // drops an Ask from before the failure
 	default:
 	}
-	t := time.NewTimer(w.limits.Pause)
+	t := time.NewTimer(w.limits.RetryPause)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -157,10 +157,10 @@
 			err = fmt.Errorf("discovery: panic: %v", panicked)
 		}
 	}()
-	url, timeout := "http://"+s.addr+"/v1/endpoints", s.limits.Call
+	url, timeout := "http://"+s.addr+"/v1/endpoints", s.limits.RequestTimeout
 	if !full {
-		url += fmt.Sprintf("?after=%d&wait_ms=%d", s.version, s.limits.Wait.Milliseconds())
-		timeout += s.limits.Wait
+		url += fmt.Sprintf("?after=%d&wait_ms=%d", s.version, s.limits.MaxWait.Milliseconds())
+		timeout += s.limits.MaxWait
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -173,14 +173,14 @@
 		return proto.List{}, fmt.Errorf("discovery: %w", err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, s.limits.Body+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, s.limits.MaxBodyBytes+1))
 	switch {
 	case err != nil:
 		return proto.List{}, fmt.Errorf("discovery: %w", err)
 	case response.StatusCode != http.StatusOK:
 		return proto.List{}, fmt.Errorf("discovery: status %d", response.StatusCode)
-	case int64(len(body)) > s.limits.Body:
-		return proto.List{}, fmt.Errorf("discovery: more than %d bytes", s.limits.Body)
+	case int64(len(body)) > s.limits.MaxBodyBytes:
+		return proto.List{}, fmt.Errorf("discovery: more than %d bytes", s.limits.MaxBodyBytes)
 	}
 	if list, err = proto.ReadList(body); err != nil {
 		return list, fmt.Errorf("discovery: %w", err)
@@ -188,10 +188,10 @@
 	if !full && list.Version < s.version {
 		return list, errOlderVersion
 	}
-	if !full && !list.Whole && list.Version == s.version {
+	if !full && !list.Full && list.Version == s.version {
 		list.Hosts = nil // nothing new
 	}
-	if full && !list.Whole {
+	if full && !list.Full {
 		return list, errors.New("discovery: got changes instead of the full list")
 	}
 	return list, nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestFullListThenChanges(t *testing.T) {
-	d, _, next := follow(t, Limits{Body: 1 << 20, Call: 5 * time.Second, Wait: 5 * time.Second, Pause: time.Millisecond})
+	d, _, next := follow(t, Limits{MaxBodyBytes: 1 << 20, RequestTimeout: 5 * time.Second, MaxWait: 5 * time.Second, RetryPause: time.Millisecond})
 	if x := next(); x.mode != policy.Full || len(x.list.Hosts) != 1 {
 		t.Errorf("%+v", x)
 	}
@@ -61,7 +61,7 @@
 // TestUnresponsiveServiceIsAskedAgain checks that an unresponsive service is asked again and that the missed updates arrive as
 // changes, so that the list received before remains valid.
 func TestUnresponsiveServiceIsAskedAgain(t *testing.T) {
-	d, w, next := follow(t, Limits{Body: 1 << 20, Call: 500 * time.Millisecond, Wait: time.Millisecond, Pause: time.Hour})
+	d, w, next := follow(t, Limits{MaxBodyBytes: 1 << 20, RequestTimeout: 500 * time.Millisecond, MaxWait: time.Millisecond, RetryPause: time.Hour})
 	next()
 	d.SetSilent(true)
 	if x := next(); x.mode != policy.Unavailable {
@@ -70,7 +70,7 @@
 	d.SetSilent(false)
 	d.SetHost(standin.Host{Host: "b", Dial: "127.0.0.1:2", Health: "up"})
 	for {
-		w.Ask()
+		w.RetryNow()
 		if x := next(); x.mode == policy.Changes && x.list.Hosts[0].Name == "b" {
 			return
 		} else if x.mode != policy.Unavailable {
@@ -84,7 +84,7 @@
 // pause of a second in addition to its timeout was too late for that. Successive unresponsive watches cost one request each,
 // never a burst.
 func TestUnresponsiveWatchIsRepeatedAtOnce(t *testing.T) {
-	limits := Limits{Body: 1 << 20, Call: 200 * time.Millisecond, Wait: 200 * time.Millisecond, Pause: time.Hour}
+	limits := Limits{MaxBodyBytes: 1 << 20, RequestTimeout: 200 * time.Millisecond, MaxWait: 200 * time.Millisecond, RetryPause: time.Hour}
 	d, _, next := follow(t, limits)
 	next()
 	for i := range 3 {
@@ -98,7 +98,7 @@
 		if x := next(); x.mode != policy.Changes || x.list.Hosts[0].Name != "b" {
 			t.Errorf("%+v", x)
 		}
-		if took := time.Since(at); took < limits.Call {
+		if took := time.Since(at); took < limits.RequestTimeout {
 			t.Errorf("update after %v: the watch was not unresponsive", took)
 		}
 	}
@@ -106,7 +106,7 @@
 
 // TestIndentedList checks that a list may be indented and contain unknown keys.
 func TestIndentedList(t *testing.T) {
-	d, _, next := follow(t, Limits{Body: 1 << 10, Call: 5 * time.Second, Wait: time.Millisecond, Pause: time.Millisecond})
+	d, _, next := follow(t, Limits{MaxBodyBytes: 1 << 10, RequestTimeout: 5 * time.Second, MaxWait: time.Millisecond, RetryPause: time.Millisecond})
 	next()
 	d.SetGarbage("{\n  \"seq\": 7,\n  \"whole\": true,\n  \"later\": {\"a\": [1]},\n  \"hosts\": [\n    {\n      \"host\": \"c\",\n" +
 		"      \"dial\": \"127.0.0.1:3\",\n      \"health\": \"up\",\n      \"share\": 1\n    }\n  ]\n}\n")
@@ -119,7 +119,7 @@
 
 // TestMalformedResponseIsDropped checks that malformed responses are dropped and that the watcher recovers afterwards.
 func TestMalformedResponseIsDropped(t *testing.T) {
-	d, _, next := follow(t, Limits{Body: 1 << 10, Call: 5 * time.Second, Wait: time.Millisecond, Pause: time.Millisecond})
+	d, _, next := follow(t, Limits{MaxBodyBytes: 1 << 10, RequestTimeout: 5 * time.Second, MaxWait: time.Millisecond, RetryPause: time.Millisecond})
 	next()
 	for _, junk := range []string{"no json", `{"whole":true}`, `{"seq":99,"hosts":[{"host":""}]}`} {
 		d.SetGarbage(junk)
@@ -140,7 +140,7 @@
 // the full list of the new service, whose versions are unrelated to those of the old one. Guards against following a service
 // that was removed.
 func TestMoveStartsWithFullList(t *testing.T) {
-	d, w, next := follow(t, Limits{Body: 1 << 20, Call: time.Hour, Wait: time.Hour, Pause: time.Hour})
+	d, w, next := follow(t, Limits{MaxBodyBytes: 1 << 20, RequestTimeout: time.Hour, MaxWait: time.Hour, RetryPause: time.Hour})
 	for range 5 {
 		d.SetHost(standin.Host{Host: "a", Dial: "127.0.0.1:1", Health: "up"})
 	}
@@ -153,7 +153,7 @@
 			t.Fatal(err)
 		}
 		defer to.Close()
-		w.Move(to.Addr())
+		w.SetAddress(to.Addr())
 		if x := next(); x.mode != policy.Full || x.list.Version != 1 || x.list.Hosts[0].Name != "b" {
 			t.Errorf("%+v", x)
 		}
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -25,8 +25,8 @@
 // name.
 type Emit func(name string, value float64, labels ...Label)
 
-// Truth converts a condition to a metric's value: 1 if it holds, 0 otherwise.
-func Truth(holds bool) float64 {
+// BoolValue converts a condition to a metric's value: 1 if it holds, 0 otherwise.
+func BoolValue(holds bool) float64 {
 	if holds {
 		return 1
 	}
@@ -60,9 +60,9 @@
 	maxHeaderBytes = 8 << 10
 )
 
-// ServeFor serves the metrics of a process until ctx ends, unless the address is empty. A failure is logged and doesn't affect
-// the process otherwise.
-func ServeFor(ctx context.Context, logger *log.Logger, ip string, address Address, source Source) {
+// ServeIfConfigured serves the metrics of a process until ctx ends, unless the address is empty. A failure is logged and
+// doesn't affect the process otherwise.
+func ServeIfConfigured(ctx context.Context, logger *log.Logger, ip string, address Address, source Source) {
 	if address == (Address{}) {
 		return
 	}
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -22,7 +22,7 @@
 // TestViolationsAreExported checks that the metrics of every process include invariant violations.
 func TestViolationsAreExported(t *testing.T) {
 	defer invariant.SetFatal(invariant.SetFatal(false))
-	invariant.Violated(invariant.VersionRises, "a test")
+	invariant.Violated(invariant.VersionMonotonic, "a test")
 	response := httptest.NewRecorder()
 	Handler(func(emit Emit) { emit("searchers_listed", 4) }).ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
 	must.StrContains(t, response.Body.String(), "peathollow_searchers_listed 4")
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -17,23 +17,23 @@
 const (
 	// OneFinalAnswer requires that a request in flight is ended exactly once.
 	OneFinalAnswer Name = "one_final_answer"
-	// NoRepeatAfterRun requires that a non-idempotent request which may have been executed is not sent again.
-	NoRepeatAfterRun Name = "no_repeat_after_run"
-	// TriesWithinRetries requires that a part is sent to at most as many searchers as its route allows.
-	TriesWithinRetries Name = "tries_within_retries"
-	// TriesWithinBudget requires that retries are within this mixer's share of the retry budget.
-	TriesWithinBudget Name = "tries_within_budget"
+	// NoRetryAfterExecution requires that a non-idempotent request which may have been executed is not sent again.
+	NoRetryAfterExecution Name = "no_repeat_after_run"
+	// AttemptsWithinRetries requires that a part is sent to at most as many searchers as its route allows.
+	AttemptsWithinRetries Name = "tries_within_retries"
+	// AttemptsWithinBudget requires that retries are within this mixer's share of the retry budget.
+	AttemptsWithinBudget Name = "tries_within_budget"
 	// DeadlineWithinClients requires that no searcher gets more time than the client has left.
 	DeadlineWithinClients Name = "deadline_within_clients"
 	// ReadySearcherChosen requires that a searcher known to be draining or removed is not chosen.
 	ReadySearcherChosen Name = "ready_searcher_chosen"
-	// InHandBalance requires that the requests in flight are those accepted less those ended.
-	InHandBalance Name = "in_hand_balance"
+	// InFlightBalance requires that the requests in flight are those accepted less those ended.
+	InFlightBalance Name = "in_hand_balance"
 	// DispatchEnds requires that no attempt is outstanding long after its deadline.
 	DispatchEnds Name = "dispatch_ends"
-	// VersionRises requires that the version of the configuration in force never decreases, neither within an incarnation nor
-	// across a restart from disk.
-	VersionRises Name = "version_rises"
+	// VersionMonotonic requires that the version of the configuration in force never decreases, neither within an incarnation
+	// nor across a restart from disk.
+	VersionMonotonic Name = "version_rises"
 	// OnePrimary requires that an epoch has one primary and that the control state is consistent.
 	OnePrimary Name = "one_primary"
 	// LeaveRecorded requires that a leave which is acknowledged to a searcher is recorded.
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -265,7 +265,7 @@
 			case f.cancelID == "":
 				buf = proto.AppendCalls(buf, now, f.calls...)
 			default:
-				if buf = proto.AppendGiveUp(buf, f.cancelID); f.confirm {
+				if buf = proto.AppendCancel(buf, f.cancelID); f.confirm {
 					toConfirm = append(toConfirm, f.seq)
 				}
 			}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -45,7 +45,7 @@
 	ReceiptTimeout: 5 * time.Second, LingerTimeout: 5 * time.Second, MaxProbeAnswer: 256}
 
 func call(id string) []proto.Call {
-	return []proto.Call{{ID: id, Until: time.Now().Add(time.Second), Text: "x"}}
+	return []proto.Call{{ID: id, Deadline: time.Now().Add(time.Second), Text: "x"}}
 }
 
 func searcher(t *testing.T, reply func(proto.Call) standin.Reply) *standin.Searcher {
@@ -208,7 +208,7 @@
 	c, r := open(t, s.Addr(), limits)
 	c.Send(call("a"))
 	c.Cancel("a", true)
-	if err := <-r.closed; !errors.Is(err, proto.ErrMute) || len(r.confirmed) > 0 || !<-r.peerClosed {
+	if err := <-r.closed; !errors.Is(err, proto.ErrUnresponsive) || len(r.confirmed) > 0 || !<-r.peerClosed {
 		t.Errorf("%v, confirmed %d", err, len(r.confirmed))
 	}
 }
@@ -239,7 +239,7 @@
 // An answer to a probe that was never sent is a protocol error.
 func TestAnswerToNoProbe(t *testing.T) {
 	s := searcher(t, func(proto.Call) standin.Reply {
-		return standin.Reply{Garbage: proto.AppendProbed(nil, proto.LetterProbe, "200")}
+		return standin.Reply{Garbage: proto.AppendProbeReply(nil, proto.LetterProbe, "200")}
 	})
 	c, r := open(t, s.Addr(), defaultLimits)
 	c.Send(call("a"))
--- a/internal/link/probe.go
+++ b/internal/link/probe.go
@@ -63,7 +63,7 @@
 	p := a.probe
 	a.timer = time.AfterFunc(max(wait, c.limits.ReceiptTimeout), func() {
 		if c.framesRead.Load() == before {
-			c.Fail(proto.ErrMute)
+			c.Fail(proto.ErrUnresponsive)
 		}
 		if p == nil {
 			return
@@ -80,7 +80,7 @@
 		}
 	})
 	if c.pendingProbes = append(c.pendingProbes, a); len(c.pendingProbes) > c.limits.QueueLength {
-		go c.Fail(proto.ErrMute) // the lock is held here
+		go c.Fail(proto.ErrUnresponsive) // the lock is held here
 	}
 }
 
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -16,21 +16,21 @@
 
 // Limits holds the size limits and timings of a group.
 type Limits struct {
-	Packet int           // maximum size of a datagram; longer messages go over a connection
-	Queue  int           // maximum number of messages queued for one peer; beyond it the oldest are dropped
-	Send   time.Duration // timeout for a peer to accept a message on a connection
-	Rejoin time.Duration // interval between attempts to reach missing seeds
-	Leave  time.Duration // time limit for notifying the others that this instance leaves
-	Probe  time.Duration // interval between probes of one peer
+	MaxDatagram    int           // maximum size of a datagram; longer messages go over a connection
+	MaxQueue       int           // maximum number of messages queued for one peer; beyond it the oldest are dropped
+	SendTimeout    time.Duration // timeout for a peer to accept a message on a connection
+	RejoinInterval time.Duration // interval between attempts to reach missing seeds
+	LeaveTimeout   time.Duration // time limit for notifying the others that this instance leaves
+	ProbeInterval  time.Duration // interval between probes of one peer
 }
 
 // Config describes how to join a group.
 type Config struct {
-	Name  string
-	Inc   uint64 // incarnation of this start, higher than the previous one
-	Bind  string // address and port, for both datagrams and connections
-	Seeds []string
-	Keys  string // path of the key file
+	Name        string
+	Incarnation uint64 // incarnation of this start, higher than the previous one
+	Bind        string // address and port, for both datagrams and connections
+	Seeds       []string
+	Keys        string // path of the key file
 }
 
 // Events receives notifications from the group's own goroutines. Its methods must not block.
@@ -92,11 +92,11 @@
 	c.Delegate, c.Events = delegate{g}, delegate{g}
 	c.Logger = zap.NewStdLog(log.WithOptions(zap.IncreaseLevel(zap.WarnLevel)))
 	c.LogOutput = nil
-	c.ProbeInterval, c.ProbeTimeout = limits.Probe, limits.Probe/2
-	c.TCPTimeout, c.GossipInterval = limits.Send, limits.Probe/5
-	c.UDPBufferSize = limits.Packet
+	c.ProbeInterval, c.ProbeTimeout = limits.ProbeInterval, limits.ProbeInterval/2
+	c.TCPTimeout, c.GossipInterval = limits.SendTimeout, limits.ProbeInterval/5
+	c.UDPBufferSize = limits.MaxDatagram
 	// A process that restarts under the same name, possibly at another address, replaces its dead predecessor at once.
-	c.DeadNodeReclaimTime = limits.Probe
+	c.DeadNodeReclaimTime = limits.ProbeInterval
 	if g.list, err = memberlist.Create(c); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
@@ -127,7 +127,7 @@
 				g.log.Debug("seeds not reached", zap.Int("reached", n), zap.Error(err))
 			}
 		}
-		wait.Reset(g.limits.Rejoin)
+		wait.Reset(g.limits.RejoinInterval)
 	}
 }
 
@@ -155,7 +155,7 @@
 		if to != "" && name != to {
 			continue
 		}
-		if len(p.queue) >= g.limits.Queue {
+		if len(p.queue) >= g.limits.MaxQueue {
 			p.queue = p.queue[1:]
 			g.counts.dropped++
 		}
@@ -188,7 +188,7 @@
 			node := p.node
 			g.mu.Unlock()
 			var err error
-			if len(b) <= g.limits.Packet/2 {
+			if len(b) <= g.limits.MaxDatagram/2 {
 				err = g.list.SendBestEffort(node, b)
 			} else {
 				err = g.list.SendReliable(node, b)
@@ -247,11 +247,11 @@
 
 // Leave waits for a limited time until queued messages are sent, notifies the others, and ends the group.
 func (g *Group) Leave() error {
-	deadline := time.Now().Add(g.limits.Leave / 2)
+	deadline := time.Now().Add(g.limits.LeaveTimeout / 2)
 	for g.hasQueued() && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond) // no event signals that all queues are empty, and only a leaving process waits
 	}
-	err := g.list.Leave(g.limits.Leave / 2)
+	err := g.list.Leave(g.limits.LeaveTimeout / 2)
 	close(g.closed)
 	err = errors.Join(err, g.list.Shutdown())
 	g.goroutines.Wait()
@@ -273,7 +273,9 @@
 // delegate implements the library's callback interfaces.
 type delegate struct{ g *Group }
 
-func (d delegate) NodeMeta(int) []byte { return binary.LittleEndian.AppendUint64(nil, d.g.cfg.Inc) }
+func (d delegate) NodeMeta(int) []byte {
+	return binary.LittleEndian.AppendUint64(nil, d.g.cfg.Incarnation)
+}
 
 func (d delegate) NotifyMsg(b []byte) { d.g.events.Message(bytes.Clone(b)) } // the library reuses the buffer
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-var testLimits = Limits{Packet: 1400, Queue: 16, Send: time.Second, Rejoin: 100 * time.Millisecond, Leave: 4 * time.Second,
-	Probe: 200 * time.Millisecond}
+var testLimits = Limits{MaxDatagram: 1400, MaxQueue: 16, SendTimeout: time.Second, RejoinInterval: 100 * time.Millisecond, LeaveTimeout: 4 * time.Second,
+	ProbeInterval: 200 * time.Millisecond}
 
 // recorder passes on the events of a group.
 type recorder struct {
@@ -93,7 +93,7 @@
 	t.Helper()
 	r := recorder{make(chan map[string]uint64, 1000), make(chan string, 1000)}
 	core, logs := observer.New(zap.DebugLevel)
-	g, err := Join(Config{Name: name, Inc: incarnation, Bind: bind, Seeds: seeds, Keys: keys}, testLimits, r, zap.New(core))
+	g, err := Join(Config{Name: name, Incarnation: incarnation, Bind: bind, Seeds: seeds, Keys: keys}, testLimits, r, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,7 +237,7 @@
 // TestStuckPeerQueueIsBounded checks that a peer which accepts nothing doesn't delay other peers, and that its queue is
 // bounded and keeps the newest messages.
 func TestStuckPeerQueueIsBounded(t *testing.T) {
-	g := &Group{limits: Limits{Queue: 3}, peers: map[string]*peer{"stuck": {wake: make(chan struct{}, 1)}, "other": {wake: make(chan struct{}, 1)}}}
+	g := &Group{limits: Limits{MaxQueue: 3}, peers: map[string]*peer{"stuck": {wake: make(chan struct{}, 1)}, "other": {wake: make(chan struct{}, 1)}}}
 	for n := range 10 {
 		g.Send("stuck", []byte{byte(n)})
 	}
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Each calls do after each interval until ctx ends. A call that takes longer than the interval delays the next one; missed
+// Run calls do after each interval until ctx ends. A call that takes longer than the interval delays the next one; missed
 // calls are not made up for.
-func Each(ctx context.Context, interval time.Duration, do func()) {
+func Run(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -18,7 +18,7 @@
 // Letters that identify the types of frames.
 const (
 	LetterCall   = 'D' // requests for parts
-	LetterGiveUp = 'K' // cancels a part
+	LetterCancel = 'K' // cancels a part
 	LetterAnswer = 'O' // response for a part
 	LetterProbe  = 'I' // health check, and its reply
 	LetterLoad   = 'U' // request for a load report, and its reply
@@ -27,13 +27,13 @@
 
 // Call is the request for one part, as sent to a searcher.
 type Call struct {
-	ID    string
-	Shard int
-	Until time.Time // when the mixer stops waiting
-	Key   string
-	From  []int // for a second step: the shards whose results the first step included
-	Whole bool  // for a second step: whether the first step's answer was complete
-	Text  string
+	ID       string
+	Shard    int
+	Deadline time.Time // when the mixer stops waiting
+	Key      string
+	From     []int // for a second step: the shards whose results the first step included
+	Whole    bool  // for a second step: whether the first step's answer was complete
+	Text     string
 }
 
 // AppendCalls appends one frame with the requests for one or more parts. The remaining times are computed from now.
@@ -44,7 +44,7 @@
 		c := &calls[i]
 		b = append(append(b, c.ID...), ' ')
 		b = append(strconv.AppendInt(b, int64(c.Shard), 10), " d="...)
-		b = strconv.AppendInt(b, max(1, c.Until.Sub(now).Milliseconds()), 10)
+		b = strconv.AppendInt(b, max(1, c.Deadline.Sub(now).Milliseconds()), 10)
 		if c.Key != "" {
 			b = append(append(b, ",k="...), c.Key...)
 		}
@@ -70,18 +70,18 @@
 	return seal(b, start)
 }
 
-// AppendGiveUp appends the frame that cancels one part.
-func AppendGiveUp(b []byte, id string) []byte {
+// AppendCancel appends the frame that cancels one part.
+func AppendCancel(b []byte, id string) []byte {
 	start := len(b)
-	b = append(b, 0, 0, 0, 0, LetterGiveUp)
+	b = append(b, 0, 0, 0, 0, LetterCancel)
 	return seal(append(b, id...), start)
 }
 
 // AppendProbe appends a probe, whose letter is that of a health check or of a load report.
 func AppendProbe(b []byte, letter byte) []byte { return append(b, 1, 0, 0, 0, letter) }
 
-// AppendProbed appends a searcher's reply to a probe.
-func AppendProbed(b []byte, letter byte, text string) []byte {
+// AppendProbeReply appends a searcher's reply to a probe.
+func AppendProbeReply(b []byte, letter byte, text string) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, letter)
 	return seal(append(b, text...), start)
@@ -125,14 +125,15 @@
 
 // Answer is a searcher's response to the request for one part.
 type Answer struct {
-	ID    string
-	End   policy.Outcome
-	Score float64
-	Value string
+	ID      string
+	Outcome policy.Outcome
+	Score   float64
+	Value   string
 }
 
-// ErrMute is the reason for closing a connection whose searcher doesn't reply to a probe that was sent to confirm receipt.
-var ErrMute = errors.New("silent when asked for a receipt")
+// ErrUnresponsive is the reason for closing a connection whose searcher doesn't reply to a probe that was sent to confirm
+// receipt.
+var ErrUnresponsive = errors.New("silent when asked for a receipt")
 
 var outcomes = map[string]policy.Outcome{"200": policy.Succeeded, "500": policy.Failed, "503": policy.Overloaded}
 
@@ -148,11 +149,11 @@
 	if !ok || len(fields) < 4 || len(fields[0]) == 0 {
 		return Answer{}, errAnswer
 	}
-	end, ok := outcomes[string(fields[1])]
+	outcome, ok := outcomes[string(fields[1])]
 	if !ok {
 		return Answer{}, errAnswer
 	}
-	a := Answer{ID: string(fields[0]), End: end}
+	a := Answer{ID: string(fields[0]), Outcome: outcome}
 	if string(fields[2]) != "-" {
 		var err error
 		if a.Score, err = strconv.ParseFloat(string(fields[2]), 64); err != nil || math.IsNaN(a.Score) || math.IsInf(a.Score, 0) {
@@ -160,7 +161,7 @@
 		}
 	}
 	// Invalid UTF-8 would be altered on its way to the client, which would get another value than the searcher sent.
-	if end == policy.Succeeded {
+	if outcome == policy.Succeeded {
 		if a.Value = string(value); !utf8.ValidString(a.Value) {
 			return Answer{}, errAnswer
 		}
@@ -190,7 +191,7 @@
 				if err != nil {
 					return nil, errCall
 				}
-				c.Until = now.Add(time.Duration(ms) * time.Millisecond)
+				c.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 			case "k":
 				c.Key = string(v)
 			case "from":
@@ -212,9 +213,9 @@
 }
 
 // AppendAnswer appends the frame with a searcher's response to the request for one part.
-func AppendAnswer(b []byte, id string, end int, score uint64, value string) []byte {
+func AppendAnswer(b []byte, id string, status int, score uint64, value string) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, LetterAnswer)
-	b = fmt.Appendf(b, "%s %d %d -\n%s", id, end, score, value)
+	b = fmt.Appendf(b, "%s %d %d -\n%s", id, status, score, value)
 	return seal(b, start)
 }
--- a/internal/proto/list.go
+++ b/internal/proto/list.go
@@ -12,7 +12,7 @@
 // List is discovery's response: the full list of searchers, or the changed ones.
 type List struct {
 	Version int64
-	Whole   bool
+	Full    bool
 	Hosts   []Host
 }
 
@@ -20,7 +20,7 @@
 type Host struct {
 	Name, Addr string
 	State      policy.SearcherState
-	Cell       int
+	Shard      int
 	Weight     float64
 	Born       time.Time // start of the searcher; zero if it started long ago
 }
@@ -47,7 +47,7 @@
 	if raw.Seq == nil {
 		return List{}, fmt.Errorf("list: no seq")
 	}
-	list := List{Version: *raw.Seq, Whole: raw.Whole, Hosts: make([]Host, 0, len(raw.Hosts))}
+	list := List{Version: *raw.Seq, Full: raw.Whole, Hosts: make([]Host, 0, len(raw.Hosts))}
 	for _, h := range raw.Hosts {
 		state, ok := states[h.Health]
 		if !ok || h.Host == "" {
@@ -56,9 +56,9 @@
 		if _, _, err := net.SplitHostPort(h.Dial); err != nil && state != policy.Gone {
 			return List{}, fmt.Errorf("list: host %.60q: dial %.60q", h.Host, h.Dial)
 		}
-		host := Host{Name: h.Host, Addr: h.Dial, State: state, Cell: -1, Weight: 1}
+		host := Host{Name: h.Host, Addr: h.Dial, State: state, Shard: -1, Weight: 1}
 		if h.Block != nil {
-			host.Cell = *h.Block
+			host.Shard = *h.Block
 		}
 		if h.Share != nil {
 			host.Weight = *h.Share
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -16,8 +16,8 @@
 
 func TestCallRoundTrip(t *testing.T) {
 	calls := []Call{
-		{ID: "9b1f03aa5c7e2d41.3", Shard: 3, Until: t0.Add(240 * time.Millisecond), Key: "5c0f", Text: "c41e 77d0"},
-		{ID: "9b1f03aa5c7e2d41.9.fetch", Shard: 9, Until: t0.Add(time.Second), From: []int{3, 5, 9}, Whole: true, Text: ""},
+		{ID: "9b1f03aa5c7e2d41.3", Shard: 3, Deadline: t0.Add(240 * time.Millisecond), Key: "5c0f", Text: "c41e 77d0"},
+		{ID: "9b1f03aa5c7e2d41.9.fetch", Shard: 9, Deadline: t0.Add(time.Second), From: []int{3, 5, 9}, Whole: true, Text: ""},
 	}
 	b := AppendCalls(nil, t0, calls...)
 	want := "9b1f03aa5c7e2d41.3 3 d=240,k=5c0f 9\nc41e 77d09b1f03aa5c7e2d41.9.fetch 9 d=1000,from=3+5+9,whole=1 0\n"
@@ -28,17 +28,17 @@
 	if got, err := ReadCalls(contents, t0); err != nil || !reflect.DeepEqual(got, calls) {
 		t.Errorf("%+v %v", got, err)
 	}
-	if got := string(AppendGiveUp(nil, "a.3")); got != "\x04\x00\x00\x00Ka.3" {
+	if got := string(AppendCancel(nil, "a.3")); got != "\x04\x00\x00\x00Ka.3" {
 		t.Errorf("%q", got)
 	}
 }
 
 func TestReadAnswer(t *testing.T) {
 	for text, want := range map[string]Answer{
-		"9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2": {ID: "9b1f.3", End: policy.Succeeded, Score: 1840277719, Value: "5be2"},
-		"9b1f.3 200 7 \xff\xfe =,\x00\n5be2":               {ID: "9b1f.3", End: policy.Succeeded, Score: 7, Value: "5be2"}, // the load report isn't decoded
-		"9b1f.3 503 0 -\n":                                 {ID: "9b1f.3", End: policy.Overloaded},
-		"9b1f.3 500 - -\n":                                 {ID: "9b1f.3", End: policy.Failed},
+		"9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2": {ID: "9b1f.3", Outcome: policy.Succeeded, Score: 1840277719, Value: "5be2"},
+		"9b1f.3 200 7 \xff\xfe =,\x00\n5be2":               {ID: "9b1f.3", Outcome: policy.Succeeded, Score: 7, Value: "5be2"}, // the load report isn't decoded
+		"9b1f.3 503 0 -\n":                                 {ID: "9b1f.3", Outcome: policy.Overloaded},
+		"9b1f.3 500 - -\n":                                 {ID: "9b1f.3", Outcome: policy.Failed},
 	} {
 		if got, err := ReadAnswer([]byte(text)); err != nil || got != want {
 			t.Errorf("%q: %+v %v", text, got, err)
@@ -120,7 +120,7 @@
 	got, err := ReadList([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s-5b","dial":"10.1.0.18:3000","site":"a",
 		"class":"m2","block":3,"health":"draining","share":0.5,"born_ms":1796129758000},{"host":"s-6","health":"removed"}]}`))
 	want := List{Version: 43, Hosts: []Host{{"s-5b", "10.1.0.18:3000", policy.Draining, 3, 0.5, t0},
-		{Name: "s-6", State: policy.Gone, Cell: -1, Weight: 1}}}
+		{Name: "s-6", State: policy.Gone, Shard: -1, Weight: 1}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v %v", got, err)
 	}
@@ -134,7 +134,7 @@
 
 // FuzzFrames checks that arbitrary frames are decoded without a panic and that decoded answers are valid.
 func FuzzFrames(f *testing.F) {
-	f.Add(AppendCalls(nil, t0, Call{ID: "a.3", Shard: 3, Until: t0.Add(time.Second), Text: "x"}))
+	f.Add(AppendCalls(nil, t0, Call{ID: "a.3", Shard: 3, Deadline: t0.Add(time.Second), Text: "x"}))
 	f.Add(AppendAnswer(nil, "a.3", 200, 7, "v"))
 	f.Add([]byte("\xff\xff\xff\xffO"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -162,7 +162,7 @@
 			if p.Shard < 0 || !(p.Weight >= 0 && p.Weight <= 1) || p.Hint < 0 {
 				t.Errorf("%+v", p)
 			}
-			c := Call{ID: q.ID, Shard: p.Shard, Until: t0.Add(time.Second), Key: q.Key, Text: q.Text}
+			c := Call{ID: q.ID, Shard: p.Shard, Deadline: t0.Add(time.Second), Key: q.Key, Text: q.Text}
 			_, contents, _, err := ReadFrame(bytes.NewReader(AppendCalls(nil, t0, c)), nil, 1<<20)
 			if got, err2 := ReadCalls(contents, t0); err != nil || err2 != nil || !reflect.DeepEqual(got, []Call{c}) {
 				t.Errorf("%+v became %+v (%v %v)", c, got, err, err2)
--- a/internal/settings/descriptors.go
+++ b/internal/settings/descriptors.go
@@ -9,8 +9,8 @@
 	defaultDescriptors = 4096
 )
 
-// CallersMost returns the maximum number of open connections from external clients: half of the descriptors for sockets. The
+// MaxClientConns returns the maximum number of open connections from external clients: half of the descriptors for sockets. The
 // other half is for the connections that this process dials and for its peers.
-func (s *Settings) CallersMost() int {
+func (s *Settings) MaxClientConns() int {
 	return max(1, (cmp.Or(s.FileLimit, defaultDescriptors)-reservedDescriptors)/2)
 }
--- a/internal/settings/descriptors_test.go
+++ b/internal/settings/descriptors_test.go
@@ -6,10 +6,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestCallersMost checks that clients get at most half of the descriptors for sockets, and at least one connection.
-func TestCallersMost(t *testing.T) {
+// TestMaxClientConns checks that clients get at most half of the descriptors for sockets, and at least one connection.
+func TestMaxClientConns(t *testing.T) {
 	for limit, most := range map[int]int{0: 1948, 1: 1, 200: 1, 232: 16, 4100: 1950} {
 		s := Settings{FileLimit: limit}
-		must.Eq(t, most, s.CallersMost(), must.Sprint(limit))
+		must.Eq(t, most, s.MaxClientConns(), must.Sprint(limit))
 	}
 }
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -52,10 +52,10 @@
 	newline        = '\n'
 )
 
-// ReadFor reads the settings of a process that runs a role and requires all settings that the role needs. A file that is
+// ReadForRole reads the settings of a process that runs a role and requires all settings that the role needs. A file that is
 // invalid or truncated is read again for a while: a truncated file may look valid, as the bounds are mostly at its end and
 // have defaults.
-func ReadFor(role, path string) (*Settings, error) {
+func ReadForRole(role, path string) (*Settings, error) {
 	var last []byte
 	start, unchangedSince := time.Now(), time.Now()
 	for ; ; time.Sleep(readInterval) {
--- a/internal/settings/roles_test.go
+++ b/internal/settings/roles_test.go
@@ -11,10 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestReadForWaitsForTheRest checks that a file which is truncated after all settings that a role needs is read again, since its
+// TestReadForRoleWaitsForTheRest checks that a file which is truncated after all settings that a role needs is read again, since its
 // bounds are still missing. An earlier version took the defaults (soak seed 618: an agent served for the default grace period
 // after SIGTERM, and was killed).
-func TestReadForWaitsForTheRest(t *testing.T) {
+func TestReadForRoleWaitsForTheRest(t *testing.T) {
 	const whole = "node-name=front-0\nip=127.0.0.1\nzone=z\ninternal-ports=7080,7095\nseeds=127.0.0.2:1\nbounds.grace-s=2\n"
 	path := filepath.Join(t.TempDir(), "settings")
 	must.NoError(t, syscall.Mkfifo(path, 0o600)) // the first read gets the truncated text
@@ -27,17 +27,17 @@
 		}
 		written <- err
 	}()
-	s, err := ReadFor("agent", path)
+	s, err := ReadForRole("agent", path)
 	must.NoError(t, err)
 	must.NoError(t, <-written)
 	must.Eq(t, 2*time.Second, s.Grace)
 }
 
-// TestReadForAcceptsMissingNewline checks that a file whose last line stays without a newline is accepted.
-func TestReadForAcceptsMissingNewline(t *testing.T) {
+// TestReadForRoleAcceptsMissingNewline checks that a file whose last line stays without a newline is accepted.
+func TestReadForRoleAcceptsMissingNewline(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	must.NoError(t, os.WriteFile(path, []byte("node-name=front-0\nip=127.0.0.1\nzone=z\ninternal-ports=7080,7095\nseeds=127.0.0.2:1\nbounds.grace-s=3"), 0o600))
-	s, err := ReadFor("agent", path)
+	s, err := ReadForRole("agent", path)
 	must.NoError(t, err)
 	must.Eq(t, 3*time.Second, s.Grace)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -52,8 +52,8 @@
 	maxBytes     = 1 << 20 // the file is usually about 2 KiB
 )
 
-// FromEnvironment returns the path of the settings file.
-func FromEnvironment(getenv func(string) string) string {
+// PathFromEnvironment returns the path of the settings file.
+func PathFromEnvironment(getenv func(string) string) string {
 	if path := getenv(pathVariable); path != "" {
 		return path
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestFromEnvironment(t *testing.T) {
-	must.Eq(t, "/x", FromEnvironment(func(string) string { return "/x" }))
-	must.Eq(t, "/etc/peathollow/local.conf", FromEnvironment(func(string) string { return "" }))
+func TestPathFromEnvironment(t *testing.T) {
+	must.Eq(t, "/x", PathFromEnvironment(func(string) string { return "/x" }))
+	must.Eq(t, "/etc/peathollow/local.conf", PathFromEnvironment(func(string) string { return "" }))
 }
--- a/internal/settings/leave.go
+++ b/internal/settings/shutdown.go
@@ -17,14 +17,14 @@
 	maxListen   = 3 * time.Second
 )
 
-// ProxyListensFor returns how long after SIGTERM a proxy accepts requests, whether or not any are in flight.
-func (s *Settings) ProxyListensFor() time.Duration { return min(s.Grace/listenShare, maxListen) }
+// ProxyListenTime returns how long after SIGTERM a proxy accepts requests, whether or not any are in flight.
+func (s *Settings) ProxyListenTime() time.Duration { return min(s.Grace/listenShare, maxListen) }
 
-// ProxyEndsAfter returns the time after SIGTERM by which a proxy ends at the latest.
-func (s *Settings) ProxyEndsAfter() time.Duration { return s.Grace - s.reserve() }
+// ProxyExitTime returns the time after SIGTERM by which a proxy ends at the latest.
+func (s *Settings) ProxyExitTime() time.Duration { return s.Grace - s.reserve() }
 
-// AgentEndsAfter returns the time after SIGTERM at which an agent ends, which is later than its proxy.
-func (s *Settings) AgentEndsAfter() time.Duration {
+// AgentExitTime returns the time after SIGTERM at which an agent ends, which is later than its proxy.
+func (s *Settings) AgentExitTime() time.Duration {
 	return s.Grace - s.reserve() + s.reserve()/agentLagShare
 }
 
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -37,11 +37,11 @@
 	return &Network{rng: rand.New(rand.NewPCG(seed, 11)), minDelay: low, maxDelay: high, partitioned: map[[2]string]bool{}, hosts: map[string]*Host{}}
 }
 
-// Cut partitions a link in one direction, or restores it.
-func (n *Network) Cut(from, to string, cut bool) {
+// SetPartition partitions a link in one direction, or restores it.
+func (n *Network) SetPartition(from, to string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned[[2]string{from, to}] = cut
+	n.partitioned[[2]string{from, to}] = partitioned
 }
 
 // Heal restores all links.
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -235,7 +235,7 @@
 	in := &instance{host: h, name: string(fields[1]), base: h.now, searchers: map[string]int{}, types: settings.Types,
 		tenants: settings.Tenants}
 	h.instances[in.name] = in
-	in.engine = policy.New(settings.Brain, in, 0)
+	in.engine = policy.New(settings.Policy, in, 0)
 	return nil
 }
 
@@ -313,7 +313,7 @@
 			}
 			started := policy.LongAgo
 			if e.hasStart {
-				started = config.Span(e.started) - in.base
+				started = config.Milliseconds(e.started) - in.base
 			}
 			in.engine.ListEntry(index, e.state, e.weight, started, e.shard)
 		}
@@ -354,7 +354,7 @@
 
 // number parses a value, and returns absent for a field without one.
 func number(b []byte, absent float64) (float64, error) {
-	x, err := config.Number(string(b), absent)
+	x, err := config.ParseNumber(string(b), absent)
 	if err != nil {
 		return 0, errValue
 	}
@@ -364,5 +364,5 @@
 // ms parses a time in milliseconds.
 func ms(b []byte) (time.Duration, error) {
 	x, err := number(b, 0)
-	return config.Span(x), err
+	return config.Milliseconds(x), err
 }
--- a/internal/standin/localsystem/clients.go
+++ b/internal/standin/localsystem/clients.go
@@ -61,7 +61,7 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	n := 0
-	periodic.Each(ctx, time.Second/time.Duration(rate), func() {
+	periodic.Run(ctx, time.Second/time.Duration(rate), func() {
 		number := n
 		n++
 		all.Go(func() { one(number) })
--- a/internal/standin/searcher.go
+++ b/internal/standin/searcher.go
@@ -188,9 +188,9 @@
 				probed(letter)
 			}
 			if !mute {
-				send(proto.AppendProbed(nil, letter, text))
+				send(proto.AppendProbeReply(nil, letter, text))
 			}
-		case proto.LetterGiveUp:
+		case proto.LetterCancel:
 			ledger.End(string(rest), c)
 			if s.cancelled != nil {
 				s.cancelled(string(rest))
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -58,9 +58,9 @@
 	return s, saved, damage, err
 }
 
-// Predecessor reports whether contents of this disk were set aside, now or in an earlier incarnation. Such a machine must not
+// HadDamage reports whether contents of this disk were set aside, now or in an earlier incarnation. Such a machine must not
 // take part in the cold start as a founder.
-func (s *Store) Predecessor() bool { return s.predecessor }
+func (s *Store) HadDamage() bool { return s.predecessor }
 
 // provablyWrong reports whether an error proves that the contents of the disk are damaged.
 func provablyWrong(err error) bool {
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -121,19 +121,19 @@
 func TestDamagedRecordsAreSetAside(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := reopen(t, nil, dir)
-	must.False(t, s.Predecessor())
+	must.False(t, s.HadDamage())
 	for i := range 5 {
 		write(t, s, "me", uint64(i))
 		must.NoError(t, s.db.Set([]byte(keyVote), []byte("torn"), pebble.Sync))
 		var damage error
 		s, _, damage = reopen(t, s, dir)
 		must.Error(t, damage)
-		must.True(t, s.Predecessor())
+		must.True(t, s.HadDamage())
 	}
 	must.Eq(t, []string{"hold", "hold.damaged-3", "hold.damaged-4", "hold.damaged-5"}, names(t, dir))
 	s, _, damage := reopen(t, s, dir)
 	must.NoError(t, damage)
-	must.True(t, s.Predecessor())
+	must.True(t, s.HadDamage())
 	must.NoError(t, s.Close())
 }
 
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// PutForce stores the configuration that is in force.
-func (s *Store) PutForce(d consensus.Document) error {
+// PutConfiguration stores the configuration that is in force.
+func (s *Store) PutConfiguration(d consensus.Document) error {
 	if err := s.db.Set([]byte(keyForce), encode(d), pebble.Sync); err != nil {
 		return errors.Wrap(err, "sync configuration")
 	}
@@ -110,9 +110,9 @@
 	return nil
 }
 
-// Remembered returns the configuration and the searchers that were stored last. A record that can't be read is skipped:
+// LastStored returns the configuration and the searchers that were stored last. A record that can't be read is skipped:
 // other machines send both again.
-func (s *Store) Remembered() (*consensus.Document, []registry.Entry) {
+func (s *Store) LastStored() (*consensus.Document, []registry.Entry) {
 	var doc *consensus.Document
 	var d consensus.Document
 	if ok, err := s.read(keyForce, &d); ok && err == nil {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -47,28 +47,28 @@
 func TestSearchersAndConfigurationAreRestored(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := reopen(t, nil, dir)
-	doc, list := s.Remembered()
+	doc, list := s.LastStored()
 	must.Nil(t, doc)
 	must.SliceEmpty(t, list)
 	entry := func(id string, st registry.State) registry.Entry {
 		return registry.Entry{Searcher: registry.Searcher{ID: id, Plant: "p", Address: "a:1", State: st, Calls: 4}, Source: "h", No: 9}
 	}
-	must.NoError(t, s.PutForce(consensus.Document{Version: 5, Body: []byte("five")}))
+	must.NoError(t, s.PutConfiguration(consensus.Document{Version: 5, Body: []byte("five")}))
 	must.NoError(t, s.PutSearchers([]registry.Entry{entry("i", registry.Ready), entry("j", registry.Draining)}, nil))
 	must.NoError(t, s.PutSearchers([]registry.Entry{entry("i", registry.Gone)}, nil))
-	_, list = s.Remembered()
+	_, list = s.LastStored()
 	must.Eq(t, []registry.Entry{entry("i", registry.Gone), entry("j", registry.Draining)}, list) // a removed searcher keeps its entry
 	must.NoError(t, s.PutSearchers(nil, []string{"i"}))
 	s, saved, damage := reopen(t, s, dir)
 	must.NoError(t, damage)
 	must.Nil(t, saved) // neither record is part of the control state
-	doc, list = s.Remembered()
+	doc, list = s.LastStored()
 	must.Eq(t, &consensus.Document{Version: 5, Body: []byte("five")}, doc)
 	must.Eq(t, []registry.Entry{entry("j", registry.Draining)}, list)
 
 	// A searcher whose record can't be read is skipped.
 	must.NoError(t, s.db.Set([]byte(keySearchers+"j"), []byte("torn"), pebble.Sync))
-	_, list = s.Remembered()
+	_, list = s.LastStored()
 	must.SliceEmpty(t, list)
 	must.NoError(t, s.Close())
 }
--- a/lab/scale/agents.go
+++ b/lab/scale/agents.go
@@ -186,7 +186,7 @@
 const registryAdvanceInterval = 10 * time.Second
 
 func (a *simulatedAgent) advanceRegistry(ctx context.Context) {
-	periodic.Each(ctx, registryAdvanceInterval, func() {
+	periodic.Run(ctx, registryAdvanceInterval, func() {
 		a.replica.WithRegistry(func(r *registry.Registry) bool { return r.Tick(time.Now()) })
 	})
 }
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -45,7 +45,7 @@
 	if args[0] == "lab" {
 		return RunSimulated(ctx, args[2], os.Stdin, os.Stdout)
 	}
-	s, err := settings.Read(settings.FromEnvironment(os.Getenv))
+	s, err := settings.Read(settings.PathFromEnvironment(os.Getenv))
 	if err != nil {
 		return err
 	}
--- a/lab/soak/fronts.go
+++ b/lab/soak/fronts.go
@@ -47,7 +47,7 @@
 // probeRoutes polls a front for the routes that versions add: within one incarnation of its proxy no route may disappear.
 func (r *run) probeRoutes(ctx context.Context, i int) {
 	n := 0
-	periodic.Each(ctx, probeInterval, func() {
+	periodic.Run(ctx, probeInterval, func() {
 		r.probeOnce(ctx, i, n)
 		n++
 	})
--- a/lab/soak/operators.go
+++ b/lab/soak/operators.go
@@ -199,7 +199,7 @@
 
 // changePeriodically changes the configuration periodically and resends acknowledged changes, until ctx is done.
 func (o *operators) changePeriodically(ctx context.Context) {
-	periodic.Each(ctx, changeInterval, func() {
+	periodic.Run(ctx, changeInterval, func() {
 		o.change(ctx)
 		if c := o.lastAcknowledged(); c != nil && ctx.Err() == nil {
 			o.submit(ctx, c)
@@ -220,7 +220,7 @@
 // readPeriodically reads the active configuration back until ctx is done. Its version must not be older than the newest one
 // that was acknowledged when the request was sent, and its content must be what was sent under that version.
 func (o *operators) readPeriodically(ctx context.Context) {
-	periodic.Each(ctx, readInterval, func() { o.readOnce(ctx) })
+	periodic.Run(ctx, readInterval, func() { o.readOnce(ctx) })
 }
 
 // readOnce reports whether a configuration was read.
--- a/mixer/client_test.go
+++ b/mixer/client_test.go
@@ -233,7 +233,7 @@
 		cfg := idleMixer(t).cfg
 		cfg.MemoryMB, cfg.Sockets = c.mb, c.sockets
 		l := newLimits(cfg)
-		sum := l.MaxClients*clientCost + l.Attempt.Connections*connCost + l.MaxLargeBodies*largeBodyCost + int(l.Discovery.Body)
+		sum := l.MaxClients*clientCost + l.Attempt.Connections*connCost + l.MaxLargeBodies*largeBodyCost + int(l.Discovery.MaxBodyBytes)
 		if sum > c.mb<<20*2/3 || l.MaxClients+l.Attempt.Connections+reservedSockets > c.sockets ||
 			l.MaxClients < c.sockets/3 && c.mb > 32 || l.Attempt.Connections < 64 {
 			t.Errorf("%+v: %d bytes, %d clients, %d connections, %d large bodies", c, sum, l.MaxClients,
--- a/mixer/duties.go
+++ b/mixer/duties.go
@@ -52,7 +52,7 @@
 
 func newDutyRunner(c *Config, limits *Limits, log *zap.Logger, o *owner, w *discovery.Watcher, incarnation uint64,
 	send func(to string, b []byte)) (*dutyRunner, error) {
-	settings := &c.Ours.Duties
+	settings := &c.Options.Duties
 	d := &dutyRunner{limits: limits, log: log.Named("duties"), owner: o, watch: w, send: send, loadReports: settings.Load,
 		start: time.Now(), wake: make(chan struct{}, 1)}
 	var err error
@@ -224,7 +224,7 @@
 	ctx, cancel := context.WithTimeout(d.owner.ctx, d.limits.AuditTimeout)
 	defer cancel()
 	started := time.Now()
-	whole, err := d.watch.Whole(ctx)
+	whole, err := d.watch.FetchList(ctx)
 	took := time.Since(started)
 	if err != nil {
 		d.log.Warn("audit: cannot fetch the list", zap.Error(err))
@@ -238,7 +238,7 @@
 			d.log.Warn("audit: the list watched differs", zap.Int("entries", differing), zap.Bool("sameVersion", sameVersion))
 		}
 		if differing > 0 && sameVersion {
-			d.watch.Anew() // the versions are equal, so the watch is wrong and not only behind
+			d.watch.Restart() // the versions are equal, so the watch is wrong and not only behind
 		}
 		d.reportResult(token, duty.Reached, took, summary)
 	})
--- a/mixer/duties_test.go
+++ b/mixer/duties_test.go
@@ -208,8 +208,8 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if m := newMixer(t, f, nil); m.cfg.Ours.Duties.On || m.peers.Load() != nil || m.cfg.Ours.Fleet.On ||
-		m.cfg.Ours.Duties != config.Defaults().Duties {
-		t.Errorf("%+v", m.cfg.Ours)
+	if m := newMixer(t, f, nil); m.cfg.Options.Duties.On || m.peers.Load() != nil || m.cfg.Options.Fleet.On ||
+		m.cfg.Options.Duties != config.Defaults().Duties {
+		t.Errorf("%+v", m.cfg.Options)
 	}
 }
--- a/mixer/env_test.go
+++ b/mixer/env_test.go
@@ -122,7 +122,7 @@
 	}
 	env.http.CloseIdleConnections()
 	env.fleet.Close()
-	if copies, _ := env.ledger.Overlaps(); len(copies) > 0 && !env.mixer.cfg.Settings.Brain.MayHedge {
+	if copies, _ := env.ledger.Overlaps(); len(copies) > 0 && !env.mixer.cfg.Settings.Policy.MayHedge {
 		env.t.Errorf("%d overlapping attempts: %.3q", len(copies), copies)
 	}
 }
--- a/mixer/fleet.go
+++ b/mixer/fleet.go
@@ -38,16 +38,16 @@
 }
 
 func newFleetRunner(c *Config, log *zap.Logger, o *owner, incarnation uint64, send func(string, []byte)) (*fleetRunner, error) {
-	settings := &c.Settings.Brain
+	settings := &c.Settings.Policy
 	f := &fleetRunner{log: log.Named("fleet"), owner: o, send: send, types: settings.Types,
-		interval: c.Ours.Fleet.Beat, start: time.Now()}
+		interval: c.Options.Fleet.Beat, start: time.Now()}
 	layout := overload.BinLayout{Quota: settings.Quotas}
 	for _, t := range settings.Types {
 		layout.Benefit = append(layout.Benefit, t.Benefit)
 	}
 	f.meter = overload.NewMeter(layout)
 	var err error
-	f.coordinator, err = fleet.New(fleet.Settings{Name: c.Name, Inc: incarnation, Instances: c.Ours.Fleet.Instances,
+	f.coordinator, err = fleet.New(fleet.Settings{Name: c.Name, Inc: incarnation, Instances: c.Options.Fleet.Instances,
 		HeartbeatInterval: f.interval, Layout: layout}, 0)
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 
 // run sends messages and applies the advice once per heartbeat interval, until the context ends.
 func (f *fleetRunner) run(ctx context.Context) {
-	periodic.Each(ctx, f.interval, func() {
+	periodic.Run(ctx, f.interval, func() {
 		f.sendMessages(false)
 		f.applyAdvice()
 	})
--- a/mixer/limits.go
+++ b/mixer/limits.go
@@ -74,14 +74,14 @@
 func newLimits(c config.Config) Limits {
 	settings := &c.Settings
 	longest, shortest := time.Duration(0), maxKillTimeout
-	for _, t := range settings.Brain.Types {
+	for _, t := range settings.Policy.Types {
 		longest, shortest = max(longest, t.Timeout), min(shortest, t.Timeout)
 	}
 	stopDeadline := min(longest, maxKillTimeout) + killExtra - stopMargin
 	sockets, memory := c.Sockets-reservedSockets, c.MemoryMB<<20
 	gatherInterval := time.Duration(0)
-	if settings.Brain.PartsPerCall > 1 {
-		gatherInterval = settings.Brain.Granularity
+	if settings.Policy.PartsPerCall > 1 {
+		gatherInterval = settings.Policy.Granularity
 	}
 	return Limits{
 		GatherInterval: gatherInterval,
@@ -89,28 +89,28 @@
 		MaxLargeBodies: max(2, memory/8/largeBodyCost), MaxWait: 2 * longest,
 		MaxClients: min(sockets/2, memory/3/clientCost),
 		Attempt: attempt.Limits{Connections: min(sockets/2, memory/8/connCost),
-			ConnectionsPerSearcher: (settings.OpenMost + settings.Streams - 1) / settings.Streams,
-			PartsPerConnection:     settings.Streams, AnswerHistory: 2 * settings.Streams, Open: settings.OpenMost,
-			IdleTimeout: settings.Idle / 5 * 4, LogInterval: 10 * time.Second},
+			ConnectionsPerSearcher: (settings.MaxOpen + settings.StreamsPerConn - 1) / settings.StreamsPerConn,
+			PartsPerConnection:     settings.StreamsPerConn, AnswerHistory: 2 * settings.StreamsPerConn, Open: settings.MaxOpen,
+			IdleTimeout: settings.IdleTimeout / 5 * 4, LogInterval: 10 * time.Second},
 		EventQueue: 1024, MaxBatch: 256,
 		Processors: int(math.Ceil(c.Cores)), Memory: int64(c.MemoryMB) << 20 / 4 * 3,
 		// Every client gets a response or a closed connection within three seconds, silent ones too.
 		MaxHeadBytes: 8 << 10, HeadTimeout: 2 * time.Second, ReadTimeout: 2500 * time.Millisecond,
 		NewConnGrace: 100 * time.Millisecond, IdleConnGrace: 2 * time.Second, IdleTimeout: 15 * time.Second,
 		WriteTimeout: 2*longest + 5*time.Second,
-		Slack:        settings.Slack,
+		Slack:        settings.AnswerSlack,
 		// The last client still has the shortest query timeout left. Clients whose front has no other mixer to switch
 		// to, as in a rolling restart, are served on their existing connections until then.
 		CloseClientsAfter: max(minAcceptAfterStop, stopDeadline-shortest), StopTimeout: stopDeadline,
 		FirstListTimeout: 500 * time.Millisecond,
-		Link: link.Limits{MaxFrameBytes: 128 << 10, QueueLength: 1024, ConnectTimeout: settings.Connect,
-			WriteTimeout: settings.Connect, FrameTimeout: settings.Connect / 2,
-			ReceiptTimeout: settings.Connect / 5, LingerTimeout: 2 * settings.Connect, MaxProbeAnswer: 256, MaxKeptBuffer: 4 << 10},
-		Discovery: discovery.Limits{Body: int64(min(8<<20, memory/16)), Call: 1500 * time.Millisecond, Wait: 4 * time.Second,
-			Pause: time.Second},
-		Members: member.Limits{Packet: 1400, Queue: 256, Send: time.Second, Rejoin: 2 * time.Second, Leave: time.Second,
-			Probe: 500 * time.Millisecond},
-		DutyShares: min(1<<14, 8*c.Ours.Duties.Instances), ProbeTimeout: settings.Connect,
+		Link: link.Limits{MaxFrameBytes: 128 << 10, QueueLength: 1024, ConnectTimeout: settings.ConnectTimeout,
+			WriteTimeout: settings.ConnectTimeout, FrameTimeout: settings.ConnectTimeout / 2,
+			ReceiptTimeout: settings.ConnectTimeout / 5, LingerTimeout: 2 * settings.ConnectTimeout, MaxProbeAnswer: 256, MaxKeptBuffer: 4 << 10},
+		Discovery: discovery.Limits{MaxBodyBytes: int64(min(8<<20, memory/16)), RequestTimeout: 1500 * time.Millisecond, MaxWait: 4 * time.Second,
+			RetryPause: time.Second},
+		Members: member.Limits{MaxDatagram: 1400, MaxQueue: 256, SendTimeout: time.Second, RejoinInterval: 2 * time.Second, LeaveTimeout: time.Second,
+			ProbeInterval: 500 * time.Millisecond},
+		DutyShares: min(1<<14, 8*c.Options.Duties.Instances), ProbeTimeout: settings.ConnectTimeout,
 		MaxLoadReport: 64, AuditTimeout: 2 * time.Second,
 		LogFirst: 5, LogThereafter: 100,
 	}
--- a/mixer/mixer.go
+++ b/mixer/mixer.go
@@ -74,7 +74,7 @@
 // Serve does the same as Run on a listener opened by the caller, and closes the listener.
 func (m *Mixer) Serve(ctx context.Context, ln net.Listener) error {
 	connCtx, closeConns := context.WithCancel(context.Background())
-	o := newOwner(connCtx, &m.cfg, m.limits, m.log, m.watch.Ask)
+	o := newOwner(connCtx, &m.cfg, m.limits, m.log, m.watch.RetryNow)
 	firstList := make(chan struct{})
 	var once sync.Once
 	onList := func(mode policy.ListMode, l proto.List) {
@@ -130,7 +130,7 @@
 	m.peers.Store(peers)
 	if d := peers.duties; d != nil {
 		o.onHosts = d.setTargets
-		if path := m.cfg.Ours.Duties.Show; path != "" {
+		if path := m.cfg.Options.Duties.Show; path != "" {
 			return d.serveStatus(path, m.cfg.Name)
 		}
 	}
--- a/mixer/owner.go
+++ b/mixer/owner.go
@@ -128,7 +128,7 @@
 }
 
 func (t transport) ListApplied(l proto.List) {
-	t.owner.log.Info("list", zap.Int64("version", l.Version), zap.Bool("whole", l.Whole), zap.Int("entries", len(l.Hosts)))
+	t.owner.log.Info("list", zap.Int64("version", l.Version), zap.Bool("whole", l.Full), zap.Int("entries", len(l.Hosts)))
 	if t.owner.onHosts != nil {
 		t.owner.onHosts(t.owner.Hosts())
 	}
--- a/mixer/peers.go
+++ b/mixer/peers.go
@@ -23,7 +23,7 @@
 
 // newPeerGroup joins the other instances. It returns nil if neither duties nor the fleet are enabled.
 func (m *Mixer) newPeerGroup(o *owner) (*peerGroup, error) {
-	p, settings := &peerGroup{log: m.log.Named("members")}, &m.cfg.Ours
+	p, settings := &peerGroup{log: m.log.Named("members")}, &m.cfg.Options
 	incarnation := uint64(time.Now().UnixNano()) // increases with each start, provided that the clock does
 	maxInstances := 0
 	var err error
@@ -43,7 +43,7 @@
 		return nil, nil
 	}
 	if maxInstances > 1 {
-		g, err := member.Join(member.Config{Name: m.cfg.Name, Inc: incarnation, Bind: settings.Members.Bind,
+		g, err := member.Join(member.Config{Name: m.cfg.Name, Incarnation: incarnation, Bind: settings.Members.Bind,
 			Seeds: settings.Members.Seeds, Keys: settings.Members.Keys}, m.limits.Members, p, p.log)
 		if err != nil {
 			return nil, err
--- a/mixer/reload.go
+++ b/mixer/reload.go
@@ -29,10 +29,10 @@
 // Reload applies what can change while scans are in flight: the address of discovery and the members' keys. Other
 // differences from the configuration at start are logged, and take effect at the next start.
 func (m *Mixer) Reload(c Config) {
-	if keys := m.cfg.Differs(c); len(keys) > 0 {
+	if keys := m.cfg.RestartKeys(c); len(keys) > 0 {
 		m.log.Warn("changed keys that take effect only at a start", zap.Strings("keys", keys))
 	}
-	m.watch.Move(c.Discovery)
+	m.watch.SetAddress(c.Discovery)
 	if peers := m.peers.Load(); peers != nil {
 		if g := peers.joined(); g != nil {
 			if err := g.Rotate(); err != nil {
--- a/proxy/invariants_test.go
+++ b/proxy/invariants_test.go
@@ -39,7 +39,7 @@
 	q := New(&settings.Settings{RetryWindow: time.Second, BeatPeriod: time.Second}, "proxy/front-0/0", &log.Logger{Level: log.PanicLevel})
 	q.replica.SetDocument(document(t, "5"))
 	q.config.Store(document(t, "9"))
-	must.Eq(t, invariant.VersionRises, violation(t, q.onMerge))
+	must.Eq(t, invariant.VersionMonotonic, violation(t, q.onMerge))
 }
 
 // TestDeadlinesPastTheClients: the proxy detects a dispatch that would end after its client's deadline.
--- a/proxy/metrics.go
+++ b/proxy/metrics.go
@@ -55,14 +55,14 @@
 	emit("connections_open", float64(open))
 	emit("connections_idle", float64(idle))
 	emit("searchers_listed", float64(searchers))
-	emit("list_complete", figures.Truth(listComplete))
+	emit("list_complete", figures.BoolValue(listComplete))
 	emit("mixers_known", float64(mixers))
 	emit("retry_budget_mixers", float64(budgetMixers))
-	emit("retry_budget_slack_spent", figures.Truth(slackSpent))
+	emit("retry_budget_slack_spent", figures.BoolValue(slackSpent))
 	for i := range budgets {
 		emitBudgetMetrics(&budgets[i], emit)
 	}
-	emit("leaving", figures.Truth(p.shuttingDown.Load()))
+	emit("leaving", figures.BoolValue(p.shuttingDown.Load()))
 	emit("agent_answer_age_seconds", age(now, p.observability.agentAnsweredAt.Load()))
 	if config := p.config.Load(); config != nil {
 		emit("configuration_version", float64(config.Version))
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -61,7 +61,7 @@
 func New(s *settings.Settings, incarnation string, l *log.Logger) *Proxy {
 	now := time.Now()
 	p := &Proxy{settings: s, incarnation: incarnation, log: l, start: now, pools: map[string]*upstream.Pool{},
-		observability: newObservability(), clientConns: connlimit.New(s.CallersMost()),
+		observability: newObservability(), clientConns: connlimit.New(s.MaxClientConns()),
 		replica: distribution.NewReplica(registry.New(registry.Config{Name: incarnation, Relay: true, Period: s.BeatPeriod, Start: now}))}
 	p.coordinator = p.newCoordinator(nil)
 	p.timer = time.AfterFunc(time.Hour, p.onTimer)
@@ -96,7 +96,7 @@
 		Choose: func(int) string { return AgentAddress(p.settings) }, Network: keepalive.TCP{Relay: p.settings.Relay, From: p.settings.Node}}
 	go puller.Run(background)
 	go p.advancePeriodically(background)
-	go figures.ServeFor(background, p.log, p.settings.IP, p.settings.Metrics, p.emitMetrics)
+	go figures.ServeIfConfigured(background, p.log, p.settings.IP, p.settings.Metrics, p.emitMetrics)
 	readinessServer := &http.Server{Handler: http.HandlerFunc(p.serveReady),
 		ReadTimeout: 2 * time.Second, WriteTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
 	go readinessServer.Serve(readiness)
@@ -126,8 +126,8 @@
 	p.shuttingDown.Store(true)
 	began := time.Now()
 	p.log.Info().Str("event", "leaving").Int("in-hand", p.inFlight()).Msg("")
-	time.Sleep(p.settings.ProxyListensFor())
-	ctx, stop := context.WithTimeout(context.Background(), max(time.Millisecond, p.settings.ProxyEndsAfter()-time.Since(began)))
+	time.Sleep(p.settings.ProxyListenTime())
+	ctx, stop := context.WithTimeout(context.Background(), max(time.Millisecond, p.settings.ProxyExitTime()-time.Since(began)))
 	defer stop()
 	frontServer.Shutdown(ctx) // any request still in flight after this ends with the process
 	p.logCounters()
@@ -161,7 +161,7 @@
 	config := p.replica.Document()
 	previous := p.config.Load()
 	if config != nil && previous != nil && config.Version < previous.Version {
-		invariant.Violated(invariant.VersionRises, "version %d after %d", config.Version, previous.Version)
+		invariant.Violated(invariant.VersionMonotonic, "version %d after %d", config.Version, previous.Version)
 	}
 	if config != nil && (previous == nil || config.Version > previous.Version) {
 		p.config.Store(config)
@@ -214,7 +214,7 @@
 			state = policy.Draining
 		}
 		searchers = append(searchers, request.Searcher{ID: e.ID, Address: e.Address, Service: e.Plant, State: state,
-			Calls: e.Calls, Silent: e.Silent, Distance: p.settings.Far(e.Zone)})
+			Calls: e.Calls, Silent: e.Silent, Distance: p.settings.DistanceTo(e.Zone)})
 		ids[e.ID] = true
 	}
 	p.searchers = searchers
@@ -232,7 +232,7 @@
 // advancePeriodically advances the coordinator's clock, so that the coordinator detects intervals in which the process did not
 // run.
 func (p *Proxy) advancePeriodically(ctx context.Context) {
-	periodic.Each(ctx, request.MaxAdvanceInterval, func() { p.handle(func() {}) })
+	periodic.Run(ctx, request.MaxAdvanceInterval, func() { p.handle(func() {}) })
 }
 
 // onTimer is called when the coordinator's next timer is due.
--- a/request/invariants.go
+++ b/request/invariants.go
@@ -15,14 +15,14 @@
 func (c *Coordinator) checkDispatch(p *part, m *member) {
 	route := p.request.Route
 	if !route.Idempotent && p.mayHaveRun() {
-		invariant.Violated(invariant.NoRepeatAfterRun, "route %s: attempt %d of request %d, which may have run",
+		invariant.Violated(invariant.NoRetryAfterExecution, "route %s: attempt %d of request %d, which may have run",
 			route.Name, len(p.dispatches)+1, p.request.id)
 	}
 	if len(p.dispatches) >= max(1, route.Retries) {
-		invariant.Violated(invariant.TriesWithinRetries, "route %s: attempt %d of %d", route.Name, len(p.dispatches)+1, route.Retries)
+		invariant.Violated(invariant.AttemptsWithinRetries, "route %s: attempt %d of %d", route.Name, len(p.dispatches)+1, route.Retries)
 	}
 	if len(p.dispatches) > 0 && !c.budget.Allows(c.now, p.service, c.budgetUntil) {
-		invariant.Violated(invariant.TriesWithinBudget, "service %s: attempt %d", p.service, len(p.dispatches)+1)
+		invariant.Violated(invariant.AttemptsWithinBudget, "service %s: attempt %d", p.service, len(p.dispatches)+1)
 	}
 	if m.State != policy.Ready {
 		invariant.Violated(invariant.ReadySearcherChosen, "searcher %s is %v", m.ID, m.State)
@@ -34,7 +34,7 @@
 func (c *Coordinator) CheckBalance() {
 	counts := &c.Counts
 	ended := counts.Relayed + counts.Gathered + counts.Refused + counts.Failed + counts.ClientsLeft
-	invariant.Check(invariant.InHandBalance, counts.Taken-ended == len(c.requests), "%d taken, %d ended, %d in flight",
+	invariant.Check(invariant.InFlightBalance, counts.Taken-ended == len(c.requests), "%d taken, %d ended, %d in flight",
 		counts.Taken, ended, len(c.requests))
 	for _, p := range c.parts {
 		for _, d := range p.dispatches {
--- a/request/invariants_test.go
+++ b/request/invariants_test.go
@@ -17,16 +17,16 @@
 // TestInvariantsDetectInjectedFaults checks that each invariant detects the fault that it guards against.
 func TestInvariantsDetectInjectedFaults(t *testing.T) {
 	for name, inject := range map[invariant.Name]func(c *Coordinator, p *part, m *member){
-		invariant.NoRepeatAfterRun: func(c *Coordinator, p *part, m *member) {
+		invariant.NoRetryAfterExecution: func(c *Coordinator, p *part, m *member) {
 			p.dispatches = []*Dispatch{{Request: p.request, Searcher: m.Searcher, part: p, member: m, outcome: policy.ConnectionLost}}
 			c.checkDispatch(p, m)
 		},
-		invariant.TriesWithinRetries: func(c *Coordinator, p *part, m *member) {
+		invariant.AttemptsWithinRetries: func(c *Coordinator, p *part, m *member) {
 			p.request.Route.Idempotent, p.request.Route.Retries = true, 1
 			p.dispatches = []*Dispatch{{Request: p.request, Searcher: m.Searcher, part: p, member: m, outcome: policy.Overloaded}}
 			c.checkDispatch(p, m)
 		},
-		invariant.TriesWithinBudget: func(c *Coordinator, p *part, m *member) {
+		invariant.AttemptsWithinBudget: func(c *Coordinator, p *part, m *member) {
 			p.request.Route.Idempotent = true
 			p.dispatches = []*Dispatch{{Request: p.request, Searcher: m.Searcher, part: p, member: m, outcome: policy.Overloaded}}
 			c.checkDispatch(p, m)
@@ -35,7 +35,7 @@
 			p.dispatches, m.State = nil, policy.Draining
 			c.checkDispatch(p, m)
 		},
-		invariant.InHandBalance: func(c *Coordinator, _ *part, _ *member) {
+		invariant.InFlightBalance: func(c *Coordinator, _ *part, _ *member) {
 			c.Counts.Taken++
 			c.CheckBalance()
 		},
