--- a/agent/agent.go
+++ b/agent/agent.go
@@ -10,7 +10,7 @@
 	"github.com/phuslu/log"
 
 	"peathollow/distribution"
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 	"peathollow/internal/keepalive"
 	"peathollow/internal/periodic"
 	"peathollow/internal/settings"
@@ -59,7 +59,7 @@
 		a.log.Error().Str("event", "heartbeats").Err(err).Msg("")
 	}
 	go a.heartbeats.run(serveCtx)
-	go figures.ServeIfConfigured(serveCtx, a.log, a.settings.IP, a.settings.Metrics, a.emitMetrics)
+	go exporter.ServeIfConfigured(serveCtx, a.log, a.settings.IP, a.settings.Metrics, a.emitMetrics)
 	selector := ControllerSelector{Settings: a.settings, Replica: a.replica, Seeds: seedAddresses(a.settings)}
 	p := distribution.Puller{Replica: a.replica, Node: a.settings.Node, Incarnation: a.incarnation, Kind: "agent",
 		Choose: selector.Choose, LeaveIsolated: true, HasBetter: selector.HasBetter,
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"peathollow/distribution"
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 )
 
 // linkStats records the state of the connection to a controller for the metrics.
@@ -28,21 +28,21 @@
 }
 
 // emitMetrics emits the state of the agent's replica and of its connection to a controller.
-func (a *Agent) emitMetrics(emit figures.Emit) {
+func (a *Agent) emitMetrics(emit exporter.Emit) {
 	emit("link_answers_total", float64(a.link.responses.Load()))
 	emit("link_faults_total", float64(a.link.faults.Load()))
 	a.link.mu.Lock()
 	peer, receivedAt, isolated := a.link.peer, a.link.receivedAt, a.link.isolated
 	a.link.mu.Unlock()
 	if !receivedAt.IsZero() {
-		emit("link_answer_age_seconds", time.Since(receivedAt).Seconds(), figures.Label{Name: "peer", Value: peer})
-		emit("link_peer_alone", figures.BoolValue(isolated))
+		emit("link_answer_age_seconds", time.Since(receivedAt).Seconds(), exporter.Label{Name: "peer", Value: peer})
+		emit("link_peer_alone", exporter.BoolValue(isolated))
 	}
 	if doc := a.replica.Document(); doc != nil {
 		emit("configuration_version", float64(doc.Version))
 	}
 	emit("mixers_known", float64(a.replica.MixerCount()))
 	emit("controllers_known", float64(len(a.replica.Controllers())))
-	emit("leaving", figures.BoolValue(a.leaving.Load()))
+	emit("leaving", exporter.BoolValue(a.leaving.Load()))
 	distribution.EmitListMetrics(a.replica, emit)
 }
--- a/cmd/peathollow/system.go
+++ b/cmd/peathollow/system.go
@@ -15,7 +15,7 @@
 
 	"peathollow/agent"
 	"peathollow/controlplane"
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 	_ "peathollow/internal/hangup" // ignores SIGHUP while the process starts, so that it doesn't end the process
 	"peathollow/internal/invariant"
 	"peathollow/internal/logbound"
@@ -68,7 +68,7 @@
 		return err
 	}
 	if metrics != "" {
-		if s.Metrics, err = figures.ParseAddress(metrics); err != nil {
+		if s.Metrics, err = exporter.ParseAddress(metrics); err != nil {
 			return codedError{err, exitUsage}
 		}
 	}
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -19,7 +19,7 @@
 	"peathollow/distribution"
 	"peathollow/failuredetector"
 	"peathollow/internal/connlimit"
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 	"peathollow/internal/keepalive"
 	"peathollow/internal/logbound"
 	"peathollow/internal/settings"
@@ -192,7 +192,7 @@
 	distributionServer := distribution.Server{Replica: c.replica, OnRequest: c.handlePull}
 	go distributionServer.Serve(ctx, listeners[1])
 	go c.serveCalls(ctx, listeners[2])
-	go figures.ServeIfConfigured(ctx, c.log, c.settings.IP, c.settings.Metrics, c.emitMetrics)
+	go exporter.ServeIfConfigured(ctx, c.log, c.settings.IP, c.settings.Metrics, c.emitMetrics)
 	c.running.Go(func() { c.maintain(ctx) })
 	c.running.Go(func() { c.persistLoop(ctx) })
 	c.running.Go(func() { c.driver.writeLoop(ctx) })
--- a/controlplane/metrics.go
+++ b/controlplane/metrics.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"peathollow/distribution"
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 	"peathollow/internal/logbound"
 )
 
@@ -72,7 +72,7 @@
 }
 
 // emitMetrics emits the metrics of the controller.
-func (c *Controller) emitMetrics(emit figures.Emit) {
+func (c *Controller) emitMetrics(emit exporter.Emit) {
 	c.driver.mu.Lock()
 	epoch, primary := c.driver.epoch, c.driver.primary
 	c.driver.mu.Unlock()
@@ -81,9 +81,9 @@
 	emit("members", float64(len(epoch.Members)))
 	emit("messages_of_other_systems_total", float64(c.metrics.foreignMessages.Load()))
 	emit("in_sync", float64(len(epoch.InSync)))
-	emit("is_primary", figures.BoolValue(primary != "" && primary == c.internalAddr(c.settings.IP, portConsensus)))
-	emit("in_touch", figures.BoolValue(c.quorumReachable()))
-	emit("in_contact", figures.BoolValue(c.inContact()))
+	emit("is_primary", exporter.BoolValue(primary != "" && primary == c.internalAddr(c.settings.IP, portConsensus)))
+	emit("in_touch", exporter.BoolValue(c.quorumReachable()))
+	emit("in_contact", exporter.BoolValue(c.inContact()))
 	emit("contact_lapses_total", float64(c.metrics.contactLapses.Load()))
 	emit("configuration_version", float64(c.version()))
 	emit("disk_syncs_total", float64(c.metrics.syncs.Load()))
@@ -102,6 +102,6 @@
 	c.metrics.mu.Lock()
 	defer c.metrics.mu.Unlock()
 	for a, n := range c.metrics.calls {
-		emit("calls_total", float64(n), figures.Label{Name: "call", Value: a.call}, figures.Label{Name: "status", Value: strconv.Itoa(a.status)})
+		emit("calls_total", float64(n), exporter.Label{Name: "call", Value: a.call}, exporter.Label{Name: "status", Value: strconv.Itoa(a.status)})
 	}
 }
--- a/distribution/metrics.go
+++ b/distribution/metrics.go
@@ -1,12 +1,12 @@
 package distribution
 
 import (
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 	"peathollow/registry"
 )
 
 // EmitListMetrics emits the metrics of the list of searchers that a replica holds.
-func EmitListMetrics(replica *Replica, emit figures.Emit) {
+func EmitListMetrics(replica *Replica, emit exporter.Emit) {
 	var listed, silent, draining int
 	var complete bool
 	replica.WithRegistry(func(r *registry.Registry) bool {
@@ -28,5 +28,5 @@
 	emit("searchers_listed", float64(listed))
 	emit("searchers_silent", float64(silent))
 	emit("searchers_draining", float64(draining))
-	emit("list_complete", figures.BoolValue(complete))
+	emit("list_complete", exporter.BoolValue(complete))
 }
--- a/internal/figures/figures.go
+++ b/internal/exporter/exporter.go
@@ -1,6 +1,6 @@
-// Package figures serves the metrics of a process in the Prometheus text exposition format. Metrics are collected when they
+// Package exporter serves the metrics of a process in the Prometheus text exposition format. Metrics are collected when they
 // are scraped, so that they cost nothing in between.
-package figures
+package exporter
 
 import (
 	"context"
--- a/internal/figures/figures_test.go
+++ b/internal/exporter/exporter_test.go
@@ -1,4 +1,4 @@
-package figures
+package exporter
 
 import (
 	"net/http/httptest"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 	"github.com/magiconair/properties"
 
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 )
 
 // Settings describes a process and the rules in force.
@@ -43,7 +43,7 @@
 	// Relay is the address of the relay through which this process dials in tests; see keepalive.TCP. Metrics comes from the
 	// command line.
 	Relay   string
-	Metrics figures.Address
+	Metrics exporter.Address
 }
 
 const (
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -18,7 +18,7 @@
 	"github.com/shoenig/test/wait"
 
 	"peathollow/distribution"
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 	"peathollow/internal/settings"
 	"peathollow/internal/standin/faulty"
 	"peathollow/manifest"
@@ -121,7 +121,7 @@
 		n := int(rigs.Add(1))
 		ip := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%150, n/200%250, 2+n%200)
 		r.Front, r.Ready, r.Figures = ip+":8080", ip+":8081", "http://"+ip+":8082/metrics"
-		s := &settings.Settings{Node: "front-0", Role: "proxy", IP: ip, Metrics: figures.Address{Port: 8082, Path: "/metrics"}, Front: r.Front, Readiness: r.Ready, Zone: "z",
+		s := &settings.Settings{Node: "front-0", Role: "proxy", IP: ip, Metrics: exporter.Address{Port: 8082, Path: "/metrics"}, Front: r.Front, Readiness: r.Ready, Zone: "z",
 			Zones: map[string]string{"z": "r"}, PortFirst: feed.Addr().(*net.TCPAddr).Port - 2, BeatPeriod: time.Second, Grace: grace,
 			RetryRatio: 1, RetrySlack: 1e6, RetryWindow: 10 * time.Second, FileLimit: 4096}
 		for _, f := range change {
--- a/proxy/metrics.go
+++ b/proxy/metrics.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 	"peathollow/policy"
 	"peathollow/retrybudget"
 )
 
 // emitMetrics emits the proxy's metrics: what it has done and the state that it acts on.
-func (p *Proxy) emitMetrics(emit figures.Emit) {
+func (p *Proxy) emitMetrics(emit exporter.Emit) {
 	now := p.now()
 	p.mu.Lock()
 	counts, inFlight, pools, listComplete, mixers, searchers :=
@@ -27,7 +27,7 @@
 	emit("client_connections_evicted_total", float64(evicted))
 	emit("client_connections_refused_total", float64(refused))
 	outcome := func(name string, n int) {
-		emit("requests_total", float64(n), figures.Label{Name: "outcome", Value: name})
+		emit("requests_total", float64(n), exporter.Label{Name: "outcome", Value: name})
 	}
 	outcome("relayed", counts.Relayed)
 	outcome("gathered", counts.Gathered)
@@ -41,28 +41,28 @@
 	emit("clients_left_total", float64(p.observability.clientsLeft.Load()))
 	emit("decision_restarts_total", float64(p.observability.restarts.Load()))
 	for reason, n := range p.observability.failed {
-		emit("requests_unanswered_total", float64(n.Load()), figures.Label{Name: "reason", Value: string(reason)})
+		emit("requests_unanswered_total", float64(n.Load()), exporter.Label{Name: "reason", Value: string(reason)})
 	}
 	emit("dispatches_total", float64(counts.Sent))
 	emit("dispatches_further_total", float64(counts.Retries))
 	for o, n := range counts.Outcomes {
-		emit("dispatch_outcomes_total", float64(n), figures.Label{Name: "outcome", Value: outcomeName(policy.Outcome(o))})
+		emit("dispatch_outcomes_total", float64(n), exporter.Label{Name: "outcome", Value: outcomeName(policy.Outcome(o))})
 	}
 	emit("pools", float64(pools))
-	emit("identity_probes_total", float64(p.probes.First.Load()), figures.Label{Name: "reason", Value: "first"})
-	emit("identity_probes_total", float64(p.probes.Old.Load()), figures.Label{Name: "reason", Value: "old"})
+	emit("identity_probes_total", float64(p.probes.First.Load()), exporter.Label{Name: "reason", Value: "first"})
+	emit("identity_probes_total", float64(p.probes.Old.Load()), exporter.Label{Name: "reason", Value: "old"})
 	emit("identity_probe_seconds_total", time.Duration(p.probes.TotalNanoseconds.Load()).Seconds())
 	emit("connections_open", float64(open))
 	emit("connections_idle", float64(idle))
 	emit("searchers_listed", float64(searchers))
-	emit("list_complete", figures.BoolValue(listComplete))
+	emit("list_complete", exporter.BoolValue(listComplete))
 	emit("mixers_known", float64(mixers))
 	emit("retry_budget_mixers", float64(budgetMixers))
-	emit("retry_budget_slack_spent", figures.BoolValue(slackSpent))
+	emit("retry_budget_slack_spent", exporter.BoolValue(slackSpent))
 	for i := range budgets {
 		emitBudgetMetrics(&budgets[i], emit)
 	}
-	emit("leaving", figures.BoolValue(p.shuttingDown.Load()))
+	emit("leaving", exporter.BoolValue(p.shuttingDown.Load()))
 	emit("agent_answer_age_seconds", age(now, p.observability.agentAnsweredAt.Load()))
 	if config := p.config.Load(); config != nil {
 		emit("configuration_version", float64(config.Version))
@@ -79,8 +79,8 @@
 }
 
 // emitBudgetMetrics emits the state of the retry budget of one service.
-func emitBudgetMetrics(stats *retrybudget.Stats, emit figures.Emit) {
-	service := figures.Label{Name: "service", Value: stats.Service}
+func emitBudgetMetrics(stats *retrybudget.Stats, emit exporter.Emit) {
+	service := exporter.Label{Name: "service", Value: stats.Service}
 	emit("retry_budget_requests_total", float64(stats.Requests), service)
 	emit("retry_budget_charged_total", float64(stats.Retries), service)
 	emit("retry_budget_starved_total", float64(stats.DeniedParts), service)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -15,7 +15,7 @@
 
 	"peathollow/distribution"
 	"peathollow/internal/connlimit"
-	"peathollow/internal/figures"
+	"peathollow/internal/exporter"
 	"peathollow/internal/invariant"
 	"peathollow/internal/keepalive"
 	"peathollow/internal/periodic"
@@ -96,7 +96,7 @@
 		Choose: func(int) string { return AgentAddress(p.settings) }, Network: keepalive.TCP{Relay: p.settings.Relay, From: p.settings.Node}}
 	go puller.Run(background)
 	go p.advancePeriodically(background)
-	go figures.ServeIfConfigured(background, p.log, p.settings.IP, p.settings.Metrics, p.emitMetrics)
+	go exporter.ServeIfConfigured(background, p.log, p.settings.IP, p.settings.Metrics, p.emitMetrics)
 	readinessServer := &http.Server{Handler: http.HandlerFunc(p.serveReady),
 		ReadTimeout: 2 * time.Second, WriteTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
 	go readinessServer.Serve(readiness)
