--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,8 @@
 	fixed                   map[string]string // values that only a restart can change, by key as written in the file
 }
 
-// RestartKeys returns the sorted keys, present or missing, whose change to the values of another configuration needs a restart.
+// RestartKeys returns, sorted, the keys that differ between the two configurations, also by being absent in one, and that only
+// a restart can change.
 func (c Config) RestartKeys(d Config) []string {
 	var keys []string
 	for k, v := range c.fixed {
--- a/internal/settings/descriptors.go
+++ b/internal/settings/descriptors.go
@@ -3,9 +3,9 @@
 import "cmp"
 
 const (
-	// descriptorsKept is the number of descriptors that the platform reserves for files; the others are for sockets.
+	// reservedDescriptors is the number of descriptors that the platform reserves for files; the others are for sockets.
 	reservedDescriptors = 200
-	// descriptorsUsual is the descriptor limit assumed where the settings state none.
+	// defaultDescriptors is the descriptor limit assumed where the settings state none.
 	defaultDescriptors = 4096
 )
 
--- a/internal/settings/roles_test.go
+++ b/internal/settings/roles_test.go
@@ -11,9 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestReadForRoleWaitsForTheRest checks that a file which is truncated after all settings that a role needs is read again, since its
-// bounds are still missing. An earlier version took the defaults (soak seed 618: an agent served for the default grace period
-// after SIGTERM, and was killed).
+// TestReadForRoleWaitsForTheRest checks that a file which is truncated after all settings that a role needs is read again,
+// since its bounds are still missing. An earlier version took the defaults (soak seed 618: an agent served for the default
+// grace period after SIGTERM, and was killed).
 func TestReadForRoleWaitsForTheRest(t *testing.T) {
 	const whole = "node-name=front-0\nip=127.0.0.1\nzone=z\ninternal-ports=7080,7095\nseeds=127.0.0.2:1\nbounds.grace-s=2\n"
 	path := filepath.Join(t.TempDir(), "settings")
