--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,6 +11,7 @@
 	"peathollow/policy"
 )
 
+// text returns a valid platform configuration.
 func text(t *testing.T) string {
 	f, err := standin.NewFleet(4, func(int, proto.Call) standin.Reply { return standin.Reply{} }, nil)
 	if err != nil {
@@ -24,15 +25,15 @@
 	return Load(func(string) string { return "" }, func(string) ([]byte, error) { return []byte(text), nil })
 }
 
-func TestWhatIsReadAndWhatIsLeftOut(t *testing.T) {
+func TestParseValuesAndDefaults(t *testing.T) {
 	c, err := parse([]byte(text(t)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || s.Streams != 8 || s.Idle != 15*time.Second || !s.Brain.MayCancel ||
-		s.Shards != 8 || len(s.Brain.Types) != 4 || s.Brain.Types[0].SecondStep != 2 || s.Brain.Types[3].Effect != policy.NonIdempotent ||
-		s.Brain.Quotas[0] != 1000 || s.Tenants["acme"] != 0 || s.Types["keyed"] != 2 {
+	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || s.StreamsPerConn != 8 || s.IdleTimeout != 15*time.Second || !s.Policy.MayCancel ||
+		s.Shards != 8 || len(s.Policy.Types) != 4 || s.Policy.Types[0].SecondStep != 2 || s.Policy.Types[3].Effect != policy.NonIdempotent ||
+		s.Policy.Quotas[0] != 1000 || s.Tenants["acme"] != 0 || s.Types["keyed"] != 2 {
 		t.Errorf("%+v", c)
 	}
 	cut := strings.Replace(text(t), `"limits": {
@@ -43,12 +44,12 @@
 	cut = strings.Replace(cut, `"streamsPerConn": 8`, `"other": 8`, 1)
 	env := func(k string) string { return map[string]string{"ROUTER_NAME": "n7"}[k] }
 	c, err = parse([]byte(strings.Replace(cut, `"name": "n0"`, `"name": ""`, 1)), env)
-	if err != nil || c.Name != "n7" || c.MemoryMB != defaultMemory || c.Sockets != defaultSockets || c.Settings.Streams != 32 {
+	if err != nil || c.Name != "n7" || c.MemoryMB != defaultMemory || c.Sockets != defaultSockets || c.Settings.StreamsPerConn != 32 {
 		t.Errorf("%+v %v", c, err)
 	}
 }
 
-// A faulty configuration ends the start with one message that names the key.
+// TestMessagesNameTheKey checks that each error of an invalid configuration names the key at fault.
 func TestMessagesNameTheKey(t *testing.T) {
 	good := text(t)
 	for _, c := range []struct{ old, new, want string }{
@@ -84,8 +85,8 @@
 	}
 }
 
-// A reload says which keys have to wait for a start; where discovery is need not.
-func TestWhatDiffersIsNamed(t *testing.T) {
+// TestRestartKeys checks that a reload names the keys that need a restart. The address of discovery is not one of them.
+func TestRestartKeys(t *testing.T) {
 	env := func(string) string { return "" }
 	good := text(t)
 	a, err := parse([]byte(good), env)
@@ -97,10 +98,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(a.Differs(b), " "); got != "limits.memory_mb settings.limits.maxOpen" {
+	if got := strings.Join(a.RestartKeys(b), " "); got != "limits.memory_mb settings.limits.maxOpen" {
 		t.Errorf("%q", got)
 	}
-	if a.Discovery == b.Discovery || len(a.Differs(a)) > 0 {
-		t.Errorf("%q %q %v", a.Discovery, b.Discovery, a.Differs(a))
+	if a.Discovery == b.Discovery || len(a.RestartKeys(a)) > 0 {
+		t.Errorf("%q %q %v", a.Discovery, b.Discovery, a.RestartKeys(a))
 	}
 }
