--- a/internal/standin/faulty/doc.go
+++ b/internal/standin/faulty/doc.go
@@ -1,7 +1,9 @@
-// Package faulty is a searcher on loopback for tests. By default it behaves: it works on so many requests at a time,
-// queues a few, refuses the rest, answers with id and seal, heeds Target-Searcher and Deadline-Ms and drops a request
-// whose connection closes. A script, asked for each request, makes it misbehave in one of the ways that searchers in
-// trouble are. Its Ledger knows what ran, by Attempt-Id, to show that nothing ran twice.
+// Package faulty provides a searcher on loopback whose faults are scripted, for use in tests.
 //
-// The tests of upstream and of the proxy use it. It never stands in for a measurement, and serves nothing but tests.
+// By default the searcher follows the protocol: it runs a limited number of requests at a time, queues a few more and
+// refuses the rest, answers with attempt ID and seal, respects Target-Searcher and Deadline-Ms, and abandons a request
+// whose connection closes. A script, which is called for each request, selects one of the faults that failing searchers
+// show. The Ledger records which requests ran, by Attempt-Id, so that a test can check that none ran twice.
+//
+// The package is used by tests only, such as those of upstream and proxy. It is not suited to performance measurements.
 package faulty
--- a/internal/standin/faulty/ledger.go
+++ b/internal/standin/faulty/ledger.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Entry is what became of one request that a searcher read whole.
+// Entry records what happened to one request that a searcher read completely.
 type Entry struct {
 	At                     time.Time
 	ID, Method, Path, Host string
 	Searcher               string
-	Target                 string // the searcher that was meant, if the request names one
-	Conn                   int    // which of the searcher's connections
+	Target                 string // searcher that the request names, if any
+	Conn                   int    // number of the connection at the searcher
 	Ran                    bool
-	Dropped                bool      // it ran until its connection closed
-	Ended                  time.Time // when the work on it did; zero: it has not run, or not ended
-	DeadlineMs             int64     // as it was told; -1: not at all
+	Dropped                bool      // the connection closed while the request ran
+	Ended                  time.Time // when the run ended; zero if it did not run or has not ended
+	DeadlineMs             int64     // Deadline-Ms of the request; -1 if absent
 }
 
-// Ledger keeps all entries, in order; several searchers may share one.
+// Ledger records entries in order of arrival. Several searchers may share one.
 type Ledger struct {
 	mu      sync.Mutex
 	entries []*Entry
@@ -37,7 +37,7 @@
 	f(e)
 }
 
-// Entries gives a copy of all.
+// Entries returns a copy of all entries.
 func (l *Ledger) Entries() []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,31 +48,31 @@
 	return all
 }
 
-func (l *Ledger) count(is func(*Entry) bool) (n int) {
+func (l *Ledger) count(match func(*Entry) bool) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.entries {
-		if is(e) {
+		if match(e) {
 			n++
 		}
 	}
 	return n
 }
 
-// Ran tells how often requests of an id were run.
+// Ran returns how many requests with the given attempt ID ran.
 func (l *Ledger) Ran(id string) int {
 	return l.count(func(e *Entry) bool { return e.ID == id && e.Ran })
 }
 
-// Arrived tells how often requests of an id arrived, whether or not they were run.
+// Arrived returns how many requests with the given attempt ID arrived, whether or not they ran.
 func (l *Ledger) Arrived(id string) int { return l.count(func(e *Entry) bool { return e.ID == id }) }
 
-// Dropped tells how often requests of an id were dropped as their connection closed.
+// Dropped returns how many requests with the given attempt ID were abandoned because their connection closed.
 func (l *Ledger) Dropped(id string) int {
 	return l.count(func(e *Entry) bool { return e.ID == id && e.Dropped })
 }
 
-// Twice names the requests, without an id of which repeats are allowed, that ran more than once.
+// Twice describes the requests that ran more than once, except those that mayRepeat allows to repeat.
 func (l *Ledger) Twice(mayRepeat func(id string) bool) (out []string) {
 	ran := map[string]int{}
 	for _, e := range l.Entries() {
--- a/internal/standin/faulty/reply.go
+++ b/internal/standin/faulty/reply.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Call is one request as the searcher read it.
+// Call is a request as the searcher read it.
 type Call struct {
-	Conn       int // 1 for the first connection accepted
-	Nth        int // 1 for the first request on its connection
+	Conn       int // number of the connection, from 1 in the order of acceptance
+	Nth        int // number of the request on its connection, from 1
 	Method     string
-	Path       string // with the query
-	Head       string // as it came, up to the blank line
+	Path       string // including the query
+	Head       string // request line and headers as received, without the blank line
 	Host       string
 	AttemptID  string
 	Target     string
@@ -20,54 +20,55 @@
 	Body       []byte
 }
 
-// Way is how a reply misbehaves.
+// Way selects the fault that a reply shows.
 type Way uint8
 
+// The faults of a reply; Good is none.
 const (
 	Good        Way = iota
 	Refuse          // 503 with Not-Executed; does not run
-	RefuseNoID      // the same without Attempt-Id
-	Wrong421        // 421, as if another were meant; does not run
+	RefuseNoID      // like Refuse, without Attempt-Id
+	Wrong421        // 421, as if the request were for another searcher; does not run
 	ResetUnrun      // resets the connection and does not run the request
-	ResetRun        // resets it having run
-	CloseRun        // closes it having run, without a byte
-	CutHead         // closes it in the middle of the head
-	CutBody         // closes it in the middle of the body
-	Spoil           // bytes that are no answer
-	WrongID         // another request's id
+	ResetRun        // runs the request, then resets the connection
+	CloseRun        // runs the request, then closes the connection without a response
+	CutHead         // closes the connection in the middle of the response head
+	CutBody         // closes the connection in the middle of the response body
+	Spoil           // sends bytes that are not an HTTP response
+	WrongID         // Attempt-Id of another request
 	NoID            // no Attempt-Id
 	NoSeal          // no Answer-Seal
-	Hang            // says nothing until the connection closes
-	Trickle         // a byte at a time
-	Chunked         // in chunks, with a trailer
-	BadChunks       // in chunks whose sizes lie
-	BothLengths     // Content-Length and chunks
-	NoLength        // neither, the connection stays open
-	UntilClose      // neither, the body ends with the connection
-	ShortLength     // Content-Length of half the body, so that half of it is surplus
-	Surplus         // bytes after a whole answer
-	ExtraNow        // a second answer right after the first
-	ExtraLate       // a second answer in the place where the next one is due
-	CloseAfter      // Connection: close, and does
-	CloseUnsaid     // closes after the answer without having said so
+	Hang            // sends nothing until the connection closes
+	Trickle         // writes the response byte by byte
+	Chunked         // chunked body with a chunk extension and a trailer
+	BadChunks       // chunked body with a wrong chunk size
+	BothLengths     // both Content-Length and a chunked body
+	NoLength        // neither Content-Length nor chunks; the connection stays open
+	UntilClose      // neither Content-Length nor chunks; the body ends with the connection
+	ShortLength     // Content-Length of half the body, so that the other half is surplus
+	Surplus         // extra bytes after a complete response
+	ExtraNow        // a second copy of the response right after the first
+	ExtraLate       // a second copy of the response before the response to the next request
+	CloseAfter      // sends Connection: close and closes the connection
+	CloseUnsaid     // closes the connection after the response without announcing it
 )
 
-// Reply is what the searcher does with a request. Its zero value is a good answer.
+// Reply says how the searcher handles a request. The zero value is a good response.
 type Reply struct {
 	Way     Way
-	Status  int             // 0: 200; 500 or 504 are its own and count as run
-	Body    []byte          // nil: bytes made from the path
-	Header  []string        // further lines, "Name: value"
-	Hold    <-chan struct{} // keeps working until this closes or the connection does
-	Work    time.Duration   // works for so long
-	OnDrop  func()          // the connection closed while the request was at work
-	RawBack []byte          // goes out as it is in place of an answer
+	Status  int             // default 200; 500 and 504 are sent by the searcher itself and count as run
+	Body    []byte          // nil: Records for the searcher and the path
+	Header  []string        // additional header lines, "Name: value"
+	Hold    <-chan struct{} // runs until this channel or the connection closes
+	Work    time.Duration   // how long the request runs
+	OnDrop  func()          // called if the connection closes while the request runs
+	RawBack []byte          // sent unchanged instead of a response
 }
 
-// Seal is the stamp a searcher puts on its answer to an attempt.
+// Seal returns the Answer-Seal value of a searcher's response to an attempt.
 func Seal(searcher, attempt string) string { return "seal." + searcher + "." + attempt }
 
-// Records makes n records of 16 bytes, in no order, that depend on the searcher and the path.
+// Records returns n unsorted records of 16 bytes each, derived from the searcher ID and the path.
 func Records(searcher, path string, n int) []byte {
 	var b bytes.Buffer
 	x := uint64(14695981039346656037)
@@ -83,7 +84,7 @@
 	return b.Bytes()
 }
 
-// render makes the bytes that go out for a request.
+// render encodes the response to a request.
 func (s *Server) render(c *Call, r *Reply) []byte {
 	status, body := r.Status, r.Body
 	if status == 0 {
@@ -113,7 +114,7 @@
 	} else if r.Way != NoSeal && c.AttemptID != "" {
 		fmt.Fprintf(&b, "Answer-Seal: %s\r\n", Seal(s.ID(), c.AttemptID))
 	}
-	if c.Path == s.opts.ProbePath && !refusal { // full, it says nothing of itself
+	if c.Path == s.opts.ProbePath && !refusal { // a refused probe does not identify the searcher
 		fmt.Fprintf(&b, "Searcher-Id: %s\r\n", s.ID())
 	}
 	if s.opts.TellLoad {
--- a/internal/standin/faulty/server.go
+++ b/internal/standin/faulty/server.go
@@ -12,31 +12,32 @@
 	"github.com/go-faster/errors"
 )
 
-// Options set a server up; its zero value will do.
+// Options configures a Server. The zero value is valid.
 type Options struct {
-	ID         string        // "i-" and the port if empty
-	Addr       string        // a free port of 127.0.0.1 if empty
-	Capacity   int           // requests at work; 8 if 0
-	Queue      int           // requests waiting beyond them
-	ConnLimit  int           // connections beyond it are reset; none if 0
-	Idle       time.Duration // idle connections are closed after it; never if 0
-	KeepAliveS int           // told in Keep-Alive; not if 0
-	ProbePath  string        // "/health" if empty
-	TellLoad   bool          // adds Searcher-Load
-	Ledger     *Ledger       // its own if nil
+	ID         string        // default: "i-" followed by the port
+	Addr       string        // default: a free port of 127.0.0.1
+	Capacity   int           // requests that run at the same time; default 8
+	Queue      int           // further requests that may wait for a slot
+	ConnLimit  int           // connections above the limit are reset; 0: no limit
+	Idle       time.Duration // closes idle connections after this time; 0: never
+	KeepAliveS int           // timeout in the Keep-Alive header; 0: no header
+	ProbePath  string        // default: "/health"
+	TellLoad   bool          // adds the Searcher-Load header to responses
+	Ledger     *Ledger       // default: a new one
 	Script     func(Call) Reply
-	// ScriptProbes has the script asked for probes too; else they are answered well, and neither they nor the script know of each other.
+	// ScriptProbes calls the script for health probes too. Otherwise probes always get a good response and the script
+	// does not see them.
 	ScriptProbes bool
 }
 
-// Server is one faulty searcher.
+// Server is a searcher on loopback whose faults are scripted.
 type Server struct {
-	opts   Options
-	ln     net.Listener
-	ledger *Ledger
-	slots  chan struct{}
-	done   chan struct{}
-	all    sync.WaitGroup
+	opts       Options
+	ln         net.Listener
+	ledger     *Ledger
+	slots      chan struct{}
+	done       chan struct{}
+	goroutines sync.WaitGroup
 
 	mu        sync.Mutex
 	script    func(Call) Reply
@@ -46,19 +47,19 @@
 	waiting   int
 	open      map[*peer]struct{}
 	closed    bool
-	thawed    chan struct{} // closed when it goes on; nil: it does not stand still
+	resumed   chan struct{} // closed when the server resumes; nil while it is not paused
 }
 
-// peer is one connection.
+// peer is one client connection.
 type peer struct {
 	*net.TCPConn
-	in   *bufio.Reader
-	nth  int
-	idle bool   // under the server's mutex
-	owed []byte // goes out before the next answer
+	in           *bufio.Reader
+	nth          int    // requests read so far
+	idle         bool   // guarded by Server.mu
+	pendingBytes []byte // written before the next response
 }
 
-// Start listens and serves until Close.
+// Start starts a Server that listens and serves until Close is called.
 func Start(o Options) (*Server, error) {
 	if o.Addr == "" {
 		o.Addr = "127.0.0.1:0"
@@ -81,41 +82,41 @@
 	}
 	s := &Server{opts: o, ln: ln, ledger: o.Ledger, slots: make(chan struct{}, o.Capacity), done: make(chan struct{}),
 		script: o.Script, connLimit: o.ConnLimit, open: map[*peer]struct{}{}}
-	s.all.Go(s.accept)
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// ID is what Target-Searcher must name.
+// ID returns the searcher ID that the Target-Searcher header of a request must name.
 func (s *Server) ID() string { return s.opts.ID }
 
-// Ledger is where its requests are booked.
+// Ledger returns the ledger that records the requests of the server.
 func (s *Server) Ledger() *Ledger { return s.ledger }
 
-// SetScript changes what is asked from the next request on; nil: good answers.
+// SetScript replaces the script from the next request on. Without a script (nil) every response is good.
 func (s *Server) SetScript(f func(Call) Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = f
 }
 
-// SetConnLimit changes how many connections may be open; 0: any number.
+// SetConnLimit sets the maximum number of open connections; 0 means no limit.
 func (s *Server) SetConnLimit(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.connLimit = n
 }
 
-// Accepted tells how many connections there ever were, those reset at once included.
+// Accepted returns the number of connections accepted so far, including those that were reset at once.
 func (s *Server) Accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// Probes tells how often it was probed.
+// Probes returns the number of health probes received.
 func (s *Server) Probes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +125,8 @@
 
 func (s *Server) isProbe(c *Call) bool { return c.Path == s.opts.ProbePath && c.AttemptID == "" }
 
-// CloseIdle ends the connections that have no request under way, by a reset if so wanted, and tells how many.
+// CloseIdle closes the connections that have no request in flight, with a TCP reset if reset is set, and returns
+// their number.
 func (s *Server) CloseIdle(reset bool) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +139,7 @@
 	return n
 }
 
-// Break resets all connections.
+// Break resets all open connections.
 func (s *Server) Break() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +148,7 @@
 	}
 }
 
-// Say writes bytes that nobody asked for to the connections that have no request under way, and tells to how many.
+// Say writes unsolicited bytes to the connections that have no request in flight, and returns their number.
 func (s *Server) Say(b []byte) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +161,7 @@
 	return n
 }
 
-// Close ends it like a crash: the port is dead and all connections are reset.
+// Close stops the server as a crash would: the port is closed and all connections are reset.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closed {
@@ -169,39 +171,39 @@
 	s.mu.Unlock()
 	s.ln.Close()
 	s.Break()
-	s.all.Wait()
+	s.goroutines.Wait()
 }
 
-// Freeze has it stand still, like a process that was stopped: its kernel goes on taking connections and bytes, and it reads and says
-// nothing until Thaw. What its callers have given up by then it reads all the same.
+// Freeze pauses the server like a process stopped by SIGSTOP: the kernel still accepts connections and bytes, but the
+// server reads and writes nothing until Thaw. It then also reads requests that its clients have abandoned meanwhile.
 func (s *Server) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.thawed == nil {
-		s.thawed = make(chan struct{})
+	if s.resumed == nil {
+		s.resumed = make(chan struct{})
 	}
 }
 
-// Thaw lets it go on.
+// Thaw resumes a paused server.
 func (s *Server) Thaw() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.thawed != nil {
-		close(s.thawed)
-		s.thawed = nil
+	if s.resumed != nil {
+		close(s.resumed)
+		s.resumed = nil
 	}
 }
 
-// run waits while the server stands still.
-func (s *Server) run() {
+// waitWhilePaused blocks until the server is not paused or is closed.
+func (s *Server) waitWhilePaused() {
 	s.mu.Lock()
-	thawed := s.thawed
+	resumed := s.resumed
 	s.mu.Unlock()
-	if thawed == nil {
+	if resumed == nil {
 		return
 	}
 	select {
-	case <-thawed:
+	case <-resumed:
 	case <-s.done:
 	}
 }
@@ -219,7 +221,7 @@
 		if err != nil {
 			return
 		}
-		s.run()
+		s.waitWhilePaused()
 		p := &peer{TCPConn: c.(*net.TCPConn), in: bufio.NewReader(c), idle: true}
 		s.mu.Lock()
 		s.accepted++
@@ -228,7 +230,7 @@
 		} else {
 			s.open[p] = struct{}{}
 			n := s.accepted
-			s.all.Go(func() { s.serve(p, n) })
+			s.goroutines.Go(func() { s.serve(p, n) })
 		}
 		s.mu.Unlock()
 	}
@@ -242,16 +244,16 @@
 		p.end(false)
 	}()
 	for {
-		var until time.Time
+		var idleDeadline time.Time
 		if s.opts.Idle > 0 {
-			until = time.Now().Add(s.opts.Idle)
+			idleDeadline = time.Now().Add(s.opts.Idle)
 		}
-		p.SetReadDeadline(until)
+		p.SetReadDeadline(idleDeadline)
 		c, err := readCall(p.in)
 		if err != nil {
 			return
 		}
-		s.run() // the bytes that were taken just now count as read when it goes on
+		s.waitWhilePaused() // bytes received during a pause count as read once it ends
 		p.nth++
 		c.Conn, c.Nth = conn, p.nth
 		s.mu.Lock()
@@ -276,22 +278,23 @@
 	}
 }
 
-// Load tells how many requests are at work and how many wait.
+// Load returns the number of running and of queued requests.
 func (s *Server) Load() (running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.slots), s.waiting
 }
 
-// write sends an answer's bytes, what is owed from before first; the connection counts as idle from then on.
+// write sends the bytes of a response, preceded by any bytes left over from the previous one. The connection counts as
+// idle from then on.
 func (s *Server) write(p *peer, b []byte) bool {
-	if p.owed != nil {
-		b, p.owed = append(p.owed, b...), nil
+	if p.pendingBytes != nil {
+		b, p.pendingBytes = append(p.pendingBytes, b...), nil
 	}
 	s.mu.Lock()
 	p.idle = true
 	s.mu.Unlock()
-	s.run()
+	s.waitWhilePaused()
 	_, err := p.Write(b)
 	return err == nil
 }
--- a/internal/standin/faulty/work.go
+++ b/internal/standin/faulty/work.go
@@ -4,12 +4,12 @@
 	"time"
 )
 
-// answer does with a request what the reply says, and tells whether the connection goes on.
+// answer handles a request as the reply says and reports whether the connection stays open.
 func (s *Server) answer(p *peer, c *Call, r *Reply) bool {
 	e := &Entry{At: time.Now(), ID: c.AttemptID, Method: c.Method, Path: c.Path, Host: c.Host, Searcher: s.ID(), Target: c.Target, Conn: c.Conn,
 		DeadlineMs: c.DeadlineMs}
 	probe := s.isProbe(c)
-	if !probe { // a probe is no request, and waits for a slot like one
+	if !probe { // a probe waits for a slot like a request, but is not recorded
 		s.ledger.add(e)
 	}
 	switch {
@@ -24,7 +24,7 @@
 		return s.write(p, s.render(c, r))
 	}
 
-	var closed <-chan struct{} // the client's end of the connection did
+	var closed <-chan struct{} // closed when the client closes the connection
 	stop := func() {}
 	watch := func() {
 		if closed == nil {
@@ -32,11 +32,11 @@
 		}
 	}
 	defer func() { stop() }()
-	var late <-chan time.Time
+	var deadline <-chan time.Time
 	if c.DeadlineMs >= 0 {
 		t := time.NewTimer(time.Duration(c.DeadlineMs) * time.Millisecond)
 		defer t.Stop()
-		late = t.C
+		deadline = t.C
 	}
 
 	select {
@@ -46,33 +46,33 @@
 			return s.write(p, s.render(c, &Reply{Way: Refuse}))
 		}
 		watch()
-		var in, gone bool
+		var acquired, disconnected bool
 		select {
 		case s.slots <- struct{}{}:
-			in = true
-		case <-late:
+			acquired = true
+		case <-deadline:
 		case <-closed:
-			gone = true
+			disconnected = true
 		case <-s.done:
-			gone = true
+			disconnected = true
 		}
 		s.mu.Lock()
 		s.waiting--
 		s.mu.Unlock()
-		if gone {
+		if disconnected {
 			return false
 		}
-		if !in {
+		if !acquired {
 			stop()
 			return s.write(p, s.render(c, &Reply{Way: Refuse}))
 		}
 	}
 	s.ledger.set(e, func(e *Entry) { e.Ran = true })
-	done, gone := s.work(r, watch, &closed, late)
+	done, disconnected := s.work(r, watch, &closed, deadline)
 	<-s.slots
 	stop()
-	s.ledger.set(e, func(e *Entry) { e.Ended, e.Dropped = time.Now(), gone })
-	if gone {
+	s.ledger.set(e, func(e *Entry) { e.Ended, e.Dropped = time.Now(), disconnected })
+	if disconnected {
 		if r.OnDrop != nil {
 			r.OnDrop()
 		}
@@ -84,7 +84,7 @@
 	return s.send(p, c, r)
 }
 
-// enqueue takes a place in the queue if there is one.
+// enqueue takes a place in the queue and reports whether one was free.
 func (s *Server) enqueue() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,26 +95,27 @@
 	return true
 }
 
-// work keeps a slot for as long as the reply says; done is false at the deadline, gone tells that the client left.
-func (s *Server) work(r *Reply, watch func(), closed *<-chan struct{}, late <-chan time.Time) (done, gone bool) {
+// work runs a request for as long as the reply says. done is false if the deadline passed first; disconnected reports
+// that the connection or the server was closed first.
+func (s *Server) work(r *Reply, watch func(), closed *<-chan struct{}, deadline <-chan time.Time) (done, disconnected bool) {
 	if r.Hold == nil && r.Work == 0 && r.Way != Hang {
 		return true, false
 	}
 	watch()
 	hold := r.Hold
 	if r.Work > 0 {
-		worked := make(chan struct{})
-		t := time.AfterFunc(r.Work, func() { close(worked) })
+		elapsed := make(chan struct{})
+		t := time.AfterFunc(r.Work, func() { close(elapsed) })
 		defer t.Stop()
-		hold = worked
+		hold = elapsed
 	}
 	if r.Way == Hang {
-		hold, late = nil, nil // not even its own deadline makes it speak
+		hold, deadline = nil, nil // no response, not even at the deadline
 	}
 	select {
 	case <-hold:
 		return true, false
-	case <-late:
+	case <-deadline:
 		return false, false
 	case <-*closed:
 	case <-s.done:
@@ -122,25 +123,25 @@
 	return false, true
 }
 
-// watch notices the end of the connection while a request is at work; stop ends the watch and must come before the
-// next read.
+// watch detects that the connection ends while a request is queued or running, and then closes the channel it returns.
+// stop ends the watch and must be called before the next read.
 func (p *peer) watch() (closed <-chan struct{}, stop func()) {
-	ended, left := make(chan struct{}), make(chan struct{})
+	ended, finished := make(chan struct{}), make(chan struct{})
 	p.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(left)
+		defer close(finished)
 		if _, err := p.in.Peek(1); err != nil {
 			close(ended)
 		}
 	}()
 	return ended, func() {
-		p.SetReadDeadline(time.Unix(1, 0)) // wakes the watch up
-		<-left
+		p.SetReadDeadline(time.Unix(1, 0)) // unblocks Peek
+		<-finished
 		p.SetReadDeadline(time.Time{})
 	}
 }
 
-// send writes the answer to a request that has run.
+// send writes the response to a request that has run.
 func (s *Server) send(p *peer, c *Call, r *Reply) bool {
 	if r.RawBack != nil {
 		return s.write(p, r.RawBack)
@@ -166,7 +167,7 @@
 		return s.write(p, append(b, b...))
 	case ExtraLate:
 		ok := s.write(p, b)
-		p.owed = b
+		p.pendingBytes = b
 		return ok
 	}
 	return s.write(p, b)
