--- a/examples/toyfleet/main.go
+++ b/examples/toyfleet/main.go
@@ -1,7 +1,7 @@
-// Command toyfleet is a toy discovery service and four toy searchers on loopback, to try a mixer with.
+// Command toyfleet runs a toy discovery service and four toy searchers on loopback, for trying out a mixer.
 //
-// It stands in for what the platform provides. One of its searchers, toy-3, can be made to say nothing with
-// -mute, or to answer a third of its parts with noise with -noise. With -second discovery is on port 8501 as well.
+// It replaces the services that the platform provides. With -mute the searcher toy-3 answers none of its parts; with
+// -noise it answers a third of them with invalid bytes. With -second discovery also listens on port 8501.
 package main
 
 import (
@@ -19,8 +19,8 @@
 
 func main() {
 	mute := flag.Bool("mute", false, "toy-3 takes parts and answers none")
-	noise := flag.Bool("noise", false, "toy-3 answers a third of its parts with noise")
-	second := flag.Bool("second", false, "discovery is on port 8501 as well, to move a mixer there with SIGHUP")
+	noise := flag.Bool("noise", false, "toy-3 answers a third of its parts with invalid bytes")
+	second := flag.Bool("second", false, "discovery also listens on port 8501, so that a mixer can be moved there with SIGHUP")
 	flag.Parse()
 	if err := run(*mute, *noise, *second); err != nil {
 		fmt.Fprintln(os.Stderr, "toyfleet:", err)
@@ -31,18 +31,18 @@
 func run(mute, noise, second bool) error {
 	var hosts []standin.Host
 	for i := range 4 {
-		s, err := standin.NewSearcher(fmt.Sprintf("127.0.0.1:%d", 3101+i), func(proto.Call) standin.Reply {
-			r := standin.Reply{Status: 200, Delay: time.Duration(5+rand.IntN(20)) * time.Millisecond, Silent: mute && i == 3}
+		searcher, err := standin.NewSearcher(fmt.Sprintf("127.0.0.1:%d", 3101+i), func(proto.Call) standin.Reply {
+			reply := standin.Reply{Status: 200, Delay: time.Duration(5+rand.IntN(20)) * time.Millisecond, Silent: mute && i == 3}
 			if noise && i == 3 && rand.IntN(3) == 0 {
-				r.Garbage = []byte("\x40\x00\x00\x00 not an answer")
+				reply.Garbage = []byte("\x40\x00\x00\x00 not an answer")
 			}
-			return r
+			return reply
 		}, nil)
 		if err != nil {
 			return err
 		}
-		defer s.Close()
-		hosts = append(hosts, standin.Host{Host: fmt.Sprintf("toy-%d", i), Dial: s.Addr(), Site: "here", Class: "toy",
+		defer searcher.Close()
+		hosts = append(hosts, standin.Host{Host: fmt.Sprintf("toy-%d", i), Dial: searcher.Addr(), Site: "here", Class: "toy",
 			Block: i, Health: "up", Share: 1})
 	}
 	addrs := []string{"127.0.0.1:8500", "127.0.0.1:8501"}
@@ -50,11 +50,11 @@
 		addrs = addrs[:1]
 	}
 	for _, addr := range addrs {
-		d, err := standin.NewDiscovery(addr, hosts)
+		discovery, err := standin.NewDiscovery(addr, hosts)
 		if err != nil {
 			return err
 		}
-		defer d.Close()
+		defer discovery.Close()
 	}
 	fmt.Println("discovery on", addrs, "and searchers on 127.0.0.1:3101 to 3104; stop with Ctrl-C")
 	stop := make(chan os.Signal, 1)
--- a/internal/standin/localsystem/clients.go
+++ b/internal/standin/localsystem/clients.go
@@ -19,44 +19,45 @@
 )
 
 const (
-	patience = 4 * time.Second // of a client, over all its tries
-	triesOf  = 6
+	requestTimeout = 4 * time.Second // of a client, over all attempts
+	maxAttempts    = 6
 )
 
-// Kind is what became of the requests of one kind.
+// Kind counts the outcomes of the requests of one kind.
 type Kind struct {
 	Name                          string
-	Sent, Right, Partial, Missing int // Missing counts parts
+	Sent, Right, Partial, Missing int // Missing counts missing parts, Partial responses that lack any
 	Tries                         int
-	Took                          *hdrhistogram.Histogram // microseconds, of right answers
+	Took                          *hdrhistogram.Histogram // latency of correct responses in microseconds
 }
 
-// Load sends requests of both kinds, and knows a right answer when it sees one.
+// Load is a load generator that sends fan-out and single requests and checks the responses.
 type Load struct {
 	system *System
 	http   *http.Client
 
 	mu    sync.Mutex
 	kinds [2]Kind
-	fault error // the first request that got no right answer
+	err   error // error of the first request without a correct response
 }
 
-// NewLoad makes clients of a system.
+// NewLoad returns a load generator for a system.
 func NewLoad(s *System) *Load {
 	l := &Load{system: s, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	for i, name := range []string{"fan", "single"} {
-		l.kinds[i] = Kind{Name: name, Took: hdrhistogram.New(1, patience.Microseconds()*2, 3)}
+		l.kinds[i] = Kind{Name: name, Took: hdrhistogram.New(1, requestTimeout.Microseconds()*2, 3)}
 	}
 	return l
 }
 
-// Run sends so many requests a second till ctx ends, and waits for those under way.
+// Run sends the given number of requests per second until ctx ends, and waits for those in flight.
 func (l *Load) Run(ctx context.Context, rate int) {
 	defer l.http.CloseIdleConnections()
 	Send(ctx, rate, l.one)
 }
 
-// Send calls one so many times a second, each in a goroutine of its own, till ctx ends, and waits for those under way.
+// Send calls one at the given rate per second, each time in a new goroutine, until ctx ends, and waits for the calls in
+// flight.
 func Send(ctx context.Context, rate int, one func(n int)) {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -68,7 +69,7 @@
 	})
 }
 
-// Kinds tells what was seen so far; err is of the first request that got no right answer.
+// Kinds returns the outcomes so far; err is that of the first request without a correct response.
 func (l *Load) Kinds() (kinds []Kind, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,72 +77,74 @@
 		k.Took = hdrhistogram.Import(k.Took.Export())
 		kinds = append(kinds, k)
 	}
-	return kinds, l.fault
+	return kinds, l.err
 }
 
-// one sends a request, again where the protocol lets a client, until it has a right answer or no time.
+// one sends a request, with retries where the protocol allows them, until it gets a correct response or the time or the
+// attempts run out.
 func (l *Load) one(n int) {
 	k := &l.kinds[n%2]
-	began := time.Now()
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	start := time.Now()
+	ctx, stop := context.WithTimeout(context.Background(), requestTimeout)
 	defer stop()
-	l.count(func() { k.Sent++ })
+	l.update(func() { k.Sent++ })
 	var err error
-	for try := range triesOf {
-		l.count(func() { k.Tries++ })
+	for number := range maxAttempts {
+		l.update(func() { k.Tries++ })
 		var missing int
-		var again bool
-		var pause time.Duration
-		missing, again, pause, err = l.try(ctx, k.Name, n, try)
+		var mayRetry bool
+		var delay time.Duration
+		missing, mayRetry, delay, err = l.attempt(ctx, k.Name, n, number)
 		if err == nil {
-			l.count(func() {
+			l.update(func() {
 				k.Right++
 				k.Missing += missing
 				if missing > 0 {
 					k.Partial++
 				}
-				k.Took.RecordValue(time.Since(began).Microseconds())
+				k.Took.RecordValue(time.Since(start).Microseconds())
 			})
 			return
 		}
-		if !again {
+		if !mayRetry {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
-	l.count(func() {
-		if l.fault == nil {
-			l.fault = errors.Wrapf(err, "%s request %d", k.Name, n)
+	l.update(func() {
+		if l.err == nil {
+			l.err = errors.Wrapf(err, "%s request %d", k.Name, n)
 		}
 	})
 }
 
-func (l *Load) count(f func()) {
+func (l *Load) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-// try makes one try, with an id of its own; again tells whether another is allowed.
-func (l *Load) try(ctx context.Context, kind string, n, try int) (missing int, again bool, pause time.Duration, err error) {
-	id := fmt.Sprintf("%s-%d-%d", kind, n, try)
+// attempt makes one attempt with its own ID; mayRetry reports whether another is allowed.
+func (l *Load) attempt(ctx context.Context, kind string, n, number int) (missing int, mayRetry bool, delay time.Duration,
+	err error) {
+	id := fmt.Sprintf("%s-%d-%d", kind, n, number)
 	path := fmt.Sprintf("/%s/%d", kind, n%50)
 	method, idempotent := http.MethodGet, true
 	if kind == single {
 		method, idempotent = http.MethodPost, false
 	}
-	to := l.system.Fronts[(n/2+try)%len(l.system.Fronts)]
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+to+path, nil)
+	front := l.system.Fronts[(n/2+number)%len(l.system.Fronts)]
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+front+path, nil)
 	if err != nil {
 		return 0, false, 0, err
 	}
-	until, _ := ctx.Deadline()
+	deadline, _ := ctx.Deadline()
 	req.Host = host
 	req.Header.Set("Attempt-Id", id)
-	req.Header.Set("Deadline-Ms", strconv.FormatInt(time.Until(until).Milliseconds(), 10))
+	req.Header.Set("Deadline-Ms", strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	res, err := l.http.Do(req)
 	if err != nil {
 		return 0, idempotent, 0, err
@@ -152,9 +155,10 @@
 	case err != nil:
 		return 0, idempotent, 0, err
 	case res.StatusCode/100 != 2:
-		promise := slices.Contains([]int{408, 421, 429, 503}, res.StatusCode)
+		notExecuted := slices.Contains([]int{408, 421, 429, 503}, res.StatusCode)
 		wait, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
-		return 0, promise || idempotent, time.Duration(wait * float64(time.Second)), errors.Errorf("front %s: status %d", to, res.StatusCode)
+		return 0, notExecuted || idempotent, time.Duration(wait * float64(time.Second)),
+			errors.Errorf("front %s: status %d", front, res.StatusCode)
 	case kind == single:
 		return 0, false, 0, RightSingle(l.system.ids(single), id, path, res.Header, body)
 	}
@@ -162,7 +166,7 @@
 	return missing, false, 0, err
 }
 
-// ids are the searchers of a service.
+// ids returns the IDs of the searchers of a service.
 func (s *System) ids(service string) (ids []string) {
 	for _, x := range s.Searchers() {
 		if x.service == service {
@@ -172,20 +176,20 @@
 	return ids
 }
 
-// RightSingle says what is wrong with an answer that one searcher should have given.
+// RightSingle checks a response that should be from one of the given searchers.
 func RightSingle(ids []string, attempt, path string, h http.Header, body []byte) error {
 	for _, id := range ids {
 		if h.Get("Answer-Seal") == faulty.Seal(id, attempt) {
 			if string(body) != string(faulty.Records(id, path, 4)) {
-				return errors.Errorf("searcher %s: not its bytes", id)
+				return errors.Errorf("searcher %s: body differs from its records", id)
 			}
 			return nil
 		}
 	}
-	return errors.Errorf("seal %q is of no searcher", h.Get("Answer-Seal"))
+	return errors.Errorf("seal %q belongs to none of the searchers", h.Get("Answer-Seal"))
 }
 
-// RightFan says what is wrong with an answer gathered from some services, and how many parts it lacks.
+// RightFan checks a response gathered from the given services and returns the number of missing parts.
 func (s *System) RightFan(services []string, attempt, path string, h http.Header, body []byte) (missing int, err error) {
 	missing, _ = strconv.Atoi(h.Get("Missing-Parts"))
 	seals := map[string]bool{}
@@ -194,13 +198,13 @@
 		seals[strings.TrimSpace(seal)] = true
 	}
 	var records []string
-	in := 0
+	valid := 0
 	for _, service := range services {
 		for _, id := range s.ids(service) {
 			if !seals[faulty.Seal(id, attempt)] {
 				continue
 			}
-			in++
+			valid++
 			for all := faulty.Records(id, path, 4); len(all) >= 16; all = all[16:] {
 				records = append(records, string(all[:16]))
 			}
@@ -210,15 +214,16 @@
 	slices.Reverse(records)
 	want := strings.Join(records[:min(topK, len(records))], "")
 	switch {
-	case in == 0, len(parts) != in, in+missing != len(services):
-		return missing, errors.Errorf("%d seals, %d of them right, %d parts said to be missing, of %d", len(parts), in, missing, len(services))
+	case valid == 0, len(parts) != valid, valid+missing != len(services):
+		return missing, errors.Errorf("%d seals, %d of them valid, %d parts reported missing, of %d parts",
+			len(parts), valid, missing, len(services))
 	case string(body) != want:
-		return missing, errors.Errorf("not the greatest %d records of its %d parts", topK, in)
+		return missing, errors.Errorf("body is not the greatest %d records of its %d parts", topK, valid)
 	}
 	return missing, nil
 }
 
-// shardNames are the services of the first configuration's gathered route.
+// shardNames returns the services of the fan-out route.
 func shardNames() (names []string) {
 	for i := range shards {
 		names = append(names, shard(i))
@@ -226,7 +231,7 @@
 	return names
 }
 
-// Twice names the requests that must not run twice and did.
+// Twice describes the non-idempotent requests that ran more than once.
 func (s *System) Twice() []string {
 	return s.Ledger.Twice(func(id string) bool { return !strings.HasPrefix(id, single) })
 }
--- a/internal/standin/localsystem/clients_test.go
+++ b/internal/standin/localsystem/clients_test.go
@@ -11,7 +11,8 @@
 	"peathollow/internal/standin/faulty"
 )
 
-// A check that lets wrong answers through would make every trial a success: each way of being wrong is planted here.
+// TestWrongAnswersAreSeen guards against response checks that accept wrong responses, with which every run would pass. It
+// injects each kind of wrong response.
 func TestWrongAnswersAreSeen(t *testing.T) {
 	s := &System{}
 	for _, service := range []string{shard(0), shard(1), shard(2), single} {
@@ -40,8 +41,8 @@
 	missing, err := s.RightFan(shardNames(), id, path, h, body)
 	must.NoError(t, err)
 	must.Eq(t, 0, missing)
-	two, fewer := parts(1, 3)
-	missing, err = s.RightFan(shardNames(), id, path, two, fewer)
+	partialHeader, partialBody := parts(1, 3)
+	missing, err = s.RightFan(shardNames(), id, path, partialHeader, partialBody)
 	must.NoError(t, err)
 	must.Eq(t, 1, missing)
 
@@ -51,7 +52,7 @@
 		return h
 	}
 	seals := h.Get("Part-Seals")
-	for what, wrong := range map[string]struct {
+	for name, response := range map[string]struct {
 		h    http.Header
 		body []byte
 	}{
@@ -60,18 +61,18 @@
 		"nothing":            {http.Header{}, nil},
 		"a seal twice":       {with(h, "Part-Seals", seals+", "+seals[:strings.Index(seals, ",")]), body},
 		"another's seal":     {with(h, "Part-Seals", strings.Replace(seals, id, "fan-2-0", 1)), body},
-		"a part unsaid":      {with(two, "Missing-Parts", "0"), fewer},
-		"parts of too many":  {with(two, "Part-Seals", seals), fewer},
+		"a part unsaid":      {with(partialHeader, "Missing-Parts", "0"), partialBody},
+		"parts of too many":  {with(partialHeader, "Part-Seals", seals), partialBody},
 		"a part not counted": {with(h, "Missing-Parts", "1"), body},
 	} {
-		_, err := s.RightFan(shardNames(), id, path, wrong.h, wrong.body)
-		must.Error(t, err, must.Sprint(what))
+		_, err := s.RightFan(shardNames(), id, path, response.h, response.body)
+		must.Error(t, err, must.Sprint(name))
 	}
 
-	one := s.ids(single)[1]
-	seal := http.Header{"Answer-Seal": {faulty.Seal(one, id)}}
-	must.NoError(t, RightSingle(s.ids(single), id, path, seal, faulty.Records(one, path, 4)))
-	must.Error(t, RightSingle(s.ids(single), id, path, seal, faulty.Records(one, "/other", 4)))
-	must.Error(t, RightSingle(s.ids(single), "other", path, seal, faulty.Records(one, path, 4)))
-	must.Error(t, RightSingle(s.ids(shard(0)), id, path, seal, faulty.Records(one, path, 4)))
+	searcher := s.ids(single)[1]
+	seal := http.Header{"Answer-Seal": {faulty.Seal(searcher, id)}}
+	must.NoError(t, RightSingle(s.ids(single), id, path, seal, faulty.Records(searcher, path, 4)))
+	must.Error(t, RightSingle(s.ids(single), id, path, seal, faulty.Records(searcher, "/other", 4)))
+	must.Error(t, RightSingle(s.ids(single), "other", path, seal, faulty.Records(searcher, path, 4)))
+	must.Error(t, RightSingle(s.ids(shard(0)), id, path, seal, faulty.Records(searcher, path, 4)))
 }
--- a/internal/standin/localsystem/config.go
+++ b/internal/standin/localsystem/config.go
@@ -4,20 +4,21 @@
 	"encoding/json"
 )
 
-// Config is the operator's configuration: a fan-out and a single service; from version 2 on also a route /later/.
+// Config returns a configuration with a fan-out route and a single-service route. From version 2 on it also has the
+// route /later/.
 func Config(version int) []byte {
-	route := func(name string, more map[string]any) map[string]any {
+	route := func(name string, fields map[string]any) map[string]any {
 		r := map[string]any{"name": name, "host": host, "path-prefix": "/" + name + "/", "mode": "idempotent", "horizon-ms": 2000,
 			"setpoint-ms": 200, "rank": 1, "retries": 2}
-		for k, v := range more {
+		for k, v := range fields {
 			r[k] = v
 		}
 		return r
 	}
 	names := shardNames()
-	plants := []map[string]any{{"name": single, "probe-path": "/health", "conn-limit": 100}}
+	services := []map[string]any{{"name": single, "probe-path": "/health", "conn-limit": 100}}
 	for _, name := range names {
-		plants = append(plants, map[string]any{"name": name, "probe-path": "/health", "conn-limit": 100})
+		services = append(services, map[string]any{"name": name, "probe-path": "/health", "conn-limit": 100})
 	}
 	routes := []map[string]any{
 		route("fan", map[string]any{"fan-out": names, "top-k": topK, "min-coverage": 0.6}),
@@ -26,9 +27,9 @@
 	if version > 1 {
 		routes = append(routes, route("later", map[string]any{"plant": single}))
 	}
-	b, err := json.MarshalIndent(map[string]any{"config-version": version, "routes": routes, "plants": plants}, "", "  ")
+	encoded, err := json.MarshalIndent(map[string]any{"config-version": version, "routes": routes, "plants": services}, "", "  ")
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // cannot happen: all values can be encoded
 	}
-	return b
+	return encoded
 }
--- a/internal/standin/localsystem/doc.go
+++ b/internal/standin/localsystem/doc.go
@@ -1,7 +1,7 @@
-// Package localsystem is a small whole system on loopback: three controllers and two fronts as real processes, stand-in
-// searchers that report to them, an operator's first configuration, and clients that know a right answer from a wrong
-// one. `peathollow try system` shows it to a newcomer; tests that need the whole start it.
+// Package localsystem runs a small complete system on loopback: three controllers and two fronts as real processes,
+// stand-in searchers that report to them, a first configuration, and clients that check the responses they receive.
+// `peathollow try system` runs it as a demonstration; tests that need a complete system start it too.
 //
-// It decides nothing of the system's and is never imported by what serves. No figure that comes from it is a
-// measurement of the system: everything shares one machine.
+// The package contains no logic of the system itself and must not be imported by serving code. Its figures are not
+// performance measurements, since all processes share one machine.
 package localsystem
--- a/internal/standin/localsystem/operate.go
+++ b/internal/standin/localsystem/operate.go
@@ -9,20 +9,20 @@
 	"github.com/go-faster/errors"
 )
 
-// Change puts a version and waits till each front routes by it.
+// Change submits a configuration version and waits until every front routes by it.
 func (s *System) Change(ctx context.Context, version int) error {
-	held, err := s.client.Put(ctx, Config(version))
+	accepted, err := s.client.Put(ctx, Config(version))
 	if err != nil {
 		return errors.Wrapf(err, "version %d", version)
 	}
-	if held > uint64(version) {
-		return errors.Errorf("version %d: somebody else has put version %d", version, held)
+	if accepted > uint64(version) {
+		return errors.Errorf("version %d: version %d has been submitted by another client", version, accepted)
 	}
-	for i, at := range s.Fronts {
-		n := 0
-		err := s.until(ctx, fmt.Sprintf("front %d routes by version %d", i, version), func() bool {
-			n++
-			return status(ctx, "http://"+at+"/later/", fmt.Sprintf("probe-%d-%d", i, n)) == http.StatusOK
+	for i, front := range s.Fronts {
+		probe := 0
+		err := s.waitFor(ctx, fmt.Sprintf("front %d routes by version %d", i, version), func() bool {
+			probe++
+			return status(ctx, "http://"+front+"/later/", fmt.Sprintf("probe-%d-%d", i, probe)) == http.StatusOK
 		})
 		if err != nil {
 			return err
@@ -31,21 +31,21 @@
 	return nil
 }
 
-// KillPrimary kills the controller that leads.
+// KillPrimary kills the primary controller and returns its name.
 func (s *System) KillPrimary(ctx context.Context) (string, error) {
 	st, err := s.client.Status(ctx)
 	if err != nil {
 		return "", errors.Wrap(err, "who leads")
 	}
-	leads, _, err := net.SplitHostPort(st.Primary)
+	primary, _, err := net.SplitHostPort(st.Primary)
 	if err != nil {
 		return "", errors.Wrap(err, "who leads")
 	}
 	for i := range s.options.Controllers {
-		if controllerIP(i) == leads {
+		if controllerIP(i) == primary {
 			s.Processes[i].Kill()
 			return s.Processes[i].Name, nil
 		}
 	}
-	return "", errors.Errorf("no controller has the address %s", leads)
+	return "", errors.Errorf("no controller has the address %s", primary)
 }
--- a/internal/standin/localsystem/ports.go
+++ b/internal/standin/localsystem/ports.go
@@ -9,40 +9,41 @@
 	"github.com/go-faster/errors"
 )
 
-// Each machine has a loopback address of its own, so that all can have the same ports. But an agent serves its proxy at
-// 127.0.0.1, as on real machines; so each front has a range of ports of its own, and finds the controllers of its seeds,
-// which it takes for machines with its own ports, through a relay.
+// Each machine has its own loopback address, so that all machines can use the same ports. An agent, however, serves its
+// proxy at 127.0.0.1, as on real machines. Each front therefore has its own range of internal ports. It expects the
+// controllers in its seeds to use that same range, so a relay forwards these ports to the real ones of the controllers.
 
 const (
-	rangeLength   = 8 // of a front's ports between the system's processes, and of those that all machines have alike
-	portNews      = 1 // of a controller, within its range
-	rangeReserved = 7 // of each range; held for as long as the system is there
+	rangeLength      = 8 // of a front's internal ports, and of the ports that are the same on all machines
+	portDistribution = 1 // distribution port of a controller, within its range
+	rangeReserved    = 7 // of each range; held open for the lifetime of the system
 
-	// Those that all machines have alike, behind the fronts' ranges.
+	// Ports that are the same on all machines, in the range after those of the fronts.
 	portControl           = 0
 	portFront             = 1
 	portReady             = 2
 	portProxyMetrics      = 3
 	portAgentMetrics      = 4
 	portControllerMetrics = 5
-	portOthers            = 6 // for what the caller of Launch adds
+	portOthers            = 6 // for listeners that the caller of Launch adds
 
-	portsFirst = 12000
-	portsEnd   = 32768 // from there on the kernel gives out ports by itself
+	minPort = 12000
+	endPort = 32768 // start of the kernel's range of ephemeral ports
 )
 
 func controllerIP(i int) string { return fmt.Sprintf("127.0.0.%d", 2+i) }
 
-func frontIP(i int) string { return fmt.Sprintf("127.0.0.%d", 2+controllersMost+i) }
+func frontIP(i int) string { return fmt.Sprintf("127.0.0.%d", 2+maxControllers+i) }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
+func joinAddress(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
 
-// reserveBase finds a port from which on all are free that a system with so many fronts needs. Each range of them is the caller's until it
-// closes the reservations: ports of processes that are down for a moment look free, and another system would take them.
+// reserveBase finds the first of a block of free ports that is large enough for a system with the given number of fronts.
+// The caller holds a listener in each range of the block until it closes the reservations. Without them, another system could
+// take the ports of processes that are down for a moment.
 func reserveBase(fronts int) (base int, reservations []net.Listener, err error) {
 	ranges := fronts + 1
 	for range 50 {
-		base := portsFirst + rangeLength*rand.IntN((portsEnd-portsFirst)/rangeLength-ranges)
+		base := minPort + rangeLength*rand.IntN((endPort-minPort)/rangeLength-ranges)
 		if reservations = reserve(base, ranges); reservations == nil {
 			continue
 		}
@@ -54,10 +55,10 @@
 	return 0, nil, errors.New("no free ports on loopback")
 }
 
-// reserve holds one port of each range; nil if somebody else has one.
+// reserve listens on one port of each range. It returns nil if one of these ports is taken.
 func reserve(base, ranges int) (held []net.Listener) {
 	for i := range ranges {
-		ln, err := net.Listen("tcp", at("127.0.0.1", base+i*rangeLength+rangeReserved))
+		ln, err := net.Listen("tcp", joinAddress("127.0.0.1", base+i*rangeLength+rangeReserved))
 		if err != nil {
 			closeAll(held)
 			return nil
@@ -73,13 +74,14 @@
 	}
 }
 
+// free reports whether all ports of the ranges but the reserved ones are free on all loopback addresses of the machines.
 func free(base, ranges int) bool {
-	for i := range 1 + controllersMost + ranges {
+	for i := range 1 + maxControllers + ranges {
 		for p := range ranges * rangeLength {
 			if p%rangeLength == rangeReserved {
 				continue
 			}
-			ln, err := net.Listen("tcp", at(fmt.Sprintf("127.0.0.%d", 1+i), base+p))
+			ln, err := net.Listen("tcp", joinAddress(fmt.Sprintf("127.0.0.%d", 1+i), base+p))
 			if err != nil {
 				return false
 			}
@@ -89,7 +91,7 @@
 	return true
 }
 
-// relay passes connections on till the listener is closed.
+// relay forwards connections to an address until the listener is closed.
 func relay(ln net.Listener, to string) {
 	for {
 		in, err := ln.Accept()
--- a/internal/standin/localsystem/process.go
+++ b/internal/standin/localsystem/process.go
@@ -12,26 +12,26 @@
 	"github.com/go-faster/errors"
 )
 
-// Process is one child: a role of the system with a settings file of its own. It may end and be started again.
+// Process is a child process that runs one role of the system with its own settings file. It can be restarted.
 type Process struct {
-	Name    string // of the machine and, on a front, the role
+	Name    string // name of the machine, followed by the role on a front
 	Machine string
 	Role    string
-	Metrics string // where it tells its figures
-	Log     string // path of its log, of all its lives
-	Conf    string // path of its settings
+	Metrics string // URL of its metrics
+	Log     string // path of the log file, shared by all incarnations
+	Conf    string // path of the settings file
 
 	program, env []string
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
-	err   error // after ended
-	asked bool  // its end was asked for
-	lives int
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	ended        chan struct{}
+	err          error // result of the process, valid once ended is closed
+	endRequested bool  // SIGTERM or SIGKILL was sent
+	incarnations int
 }
 
-// Start starts a life of the process.
+// Start starts a new incarnation of the process.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,14 +43,15 @@
 	cmd := exec.Command(p.program[0], p.program[1:]...)
 	cmd.Env = append(append(os.Environ(), p.env...), "PEATHOLLOW_SETTINGS="+p.Conf)
 	cmd.Stdout, cmd.Stderr = log, log
-	// A group of its own, so that Ctrl-C ends the parent first, which ends the children in order; none outlives it.
+	// In its own process group, so that Ctrl-C reaches only the parent, which then stops the children in order. Pdeathsig
+	// ensures that no child outlives the parent.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, p.Name)
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.asked = cmd, ended, false
-	p.lives++
+	p.cmd, p.ended, p.endRequested = cmd, ended, false
+	p.incarnations++
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
@@ -61,48 +62,50 @@
 	return nil
 }
 
-// Signal sends a signal to the present life. One that asks for its end makes that end an expected one.
+// Signal sends a signal to the running incarnation. After SIGTERM or SIGKILL, its end counts as expected.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return // it never started
+		return // never started
 	}
 	select {
 	case <-p.ended:
-		return // by itself, or as it was asked before
+		return // already ended
 	default:
 	}
-	p.asked = p.asked || s == syscall.SIGKILL || s == syscall.SIGTERM
+	p.endRequested = p.endRequested || s == syscall.SIGKILL || s == syscall.SIGTERM
 	p.cmd.Process.Signal(s)
 }
 
-// Ended is closed once the present life is over, and while there has been none.
+// Ended returns a channel that is closed once the current incarnation has ended. It is closed already if the process was
+// never started.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		never := make(chan struct{})
-		close(never)
-		return never
+		closed := make(chan struct{})
+		close(closed)
+		return closed
 	}
 	return p.ended
 }
 
-// Lives tells how many lives the process has had.
+// Lives returns the number of incarnations of the process so far.
 func (p *Process) Lives() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lives
+	return p.incarnations
 }
 
-// Kill ends the present life at once.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.Ended()
 }
 
-// Fault tells how the present life ended if that was not as asked: by itself, or after SIGTERM with an error.
+// Fault returns an error if the current incarnation ended unexpectedly: without being signalled, or with an error after
+// SIGTERM.
 func (p *Process) Fault() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,44 +119,45 @@
 	}
 	killed := p.cmd.ProcessState != nil && !p.cmd.ProcessState.Exited()
 	switch {
-	case !p.asked:
-		return errors.Errorf("%s ended by itself: %v; its log ends with:\n%s", p.Name, p.err, p.tail(5))
+	case !p.endRequested:
+		return errors.Errorf("%s ended unexpectedly: %v; its log ends with:\n%s", p.Name, p.err, p.tail(5))
 	case p.err != nil && !killed:
 		return errors.Errorf("%s ended with %v; its log ends with:\n%s", p.Name, p.err, p.tail(5))
 	}
 	return nil
 }
 
-// end stops all of them: SIGTERM, and SIGKILL after the time given. Its error tells of those that ended otherwise.
-func end(all []*Process, within time.Duration) error {
-	var bad error
-	for _, p := range all {
+// stopAll sends SIGTERM to all processes, and SIGKILL to all once the timeout has passed. Its error describes processes that
+// ended in any other way.
+func stopAll(processes []*Process, timeout time.Duration) error {
+	var result error
+	for _, p := range processes {
 		if err := p.Fault(); err != nil {
-			bad = errors.Join(bad, err)
+			result = errors.Join(result, err)
 		}
 		p.Signal(syscall.SIGTERM)
 	}
-	late := time.After(within)
-	for _, p := range all {
+	deadline := time.After(timeout)
+	for _, p := range processes {
 		select {
 		case <-p.Ended():
-			if err := p.Fault(); err != nil && bad == nil {
-				bad = err
+			if err := p.Fault(); err != nil && result == nil {
+				result = err
 			}
-		case <-late:
-			bad = errors.Join(bad, errors.Errorf("%s did not end within %v of SIGTERM", p.Name, within))
-			for _, p := range all {
+		case <-deadline:
+			result = errors.Join(result, errors.Errorf("%s did not end within %v of SIGTERM", p.Name, timeout))
+			for _, p := range processes {
 				p.Kill()
 			}
-			return bad
+			return result
 		}
 	}
-	return bad
+	return result
 }
 
-// tail is the end of its log.
+// tail returns the last lines of the log.
 func (p *Process) tail(lines int) string {
 	b, _ := os.ReadFile(p.Log)
-	all := strings.Split(string(bytes.TrimSpace(b)), "\n")
-	return strings.Join(all[max(0, len(all)-lines):], "\n")
+	text := strings.Split(string(bytes.TrimSpace(b)), "\n")
+	return strings.Join(text[max(0, len(text)-lines):], "\n")
 }
--- a/internal/standin/localsystem/searcher.go
+++ b/internal/standin/localsystem/searcher.go
@@ -15,7 +15,8 @@
 	"peathollow/internal/standin/faulty"
 )
 
-// Searcher is a stand-in searcher that reports to the system, as the protocol says. It does without beat-target.
+// Searcher is a stand-in searcher that sends heartbeats to the controllers as the protocol requires. It does not use
+// beat-target.
 type Searcher struct {
 	*faulty.Server
 	service, zone string
@@ -23,22 +24,22 @@
 	client        *client.Client
 	stop          context.CancelFunc
 	ended         chan struct{}
-	frozen        atomic.Bool
+	paused        atomic.Bool
 
-	mu    sync.Mutex // held for a call, so that they arrive in the order of their numbers
+	mu    sync.Mutex // held during a call, so that calls arrive in the order of their numbers
 	calls int
 	state string
 }
 
-// SearcherOptions says what to start.
+// SearcherOptions configures a Searcher.
 type SearcherOptions struct {
 	Service, Zone string
 	Control       []string
-	Period        time.Duration // between two beats
+	Period        time.Duration // between two heartbeats
 	Server        faulty.Options
 }
 
-// NewSearcher starts a searcher that reports until Close or Mute.
+// NewSearcher starts a searcher that sends heartbeats until Delete, Mute or Close.
 func NewSearcher(o SearcherOptions) (*Searcher, error) {
 	server, err := faulty.Start(o.Server)
 	if err != nil {
@@ -49,24 +50,25 @@
 		stop: stop, ended: make(chan struct{}), state: "ready"}
 	go func() {
 		defer close(s.ended)
-		t := time.NewTicker(o.Period)
-		defer t.Stop()
+		ticker := time.NewTicker(o.Period)
+		defer ticker.Stop()
 		for {
-			if !s.frozen.Load() {
-				in, done := context.WithTimeout(ctx, max(2*time.Second, o.Period))
-				s.report(in) // what fails now is made good by the next
-				done()
+			if !s.paused.Load() {
+				callCtx, cancel := context.WithTimeout(ctx, max(2*time.Second, o.Period))
+				s.report(callCtx) // the next heartbeat makes up for a failed one
+				cancel()
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-t.C:
+			case <-ticker.C:
 			}
 		}
 	}()
 	return s, nil
 }
 
+// report sends one heartbeat.
 func (s *Searcher) report(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +82,7 @@
 	return err
 }
 
-// Drain tells that the searcher is leaving, until that is acknowledged; it serves on.
+// Drain reports that the searcher is draining and waits for the acknowledgement. The searcher still serves requests.
 func (s *Searcher) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.state = "draining"
@@ -88,52 +90,54 @@
 	return s.report(ctx)
 }
 
-// Delete tells that it has ended, until that is acknowledged, and reports no more; it serves on.
+// Delete stops the heartbeats, removes the searcher from the system and waits for the acknowledgement. The searcher still
+// serves requests.
 func (s *Searcher) Delete(ctx context.Context) error {
-	s.hush()
+	s.stopReports()
 	_, _, err := s.client.Call(ctx, http.MethodDelete, "/searchers/"+s.ID(), nil)
 	return err
 }
 
-// Service is the service that it belongs to.
+// Service returns the service that the searcher belongs to.
 func (s *Searcher) Service() string { return s.service }
 
-// Stand makes a searcher of a service that reports nothing, for tests of those who judge.
+// Stand returns a searcher of a service that sends no heartbeats, for tests of response checks.
 func Stand(server *faulty.Server, service string) *Searcher {
 	return &Searcher{Server: server, service: service}
 }
 
-// Freeze has it stand still, like a process that was stopped, reports and all.
+// Freeze pauses the searcher, including its heartbeats, like a process stopped by SIGSTOP.
 func (s *Searcher) Freeze() {
-	s.frozen.Store(true)
+	s.paused.Store(true)
 	s.Server.Freeze()
 }
 
-// Thaw lets it go on.
+// Thaw resumes a paused searcher.
 func (s *Searcher) Thaw() {
-	s.frozen.Store(false)
+	s.paused.Store(false)
 	s.Server.Thaw()
 }
 
-// Mute has it fall silent: it takes requests, answers none, and reports no more.
+// Mute makes the searcher unresponsive: it accepts requests, answers none, and stops its heartbeats.
 func (s *Searcher) Mute() {
-	s.hush()
+	s.stopReports()
 	s.SetScript(func(faulty.Call) faulty.Reply { return faulty.Reply{Way: faulty.Hang} })
 }
 
-func (s *Searcher) hush() {
+// stopReports stops the heartbeats and waits until the last one has ended.
+func (s *Searcher) stopReports() {
 	s.stop()
 	<-s.ended
 }
 
-// Close ends it like a crash.
+// Close stops the searcher as a crash would.
 func (s *Searcher) Close() {
-	s.hush()
+	s.stopReports()
 	s.client.Close()
 	s.Server.Close()
 }
 
-// busy works for a few milliseconds on each request.
+// busy is a script with which each request runs for 1 to 10 ms.
 func busy(faulty.Call) faulty.Reply {
 	return faulty.Reply{Work: time.Duration(1+rand.IntN(10)) * time.Millisecond}
 }
--- a/internal/standin/localsystem/signals.go
+++ b/internal/standin/localsystem/signals.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Decided tells whether a process has decided what a signal does to it, by the masks that the kernel shows. Before that, from
-// its exec until its loader is through, no program has a say.
+// Decided reports whether a process ignores or catches a signal, according to the signal masks in /proc. From exec until
+// the program has set up its signal handling, the default action applies.
 func Decided(pid int, s syscall.Signal) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -28,7 +28,7 @@
 	return false
 }
 
-// Decided tells so of the present life.
+// Decided reports whether the running incarnation of the process ignores or catches a signal.
 func (p *Process) Decided(s syscall.Signal) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/localsystem/system.go
+++ b/internal/standin/localsystem/system.go
@@ -21,83 +21,83 @@
 )
 
 const (
-	controllersUsual = 3
-	frontsUsual      = 2
-	controllersMost  = 9
-	frontsMost       = 60
+	defaultControllers = 3
+	defaultFronts      = 2
+	maxControllers     = 9
+	maxFronts          = 60
 
 	shards = 3
-	copies = 2 // searchers of a service
+	copies = 2 // searchers per service
 	topK   = 10
 
 	host   = "try.example"
 	single = "single"
 
 	beatPeriod = 400 * time.Millisecond
-	// Grace is the time from SIGTERM to SIGKILL that the settings of a system tell.
+	// Grace is the time between SIGTERM and SIGKILL that the settings of a system state.
 	Grace = 2 * time.Second
 )
 
-// Options says what to run.
+// Options configures a System.
 type Options struct {
-	Program     []string // its first arguments; the role follows
-	Env         []string // for it
-	Controllers int      // 3 if 0
-	Fronts      int      // 2 if 0
-	Spares      int      // controllers that are set up and not started; they come with empty disks
-	Dir         string   // for settings, logs and disks, and kept after the end; one that is removed then if empty
-	Relay       string   // that the processes dial each other through, if not empty; see keepalive.TCP
-	Settings    string   // further lines for all settings files
+	Program     []string // command and its first arguments; the role follows
+	Env         []string // additional environment of the processes
+	Controllers int      // default 3
+	Fronts      int      // default 2
+	Spares      int      // further controllers with empty disks that are set up but not started
+	Dir         string   // directory for settings, logs and disks, kept by Stop; default: a temporary one that Stop removes
+	Relay       string   // address of the relay through which the processes dial each other; default none; see keepalive.TCP
+	Settings    string   // additional lines for all settings files
 }
 
-// System is one that runs.
+// System is a running system.
 type System struct {
-	Control   []string       // of the controllers
-	Fronts    []string       // where clients are served
-	Ready     []string       // where fronts tell that they are ready
+	Control   []string       // control addresses of the controllers
+	Fronts    []string       // addresses that serve clients
+	Ready     []string       // readiness addresses of the fronts
 	Processes []*Process     // controllers first, then each front's agent and proxy, then spare controllers
-	Ledger    *faulty.Ledger // of all searchers
+	Ledger    *faulty.Ledger // shared by all searchers
 
 	mu        sync.Mutex
 	searchers []*Searcher
 
-	options Options
-	base    int // the first of its ports
-	shared  int // the first of those that all machines have alike
-	dir     string
-	relays  []net.Listener
-	client  *client.Client
+	options    Options
+	base       int // first port of the system
+	sharedBase int // first of the ports that are the same on all machines
+	dir        string
+	relays     []net.Listener
+	client     *client.Client
 }
 
-// Start starts a system and waits till it takes clients. After an error nothing is left of it.
+// Start starts a system and waits until its fronts are ready. If it fails, it stops everything it started.
 func Start(ctx context.Context, o Options) (*System, error) {
 	s, err := Launch(o)
 	if err != nil {
 		return nil, err
 	}
 	if err := s.serve(ctx); err != nil {
-		// Why something ended is worth more than that nobody heard of it.
+		// Includes the errors of Stop: why a process ended explains more than the timeout that follows from it.
 		return nil, errors.Join(err, s.Stop())
 	}
 	return s, nil
 }
 
-// Launch starts the processes of a system, which has no searchers and no configuration then. After an error nothing is
-// left of it.
+// Launch starts the processes of a system without searchers and configuration. If it fails, it stops everything it
+// started.
 func Launch(o Options) (*System, error) {
 	if o.Controllers == 0 {
-		o.Controllers = controllersUsual
+		o.Controllers = defaultControllers
 	}
 	if o.Fronts == 0 {
-		o.Fronts = frontsUsual
+		o.Fronts = defaultFronts
 	}
-	if o.Controllers+o.Spares > controllersMost || o.Fronts > frontsMost {
-		return nil, errors.Errorf("%d controllers and %d fronts: %d and %d at most", o.Controllers+o.Spares, o.Fronts, controllersMost, frontsMost)
+	if o.Controllers+o.Spares > maxControllers || o.Fronts > maxFronts {
+		return nil, errors.Errorf("%d controllers and %d fronts: %d and %d at most", o.Controllers+o.Spares, o.Fronts, maxControllers, maxFronts)
 	}
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		s, err := launchAt(o)
-		// A port that was found free may be somebody else's by the time it is listened at.
-		if err == nil || try == 2 || !strings.Contains(err.Error(), "address already in use") {
+		// A port that was found free may be taken by another process before it is used.
+		if err == nil || attempt == 2 || !strings.Contains(err.Error(), "address already in use") {
 			return s, err
 		}
 	}
@@ -108,10 +108,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &System{dir: o.Dir, base: base, shared: base + o.Fronts*rangeLength, relays: reservations, options: o, Ledger: &faulty.Ledger{}}
+	s := &System{dir: o.Dir, base: base, sharedBase: base + o.Fronts*rangeLength, relays: reservations, options: o, Ledger: &faulty.Ledger{}}
 	if s.dir == "" {
 		if s.dir, err = os.MkdirTemp("", "peathollow-try-"); err != nil {
-			return nil, errors.Wrap(err, "folder")
+			return nil, errors.Wrap(err, "create directory")
 		}
 	}
 	if err := s.launch(); err != nil {
@@ -123,7 +123,7 @@
 // launch starts all processes.
 func (s *System) launch() error {
 	for i := range s.options.Controllers + s.options.Spares {
-		s.Control = append(s.Control, at(controllerIP(i), s.shared+portControl))
+		s.Control = append(s.Control, joinAddress(controllerIP(i), s.sharedBase+portControl))
 	}
 	for i := range s.options.Controllers {
 		if err := s.launchController(i); err != nil {
@@ -155,15 +155,16 @@
 }
 
 func (s *System) launchFront(i int) error {
-	own := s.base + i*rangeLength
+	firstPort := s.base + i*rangeLength
 	name, ip := fmt.Sprint("front-", i), frontIP(i)
 	if i > 0 && s.options.Relay == "" {
-		if err := s.relayNews(own); err != nil {
+		if err := s.relayDistribution(firstPort); err != nil {
 			return err
 		}
 	}
-	s.Fronts, s.Ready = append(s.Fronts, at(ip, s.shared+portFront)), append(s.Ready, at(ip, s.shared+portReady))
-	conf := s.settings(name, "front", ip, i, own) +
+	s.Fronts, s.Ready = append(s.Fronts, joinAddress(ip, s.sharedBase+portFront)),
+		append(s.Ready, joinAddress(ip, s.sharedBase+portReady))
+	conf := s.settings(name, "front", ip, i, firstPort) +
 		fmt.Sprintf("bind-addrs.front=%s\nbind-addrs.readiness=%s\n", s.Fronts[i], s.Ready[i])
 	if err := s.add("agent", name, name+"-agent", ip, portAgentMetrics, conf); err != nil {
 		return err
@@ -171,20 +172,21 @@
 	return s.add("proxy", name, name+"-proxy", ip, portProxyMetrics, conf)
 }
 
-// relayNews lets a front with a range of ports of its own reach the controllers.
-func (s *System) relayNews(own int) error {
+// relayDistribution forwards the distribution port in a front's own port range to each controller.
+func (s *System) relayDistribution(firstPort int) error {
 	for k := range s.options.Controllers {
-		ln, err := net.Listen("tcp", at(controllerIP(k), own+portNews))
+		ln, err := net.Listen("tcp", joinAddress(controllerIP(k), firstPort+portDistribution))
 		if err != nil {
 			return errors.Wrap(err, "relay")
 		}
 		s.relays = append(s.relays, ln)
-		go relay(ln, at(controllerIP(k), s.base+portNews))
+		go relay(ln, joinAddress(controllerIP(k), s.base+portDistribution))
 	}
 	return nil
 }
 
-// Resolve gives the address and the machine that a process means which dials through a relay; see ports.go.
+// Resolve returns the real address and the machine of a destination that a process on machine from dials through
+// Options.Relay; see ports.go.
 func (s *System) Resolve(from, address string) (to, machine string, err error) {
 	ip, text, err := net.SplitHostPort(address)
 	if err != nil {
@@ -195,11 +197,11 @@
 		return "", "", errors.Wrap(err, "resolve")
 	}
 	for i := range s.options.Controllers + s.options.Spares {
-		if ip == controllerIP(i) && port < s.shared {
+		if ip == controllerIP(i) && port < s.sharedBase {
 			port = s.base + (port-s.base)%rangeLength
 		}
 		if ip == controllerIP(i) {
-			return at(ip, port), fmt.Sprint("core-", i), nil
+			return joinAddress(ip, port), fmt.Sprint("core-", i), nil
 		}
 	}
 	for i := range s.options.Fronts {
@@ -207,30 +209,30 @@
 			return address, fmt.Sprint("front-", i), nil
 		}
 	}
-	return address, from, nil // an agent, by its own proxy
+	return address, from, nil // an agent, dialled by the proxy on the same machine
 }
 
-// Add makes a searcher one of the system's: its answers count as right from then on, and it ends with the system.
+// Add adds a searcher to the system: its responses count as correct from now on, and Stop closes it.
 func (s *System) Add(x *Searcher) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.searchers = append(s.searchers, x)
 }
 
-// Searchers gives all that were added, those that have ended among them.
+// Searchers returns all searchers that were added, including closed ones.
 func (s *System) Searchers() []*Searcher {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.searchers)
 }
 
-// Place gives an address that is the caller's for as long as the system is there.
+// Place returns the i-th address reserved for the caller during the lifetime of the system.
 func (s *System) Place(i int) string {
 	const first, perBlock = 1, 250
-	return at(fmt.Sprintf("127.0.%d.%d", first+i/perBlock, 1+i%perBlock), s.shared+portOthers)
+	return joinAddress(fmt.Sprintf("127.0.%d.%d", first+i/perBlock, 1+i%perBlock), s.sharedBase+portOthers)
 }
 
-// serve adds searchers and a configuration, and waits till all fronts are ready.
+// serve adds searchers, submits a configuration and waits until all fronts are ready.
 func (s *System) serve(ctx context.Context) error {
 	for service := range shards + 1 {
 		name := single
@@ -252,20 +254,20 @@
 	return s.AwaitReady(ctx)
 }
 
-// AwaitReady waits till all fronts say that they are ready.
+// AwaitReady waits until all fronts report that they are ready.
 func (s *System) AwaitReady(ctx context.Context) error {
 	for _, at := range s.Ready {
-		if err := s.until(ctx, at+" is ready", func() bool { return status(ctx, "http://"+at+"/ready", "") == http.StatusOK }); err != nil {
+		if err := s.waitFor(ctx, at+" is ready", func() bool { return status(ctx, "http://"+at+"/ready", "") == http.StatusOK }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// disk is the folder that stands for a controller's disk.
+// disk returns the directory that serves as a controller's disk.
 func (s *System) disk(machine string) string { return filepath.Join(s.dir, machine) }
 
-// Wipe empties the disk of a controller, which must not run.
+// Wipe empties the disk of a controller. The controller must not be running.
 func (s *System) Wipe(machine string) error {
 	if err := os.RemoveAll(s.disk(machine)); err != nil {
 		return errors.Wrap(err, machine)
@@ -276,7 +278,8 @@
 	return nil
 }
 
-// Warm tells in all settings files that the system has started before, as later starts of its processes are to read.
+// Warm sets cold-start to false in all settings files, so that processes started later know that the system has started
+// before.
 func (s *System) Warm() error {
 	for _, p := range s.Processes {
 		conf, err := os.ReadFile(p.Conf)
@@ -291,33 +294,33 @@
 	return nil
 }
 
-// add starts a process of a machine.
+// add sets up a process of a machine and starts it unless it belongs to a spare controller.
 func (s *System) add(role, machine, name, ip string, metrics int, conf string) error {
 	const path = "metrics"
-	figures := fmt.Sprintf("%d/%s", s.shared+metrics, path)
+	metricsAddress := fmt.Sprintf("%d/%s", s.sharedBase+metrics, path)
 	program := s.options.Program
 	p := &Process{Name: name, Machine: machine, Role: role, Log: filepath.Join(s.dir, name+".log"), Conf: filepath.Join(s.dir, name+".conf"),
-		Metrics: "http://" + at(ip, s.shared+metrics) + "/" + path, env: s.options.Env,
-		program: append(program[:len(program):len(program)], role, "--metrics", figures)}
+		Metrics: "http://" + joinAddress(ip, s.sharedBase+metrics) + "/" + path, env: s.options.Env,
+		program: append(program[:len(program):len(program)], role, "--metrics", metricsAddress)}
 	if err := os.WriteFile(p.Conf, []byte(conf), 0o600); err != nil {
 		return errors.Wrap(err, name)
 	}
 	s.Processes = append(s.Processes, p)
 	if len(s.Processes) > s.options.Controllers+2*s.options.Fronts {
-		return nil // a spare
+		return nil // a spare controller
 	}
 	return p.Start()
 }
 
-// zones is how many there are.
+// zones is the number of zones.
 const zones = 3
 
 func zone(i int) string { return fmt.Sprint("zone-", i%zones) }
 
 func shard(i int) string { return fmt.Sprint("shard-", i) }
 
-// seedsMost is how many controllers a settings file names.
-const seedsMost = 3
+// maxSeeds is the maximum number of controllers that a settings file names.
+const maxSeeds = 3
 
 func (s *System) settings(node, class, ip string, i, ports int) string {
 	return fmt.Sprintf(`node-name=%s
@@ -333,30 +336,30 @@
 bounds.grace-s=%g
 lab-relay=%s
 %s
-`, node, class, ip, zone(i), ports, ports+rangeLength-1, strings.Join(s.Control[:min(seedsMost, s.options.Controllers)], ","), beatPeriod.Milliseconds(),
+`, node, class, ip, zone(i), ports, ports+rangeLength-1, strings.Join(s.Control[:min(maxSeeds, s.options.Controllers)], ","), beatPeriod.Milliseconds(),
 		Grace.Seconds(), s.options.Relay, s.options.Settings)
 }
 
-// until waits for a condition, or for what makes it impossible.
-func (s *System) until(ctx context.Context, what string, is func() bool) error {
-	for !is() {
+// waitFor waits until a condition holds. It fails if a process ends unexpectedly before that.
+func (s *System) waitFor(ctx context.Context, what string, condition func() bool) error {
+	for !condition() {
 		for _, p := range s.Processes {
 			if err := p.Fault(); err != nil {
-				return errors.Wrapf(err, "till %s", what)
+				return errors.Wrapf(err, "wait until %s", what)
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "till %s", what)
+			return errors.Wrapf(ctx.Err(), "wait until %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// Stop ends everything and removes the folder.
+// Stop stops all processes and searchers and, unless Options.Dir is set, removes the directory.
 func (s *System) Stop() error {
-	err := end(s.Processes, Grace+3*time.Second)
+	err := stopAll(s.Processes, Grace+3*time.Second)
 	for _, x := range s.Searchers() {
 		x.Close()
 	}
@@ -370,15 +373,16 @@
 	return errors.Join(err, os.RemoveAll(s.dir))
 }
 
-// status asks for a page of the system's host; 0 if there is no answer.
+// status calls Status with the default client.
 func status(ctx context.Context, url, attempt string) int {
 	return Status(ctx, http.DefaultClient, url, attempt)
 }
 
-// Status does so with a client of the caller's. Without an attempt the page is none of the system's host.
-func Status(ctx context.Context, by *http.Client, url, attempt string) int {
-	const within = time.Second
-	ctx, stop := context.WithTimeout(ctx, within)
+// Status sends a GET request and returns the status of the response, or 0 if there is none. With an attempt ID the request
+// is sent to the host that the system serves; without, the host is that of the URL.
+func Status(ctx context.Context, client *http.Client, url, attempt string) int {
+	const timeout = time.Second
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -387,9 +391,9 @@
 	if attempt != "" {
 		req.Host = host
 		req.Header.Set("Attempt-Id", attempt)
-		req.Header.Set("Deadline-Ms", strconv.FormatInt(within.Milliseconds(), 10))
+		req.Header.Set("Deadline-Ms", strconv.FormatInt(timeout.Milliseconds(), 10))
 	}
-	res, err := by.Do(req)
+	res, err := client.Do(req)
 	if err != nil {
 		return 0
 	}
--- a/internal/standin/pipes/pipes.go
+++ b/internal/standin/pipes/pipes.go
@@ -1,5 +1,5 @@
-// Package pipes is a listener whose connections never leave the process, for tests of what serves them in simulated time. It
-// serves nothing but tests.
+// Package pipes provides a net.Listener with in-memory connections, for tests of servers in simulated time. It is used by
+// tests only.
 package pipes
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Listener gives out the far ends that are sent to it.
+// Listener is a channel of connections; Accept returns those that are sent to it.
 type Listener chan net.Conn
 
 // Accept implements net.Listener.
@@ -32,23 +32,23 @@
 // Addr implements net.Listener.
 func (l Listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// ReadsNothing checks, in simulated time, that a caller that takes nothing of an answer of so many bytes is left after bound and
-// not before. The server has to be serving the listener.
+// ReadsNothing checks, in simulated time, that the server disconnects a client that reads none of a response of size bytes
+// after bound and not before. The server must be serving the listener.
 func (l Listener) ReadsNothing(t *testing.T, size int64, bound time.Duration) {
 	t.Helper()
 	for _, pause := range []time.Duration{bound - time.Second, bound + time.Second} {
-		near := l.Dial()
-		near.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
+		client := l.Dial()
+		client.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 		time.Sleep(pause)
-		n, err := io.Copy(io.Discard, near)
+		n, err := io.Copy(io.Discard, client)
 		must.NoError(t, err)
 		must.Eq(t, pause < bound, n > size, must.Sprint(pause))
 	}
 }
 
-// Dial gives the near end of a connection.
+// Dial passes the server's end of a new connection to Accept and returns the client's end.
 func (l Listener) Dial() net.Conn {
-	near, far := net.Pipe()
-	l <- far
-	return near
+	client, server := net.Pipe()
+	l <- server
+	return client
 }
