--- a/internal/standin/localsystem/system.go
+++ b/internal/standin/localsystem/system.go
@@ -82,8 +82,7 @@
 	return s, nil
 }
 
-// Launch starts the processes of a system without searchers and configuration. If it fails, it stops everything it
-// started.
+// Launch starts the processes of a system without searchers and configuration. If it fails, it stops all it started.
 func Launch(o Options) (*System, error) {
 	if o.Controllers == 0 {
 		o.Controllers = defaultControllers
@@ -185,8 +184,7 @@
 	return nil
 }
 
-// Resolve returns the real address and the machine of a destination that a process on machine from dials through
-// Options.Relay; see ports.go.
+// Resolve returns the real address and the machine that a process on machine from dials through Options.Relay; see ports.go.
 func (s *System) Resolve(from, address string) (to, machine string, err error) {
 	ip, text, err := net.SplitHostPort(address)
 	if err != nil {
@@ -278,8 +276,7 @@
 	return nil
 }
 
-// Warm sets cold-start to false in all settings files, so that processes started later know that the system has started
-// before.
+// Warm sets cold-start to false in all settings files, for processes that are started again later.
 func (s *System) Warm() error {
 	for _, p := range s.Processes {
 		conf, err := os.ReadFile(p.Conf)
