--- a/internal/standin/faulty/reply.go
+++ b/internal/standin/faulty/reply.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Call is one request as the searcher read it.
+// Call is a request as the searcher read it.
 type Call struct {
-	Conn       int // 1 for the first connection accepted
-	Nth        int // 1 for the first request on its connection
+	Conn       int // number of the connection, from 1 in the order of acceptance
+	Nth        int // number of the request on its connection, from 1
 	Method     string
-	Path       string // with the query
-	Head       string // as it came, up to the blank line
+	Path       string // including the query
+	Head       string // request line and headers as received, without the blank line
 	Host       string
 	AttemptID  string
 	Target     string
@@ -20,54 +20,55 @@
 	Body       []byte
 }
 
-// Way is how a reply misbehaves.
-type Way uint8
+// Fault is a kind of wrong behaviour that a reply can show.
+type Fault uint8
 
+// The faults of a reply.
 const (
-	Good        Way = iota
-	Refuse          // 503 with Not-Executed; does not run
-	RefuseNoID      // the same without Attempt-Id
-	Wrong421        // 421, as if another were meant; does not run
-	ResetUnrun      // resets the connection and does not run the request
-	ResetRun        // resets it having run
-	CloseRun        // closes it having run, without a byte
-	CutHead         // closes it in the middle of the head
-	CutBody         // closes it in the middle of the body
-	Spoil           // bytes that are no answer
-	WrongID         // another request's id
-	NoID            // no Attempt-Id
-	NoSeal          // no Answer-Seal
-	Hang            // says nothing until the connection closes
-	Trickle         // a byte at a time
-	Chunked         // in chunks, with a trailer
-	BadChunks       // in chunks whose sizes lie
-	BothLengths     // Content-Length and chunks
-	NoLength        // neither, the connection stays open
-	UntilClose      // neither, the body ends with the connection
-	ShortLength     // Content-Length of half the body, so that half of it is surplus
-	Surplus         // bytes after a whole answer
-	ExtraNow        // a second answer right after the first
-	ExtraLate       // a second answer in the place where the next one is due
-	CloseAfter      // Connection: close, and does
-	CloseUnsaid     // closes after the answer without having said so
+	NoFault          Fault = iota // a good response
+	Refuse                        // 503 with Not-Executed; does not run
+	RefuseNoID                    // like Refuse, without Attempt-Id
+	Misdirected                   // 421, as if the request were for another searcher; does not run
+	ResetBeforeRun                // resets the connection and does not run the request
+	ResetAfterRun                 // runs the request, then resets the connection
+	CloseAfterRun                 // runs the request, then closes the connection without a response
+	TruncateHead                  // closes the connection in the middle of the response head
+	TruncateBody                  // closes the connection in the middle of the response body
+	Garbage                       // sends bytes that are not an HTTP response
+	WrongID                       // Attempt-Id of another request
+	NoID                          // no Attempt-Id
+	NoSeal                        // no Answer-Seal
+	Hang                          // sends nothing until the connection closes
+	Trickle                       // writes the response byte by byte
+	Chunked                       // chunked body with a chunk extension and a trailer
+	InvalidChunkSize              // chunked body with a wrong chunk size
+	LengthAndChunks               // both Content-Length and a chunked body
+	NoLength                      // neither Content-Length nor chunks; the connection stays open
+	UntilClose                    // neither Content-Length nor chunks; the body ends with the connection
+	ShortLength                   // Content-Length of half the body, so that the other half is surplus
+	TrailingBytes                 // extra bytes after a complete response
+	DuplicateNow                  // a second copy of the response right after the first
+	DuplicateLate                 // a second copy of the response before the response to the next request
+	CloseAnnounced                // sends Connection: close and closes the connection
+	CloseUnannounced              // closes the connection after the response without announcing it
 )
 
-// Reply is what the searcher does with a request. Its zero value is a good answer.
+// Reply says how the searcher handles a request. The zero value is a good response.
 type Reply struct {
-	Way     Way
-	Status  int             // 0: 200; 500 or 504 are its own and count as run
-	Body    []byte          // nil: bytes made from the path
-	Header  []string        // further lines, "Name: value"
-	Hold    <-chan struct{} // keeps working until this closes or the connection does
-	Work    time.Duration   // works for so long
-	OnDrop  func()          // the connection closed while the request was at work
-	RawBack []byte          // goes out as it is in place of an answer
+	Fault        Fault
+	Status       int             // default 200; 500 and 504 are sent by the searcher itself and count as run
+	Body         []byte          // nil: Records for the searcher and the path
+	Header       []string        // additional header lines, "Name: value"
+	Hold         <-chan struct{} // runs until this channel or the connection closes
+	Work         time.Duration   // how long the request runs
+	OnDisconnect func()          // called if the connection closes while the request runs
+	RawResponse  []byte          // sent unchanged instead of a response
 }
 
-// Seal is the stamp a searcher puts on its answer to an attempt.
+// Seal returns the Answer-Seal value of a searcher's response to an attempt.
 func Seal(searcher, attempt string) string { return "seal." + searcher + "." + attempt }
 
-// Records makes n records of 16 bytes, in no order, that depend on the searcher and the path.
+// Records returns n unsorted records of 16 bytes each, derived from the searcher ID and the path.
 func Records(searcher, path string, n int) []byte {
 	var b bytes.Buffer
 	x := uint64(14695981039346656037)
@@ -83,7 +84,7 @@
 	return b.Bytes()
 }
 
-// render makes the bytes that go out for a request.
+// render encodes the response to a request.
 func (s *Server) render(c *Call, r *Reply) []byte {
 	status, body := r.Status, r.Body
 	if status == 0 {
@@ -93,44 +94,44 @@
 		body = Records(s.ID(), c.Path, 4)
 	}
 	refusal := false
-	switch r.Way {
+	switch r.Fault {
 	case Refuse, RefuseNoID:
 		status, refusal, body = 503, true, []byte("full")
-	case Wrong421:
+	case Misdirected:
 		status, refusal, body = 421, true, []byte("another")
 	}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d Status\r\n", status)
 	id := c.AttemptID
-	if r.Way == WrongID {
+	if r.Fault == WrongID {
 		id = "other-" + id
 	}
-	if id != "" && r.Way != NoID && r.Way != RefuseNoID {
+	if id != "" && r.Fault != NoID && r.Fault != RefuseNoID {
 		fmt.Fprintf(&b, "Attempt-Id: %s\r\n", id)
 	}
 	if refusal {
 		b.WriteString("Not-Executed: 1\r\n")
-	} else if r.Way != NoSeal && c.AttemptID != "" {
+	} else if r.Fault != NoSeal && c.AttemptID != "" {
 		fmt.Fprintf(&b, "Answer-Seal: %s\r\n", Seal(s.ID(), c.AttemptID))
 	}
-	if c.Path == s.opts.ProbePath && !refusal { // full, it says nothing of itself
+	if c.Path == s.opts.ProbePath && !refusal { // a refused probe does not identify the searcher
 		fmt.Fprintf(&b, "Searcher-Id: %s\r\n", s.ID())
 	}
-	if s.opts.TellLoad {
+	if s.opts.ReportLoad {
 		running, waiting := s.Load()
 		fmt.Fprintf(&b, "Searcher-Load: %d,%d,%d\r\n", running, waiting, s.opts.Capacity)
 	}
-	if s.opts.KeepAliveS > 0 {
-		fmt.Fprintf(&b, "Keep-Alive: timeout=%d\r\n", s.opts.KeepAliveS)
+	if s.opts.KeepAliveSeconds > 0 {
+		fmt.Fprintf(&b, "Keep-Alive: timeout=%d\r\n", s.opts.KeepAliveSeconds)
 	}
 	for _, h := range r.Header {
 		b.WriteString(h + "\r\n")
 	}
-	if r.Way == CloseAfter {
+	if r.Fault == CloseAnnounced {
 		b.WriteString("Connection: close\r\n")
 	}
-	switch r.Way {
-	case Chunked, BadChunks, BothLengths:
+	switch r.Fault {
+	case Chunked, InvalidChunkSize, LengthAndChunks:
 		b.WriteString("Transfer-Encoding: chunked\r\n")
 	case NoLength, UntilClose:
 	case ShortLength:
@@ -138,31 +139,31 @@
 	default:
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
 	}
-	if r.Way == BothLengths {
+	if r.Fault == LengthAndChunks {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
 	}
 	head := b.Len()
 	b.WriteString("\r\n")
 	switch {
 	case c.Method == "HEAD" || status == 204 || status == 304:
-	case r.Way == Chunked:
+	case r.Fault == Chunked:
 		half := len(body) / 2
 		fmt.Fprintf(&b, "%x;a=b\r\n%s\r\n%X\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n", half, body[:half], len(body)-half, body[half:])
-	case r.Way == BadChunks:
+	case r.Fault == InvalidChunkSize:
 		fmt.Fprintf(&b, "%x\r\n%s\r\n0\r\n\r\n", len(body)-1, body)
-	case r.Way == BothLengths:
+	case r.Fault == LengthAndChunks:
 		fmt.Fprintf(&b, "%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	default:
 		b.Write(body)
 	}
-	switch r.Way {
-	case CutHead:
+	switch r.Fault {
+	case TruncateHead:
 		return b.Bytes()[:head/2]
-	case CutBody:
+	case TruncateBody:
 		return b.Bytes()[:b.Len()-len(body)/2-1]
-	case Surplus:
+	case TrailingBytes:
 		b.WriteString("and then some")
-	case Spoil:
+	case Garbage:
 		return bytes.Repeat([]byte("\x00\xffnoise"), 20)
 	}
 	return b.Bytes()
--- a/internal/standin/localsystem/signals.go
+++ b/internal/standin/localsystem/signals.go
@@ -8,9 +8,9 @@
 	"syscall"
 )
 
-// Decided tells whether a process has decided what a signal does to it, by the masks that the kernel shows. Before that, from
-// its exec until its loader is through, no program has a say.
-func Decided(pid int, s syscall.Signal) bool {
+// HandlesSignal reports whether a process ignores or catches a signal, according to the signal masks in /proc. From exec until
+// the program has set up its signal handling, the default action applies.
+func HandlesSignal(pid int, s syscall.Signal) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return false
@@ -28,9 +28,9 @@
 	return false
 }
 
-// Decided tells so of the present life.
-func (p *Process) Decided(s syscall.Signal) bool {
+// HandlesSignal reports whether the running incarnation of the process ignores or catches a signal.
+func (p *Process) HandlesSignal(s syscall.Signal) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd != nil && Decided(p.cmd.Process.Pid, s)
+	return p.cmd != nil && HandlesSignal(p.cmd.Process.Pid, s)
 }
